--- a/crates/policy/src/bulk/bulk_gate.rs
+++ b/crates/policy/src/bulk/bulk_gate.rs
@@ -57,12 +57,12 @@
     timing: GateTiming,
     limit: L,
     arrivals: ArrivalRate,
-    own: OwnHistory,
+    own_requests: OwnHistory,
     announced: VecDeque<Timestamp>,
     batch: u32,
-    others: u32,
+    other_live: u32,
     reported_at: Option<Timestamp>,
-    started_at: Option<Timestamp>,
+    last_start_at: Option<Timestamp>,
 }
 
 impl<L: SlotLimit> BulkGate<L> {
@@ -72,26 +72,26 @@
             timing,
             limit,
             arrivals: ArrivalRate::default(),
-            own: OwnHistory::default(),
+            own_requests: OwnHistory::default(),
             announced: VecDeque::new(),
             batch: 0,
-            others: 0,
+            other_live: 0,
             reported_at: None,
-            started_at: None,
+            last_start_at: None,
         }
     }
 
     /// The home daemon itself sends a live request to the server.
     pub fn live_begins(&mut self, now: Timestamp) {
         self.arrivals.arrive(now);
-        self.own.live += 1;
-        self.own.remember(now, self.timing.report_lag);
+        self.own_requests.live += 1;
+        self.own_requests.record(now, self.timing.report_lag);
     }
 
     /// A live request of the home daemon has ended.
     pub fn live_ends(&mut self, now: Timestamp) {
-        self.own.live = self.own.live.saturating_sub(1);
-        self.own.remember(now, self.timing.report_lag);
+        self.own_requests.live = self.own_requests.live.saturating_sub(1);
+        self.own_requests.record(now, self.timing.report_lag);
     }
 
     /// Another daemon sends a live request to the server.
@@ -102,15 +102,15 @@
 
     /// A bulk item was sent to the server.
     pub fn bulk_begins(&mut self, now: Timestamp) {
-        self.started_at = Some(now);
-        self.own.bulk += 1;
-        self.own.remember(now, self.timing.report_lag);
+        self.last_start_at = Some(now);
+        self.own_requests.bulk += 1;
+        self.own_requests.record(now, self.timing.report_lag);
     }
 
     /// A bulk item has ended or was cancelled.
     pub fn bulk_ends(&mut self, now: Timestamp) {
-        self.own.bulk = self.own.bulk.saturating_sub(1);
-        self.own.remember(now, self.timing.report_lag);
+        self.own_requests.bulk = self.own_requests.bulk.saturating_sub(1);
+        self.own_requests.record(now, self.timing.report_lag);
     }
 
     /// The feedback that the gate obeys.
@@ -120,7 +120,7 @@
 
     /// The bulk items on the server.
     pub fn bulk(&self) -> u32 {
-        self.own.bulk
+        self.own_requests.bulk
     }
 
     /// Takes in the server's report, which is `report_lag` old.
@@ -132,11 +132,15 @@
     pub fn report(&mut self, report: LoadReport, now: Timestamp) {
         self.batch = report.batch;
         let total = report.running.saturating_add(report.waiting);
-        let seen = now - self.timing.report_lag;
-        self.others = total.saturating_sub(self.own.at(seen));
+        let reported_as_of = now - self.timing.report_lag;
+        self.other_live = total.saturating_sub(self.own_requests.count_at(reported_as_of));
         self.reported_at = Some(now);
         // Those announced before are in the report from now on.
-        while self.announced.front().is_some_and(|&it| it <= seen) {
+        while self
+            .announced
+            .front()
+            .is_some_and(|&it| it <= reported_as_of)
+        {
             self.announced.pop_front();
         }
     }
@@ -161,43 +165,43 @@
     /// How many bulk items may run now. If more run, the rest shall be
     /// cancelled at once.
     pub fn allowed(&self, now: Timestamp) -> u32 {
-        let known = self
+        let has_recent_report = self
             .reported_at
             .is_some_and(|it| now.since(it) < REPORT_LIFETIME);
-        if !known {
+        if !has_recent_report {
             return 0;
         }
-        let taken = self.live() + self.headroom(now);
+        let live_and_headroom = self.live() + self.headroom(now);
         self.batch
-            .saturating_sub(taken)
+            .saturating_sub(live_and_headroom)
             .min(self.limit.limit() as u32)
     }
 
     /// Whether another bulk item may start now.
     pub fn may_start(&self, now: Timestamp) -> bool {
-        let rested = self
-            .started_at
+        let start_gap_passed = self
+            .last_start_at
             .is_none_or(|it| now.since(it) >= self.timing.start_gap);
-        rested && self.own.bulk < self.allowed(now)
+        start_gap_passed && self.own_requests.bulk < self.allowed(now)
     }
 
     /// How many bulk items have to be cancelled now.
     pub fn excess(&self) -> u32 {
         // The room for arrivals that haven't come is kept free when items
         // start. Cancelling for it too would throw work away on a forecast.
-        let room = self
+        let available = self
             .batch
             .saturating_sub(self.live())
             .min(self.limit.limit().ceil() as u32);
-        self.own.bulk.saturating_sub(room)
+        self.own_requests.bulk.saturating_sub(available)
     }
 
     /// The live requests on the server, of all daemons.
     pub fn live(&self) -> u32 {
         let announced = u32::try_from(self.announced.len()).unwrap_or(u32::MAX);
-        self.own
+        self.own_requests
             .live
-            .saturating_add(self.others)
+            .saturating_add(self.other_live)
             .saturating_add(announced)
     }
 
@@ -213,20 +217,24 @@
 struct OwnHistory {
     live: u32,
     bulk: u32,
-    past: VecDeque<(Timestamp, u32)>,
+    samples: VecDeque<(Timestamp, u32)>,
 }
 
 impl OwnHistory {
-    fn remember(&mut self, now: Timestamp, lag: Duration) {
-        self.past.push_back((now, self.live + self.bulk));
-        let seen = now - lag;
-        while self.past.get(1).is_some_and(|&(at, _)| at <= seen) {
-            self.past.pop_front();
+    fn record(&mut self, now: Timestamp, lag: Duration) {
+        self.samples.push_back((now, self.live + self.bulk));
+        let reported_as_of = now - lag;
+        while self
+            .samples
+            .get(1)
+            .is_some_and(|&(at, _)| at <= reported_as_of)
+        {
+            self.samples.pop_front();
         }
     }
 
-    fn at(&self, then: Timestamp) -> u32 {
-        let found = self.past.iter().rev().find(|&&(at, _)| at <= then);
+    fn count_at(&self, then: Timestamp) -> u32 {
+        let found = self.samples.iter().rev().find(|&&(at, _)| at <= then);
         found.map_or(0, |&(_, count)| count)
     }
 }
--- a/crates/policy/src/bulk/slot_limit.rs
+++ b/crates/policy/src/bulk/slot_limit.rs
@@ -37,43 +37,43 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdditiveLimit {
     /// The most slots there can be.
-    pub most: f64,
+    pub max_slots: f64,
     /// Slots added a second.
     pub per_second: f64,
     slots: f64,
-    ticked: Timestamp,
-    halved: Timestamp,
+    updated_at: Timestamp,
+    last_cut_at: Timestamp,
 }
 
 /// Harm within this time of a cut is the harm that the cut answers.
-const HARM_PAUSE: Duration = Duration::from_millis(250);
+const CUT_COOLDOWN: Duration = Duration::from_millis(250);
 
 impl AdditiveLimit {
     /// A limit that starts with one slot.
-    pub fn new(most: f64, per_second: f64) -> Self {
+    pub fn new(max_slots: f64, per_second: f64) -> Self {
         AdditiveLimit {
-            most,
+            max_slots,
             per_second,
-            slots: 1.0_f64.min(most),
-            ticked: Timestamp::ZERO,
-            halved: Timestamp::ZERO,
+            slots: 1.0_f64.min(max_slots),
+            updated_at: Timestamp::ZERO,
+            last_cut_at: Timestamp::ZERO,
         }
     }
 }
 
 impl SlotLimit for AdditiveLimit {
     fn harm(&mut self, now: Timestamp) {
-        if now.since(self.halved) < HARM_PAUSE {
+        if now.since(self.last_cut_at) < CUT_COOLDOWN {
             return;
         }
-        self.halved = now;
+        self.last_cut_at = now;
         self.slots /= 2.0;
     }
 
     fn tick(&mut self, now: Timestamp) {
-        let added = now.since(self.ticked).as_secs_f64() * self.per_second;
-        self.ticked = self.ticked.max(now);
-        self.slots = (self.slots + added).min(self.most);
+        let added = now.since(self.updated_at).as_secs_f64() * self.per_second;
+        self.updated_at = self.updated_at.max(now);
+        self.slots = (self.slots + added).min(self.max_slots);
     }
 
     fn limit(&self) -> f64 {
@@ -90,49 +90,49 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChokeCreepLimit {
     /// The most slots there can be.
-    pub most: f64,
+    pub max_slots: f64,
     /// The time between two steps up.
     pub interval: Duration,
     slots: f64,
-    crept: Timestamp,
-    choked: Timestamp,
+    last_growth_at: Timestamp,
+    last_cut_at: Timestamp,
 }
 
 /// The share that a choke leaves.
-const CHOKE_LEAVES: f64 = 0.5;
+const CUT_FACTOR: f64 = 0.5;
 /// The factor of a creep.
-const CREEP_FACTOR: f64 = 1.5;
+const GROWTH_FACTOR: f64 = 1.5;
 /// Growth by a factor never leaves zero.
-const LEAST_SLOTS: f64 = 0.5;
+const MIN_SLOTS: f64 = 0.5;
 
 impl ChokeCreepLimit {
     /// A limit that starts with one slot.
-    pub fn new(most: f64, interval: Duration) -> Self {
-        let slots = 1.0_f64.min(most);
+    pub fn new(max_slots: f64, interval: Duration) -> Self {
+        let slots = 1.0_f64.min(max_slots);
         ChokeCreepLimit {
-            most,
+            max_slots,
             interval,
             slots,
-            crept: Timestamp::ZERO,
-            choked: Timestamp::ZERO,
+            last_growth_at: Timestamp::ZERO,
+            last_cut_at: Timestamp::ZERO,
         }
     }
 }
 
 impl SlotLimit for ChokeCreepLimit {
     fn harm(&mut self, now: Timestamp) {
-        if now.since(self.choked) < HARM_PAUSE {
+        if now.since(self.last_cut_at) < CUT_COOLDOWN {
             return;
         }
-        self.choked = now;
-        self.crept = now;
-        self.slots = (self.slots * CHOKE_LEAVES).max(LEAST_SLOTS);
+        self.last_cut_at = now;
+        self.last_growth_at = now;
+        self.slots = (self.slots * CUT_FACTOR).max(MIN_SLOTS);
     }
 
     fn tick(&mut self, now: Timestamp) {
-        while now.since(self.crept) >= self.interval {
-            self.crept = self.crept + self.interval;
-            self.slots = (self.slots * CREEP_FACTOR).min(self.most);
+        while now.since(self.last_growth_at) >= self.interval {
+            self.last_growth_at = self.last_growth_at + self.interval;
+            self.slots = (self.slots * GROWTH_FACTOR).min(self.max_slots);
         }
     }
 
--- a/crates/policy/src/lots/claim_doubt.rs
+++ b/crates/policy/src/lots/claim_doubt.rs
@@ -7,12 +7,12 @@
 /// A daemon that says nothing for so long was out of touch, or this one was. Words of
 /// daemons get lost one by one, but not for such a time. A daemon that does nothing for
 /// so long stood still.
-const LONG_SILENCE: Duration = Duration::from_secs(3);
+const MIN_OUTAGE_SILENCE: Duration = Duration::from_secs(3);
 
 /// Whether a daemon of which there is a sign now was out of touch before. `last_sign` is
 /// the one before.
 pub fn was_out_of_touch(last_sign: Option<Timestamp>, now: Timestamp) -> bool {
-    last_sign.is_some_and(|it| now.since(it) >= LONG_SILENCE)
+    last_sign.is_some_and(|it| now.since(it) >= MIN_OUTAGE_SILENCE)
 }
 
 /// Whether a daemon may begin items of a lot that it runs. `certain_at` is the moment
--- a/crates/policy/src/lots/copy_proof.rs
+++ b/crates/policy/src/lots/copy_proof.rs
@@ -8,16 +8,16 @@
 /// certain. What one reader was shown, others expect to see within a second; the
 /// doubt about a write under way ([`WRITE_DOUBT`]) comes on top, and the way of a
 /// daemon's word, which is left 0.4 s.
-const EMPTY_PROOF: Duration = Duration::from_millis(400);
+const EMPTY_PROOF_LIFETIME: Duration = Duration::from_millis(400);
 /// The same where the look for more took its time: what it found is how things were
 /// when it began.
-const LATE_PROOF: Duration = Duration::from_millis(600);
+const DELAYED_PROOF_LIFETIME: Duration = Duration::from_millis(600);
 /// Results that are there are shown for so long without a look for further ones: they
 /// never change, and the reader comes back for the rest.
-const FILLED_PROOF: Duration = Duration::from_secs(5);
+const FILLED_PROOF_LIFETIME: Duration = Duration::from_secs(5);
 /// A daemon speaks for all results of a lot for so long while a write of its own has
 /// no answer. The store may hold more by then than the daemon knows of.
-const WRITE_DOUBT: Duration = Duration::from_millis(200);
+const UNDECIDED_WRITE_LIMIT: Duration = Duration::from_millis(200);
 
 /// What a daemon that runs a lot says of its results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     pub fn is_doubtful(
         &self,
         reader: ReaderPosition,
-        vouch: Option<RunnerVouch>,
+        report: Option<RunnerVouch>,
         now: Timestamp,
     ) -> bool {
         if self.is_final {
@@ -72,17 +72,17 @@
         }
         // A reader that was shown more elsewhere is the proof that the copy is behind.
         if self.is_behind(reader) {
-            let is_older = self.proved_at < reader.asked_at;
-            return is_older || now.since(self.proved_at) > EMPTY_PROOF;
+            let is_outdated = self.proved_at < reader.asked_at;
+            return is_outdated || now.since(self.proved_at) > EMPTY_PROOF_LIFETIME;
         }
-        if self.falls_short(vouch) {
+        if self.falls_short(report) {
             return true;
         }
-        let lasts = match self.serves(reader) {
-            true => FILLED_PROOF,
-            false => EMPTY_PROOF,
+        let proof_lifetime = match self.serves(reader) {
+            true => FILLED_PROOF_LIFETIME,
+            false => EMPTY_PROOF_LIFETIME,
         };
-        now.since(self.last_proof(vouch)) > lasts
+        now.since(self.last_proved_at(report)) > proof_lifetime
     }
 
     /// Whether a reader knows of results that the copy lacks.
@@ -92,8 +92,8 @@
 
     /// Whether the daemon that runs the lot told of more results. They never go, so that
     /// this is true however old its word is, and whatever a look has brought.
-    pub fn falls_short(&self, vouch: Option<RunnerVouch>) -> bool {
-        !self.is_final && vouch.is_some_and(|it| it.results > self.results)
+    pub fn falls_short(&self, report: Option<RunnerVouch>) -> bool {
+        !self.is_final && report.is_some_and(|it| it.results > self.results)
     }
 
     /// Whether a reader may be told that there is nothing for it, after a look that
@@ -101,21 +101,21 @@
     pub fn proves_nothing_there(
         &self,
         reader: ReaderPosition,
-        vouch: Option<RunnerVouch>,
+        report: Option<RunnerVouch>,
         now: Timestamp,
     ) -> bool {
-        let proof = match self.is_behind(reader) {
+        let proved_at = match self.is_behind(reader) {
             true => self.proved_at,
-            false => self.last_proof(vouch),
+            false => self.last_proved_at(report),
         };
-        let is_recent = now.since(proof) <= LATE_PROOF;
-        self.is_final || (is_recent && !self.falls_short(vouch))
+        let is_recent = now.since(proved_at) <= DELAYED_PROOF_LIFETIME;
+        self.is_final || (is_recent && !self.falls_short(report))
     }
 
-    fn last_proof(&self, vouch: Option<RunnerVouch>) -> Timestamp {
-        let same = vouch.filter(|it| it.results == self.results);
-        let heard_at = same.map_or(Timestamp::ZERO, |it| it.heard_at);
-        self.proved_at.max(heard_at)
+    fn last_proved_at(&self, report: Option<RunnerVouch>) -> Timestamp {
+        let matching = report.filter(|it| it.results == self.results);
+        let last_reported_at = matching.map_or(Timestamp::ZERO, |it| it.heard_at);
+        self.proved_at.max(last_reported_at)
     }
 }
 
@@ -123,5 +123,5 @@
 /// results. `undecided_since` is the moment at which it began a write that has no
 /// answer yet.
 pub fn knows_all_results(undecided_since: Option<Timestamp>, now: Timestamp) -> bool {
-    undecided_since.is_none_or(|it| now.since(it) <= WRITE_DOUBT)
+    undecided_since.is_none_or(|it| now.since(it) <= UNDECIDED_WRITE_LIMIT)
 }
--- a/crates/policy/src/lots/hold_limit.rs
+++ b/crates/policy/src/lots/hold_limit.rs
@@ -2,8 +2,8 @@
 
 /// The lots that a daemon holds at once, and the bytes of their items, which bind first
 /// where lots are large.
-const MOST_LOTS: usize = 256;
-const MOST_BYTES: usize = 32 << 20;
+const MAX_LOTS: usize = 256;
+const MAX_BYTES: usize = 32 << 20;
 
 /// What a daemon holds of lots that it runs.
 ///
@@ -21,6 +21,6 @@
 impl HeldSize {
     /// Whether one more may be claimed.
     pub fn has_room(self) -> bool {
-        self.lots < MOST_LOTS && self.bytes < MOST_BYTES
+        self.lots < MAX_LOTS && self.bytes < MAX_BYTES
     }
 }
--- a/crates/policy/src/lots/item_tries.rs
+++ b/crates/policy/src/lots/item_tries.rs
@@ -50,23 +50,23 @@
     pub max_own_faults: u32,
     /// So many other items must have gone through since the item's last fault
     /// for the next one to count as its own.
-    pub witnesses: u64,
+    pub min_other_successes: u64,
     /// So many crashes end an item.
     pub max_crashes: u8,
     /// The pause after the first fault; it doubles with each.
-    pub pause: Duration,
+    pub backoff: Duration,
     /// The longest pause.
-    pub max_pause: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for TryPolicy {
     fn default() -> Self {
         TryPolicy {
             max_own_faults: 3,
-            witnesses: 2,
+            min_other_successes: 2,
             max_crashes: 2,
-            pause: Duration::from_millis(500),
-            max_pause: Duration::from_secs(30),
+            backoff: Duration::from_millis(500),
+            max_backoff: Duration::from_secs(30),
         }
     }
 }
@@ -82,11 +82,11 @@
         random: &mut impl Rng,
     ) -> TryVerdict {
         tries.faults += 1;
-        tries.needs_probe = others_done < self.witnesses;
+        tries.needs_probe = others_done < self.min_other_successes;
         if !tries.needs_probe {
             tries.own_faults += 1;
         }
-        self.judge(tries, now + self.pause_after(tries.faults, random))
+        self.verdict(tries, now + self.backoff_after(tries.faults, random))
     }
 
     /// Judges the last fault by whether a probe went through.
@@ -100,12 +100,12 @@
         tries.needs_probe = false;
         if went_through {
             tries.own_faults += 1;
-            return self.judge(tries, now);
+            return self.verdict(tries, now);
         }
-        TryVerdict::Retry(now + self.pause_after(tries.faults, random))
+        TryVerdict::Retry(now + self.backoff_after(tries.faults, random))
     }
 
-    fn judge(&self, tries: &ItemTries, retry_at: Timestamp) -> TryVerdict {
+    fn verdict(&self, tries: &ItemTries, retry_at: Timestamp) -> TryVerdict {
         match tries.own_faults >= self.max_own_faults {
             true => TryVerdict::GiveUp(GiveUpReason::FailsAlone),
             false => TryVerdict::Retry(retry_at),
@@ -123,17 +123,17 @@
         if tries.crashes >= self.max_crashes {
             return TryVerdict::GiveUp(GiveUpReason::CrashesServers);
         }
-        TryVerdict::Retry(now + self.pause_after(1, random))
+        TryVerdict::Retry(now + self.backoff_after(1, random))
     }
 
     /// A doubling pause, spread over its upper half so that the items of one
     /// outage don't all come back at once.
-    fn pause_after(&self, faults: u32, random: &mut impl Rng) -> Duration {
+    fn backoff_after(&self, faults: u32, random: &mut impl Rng) -> Duration {
         let doubled = self
-            .pause
+            .backoff
             .saturating_mul(1 << faults.saturating_sub(1).min(16));
         doubled
-            .min(self.max_pause)
+            .min(self.max_backoff)
             .mul_f64(random.random_range(0.5..=1.0))
     }
 }
--- a/crates/policy/src/lots/lot_forecast.rs
+++ b/crates/policy/src/lots/lot_forecast.rs
@@ -6,15 +6,15 @@
 
 /// Over which time the pace is averaged: long enough to bridge the writes of
 /// grouped results, short enough to notice a lasting burst of live work.
-const PACE_SPAN: Duration = Duration::from_secs(300);
+const AVERAGING_WINDOW: Duration = Duration::from_secs(300);
 /// No pace is judged before a lot was seen for this long.
-const SETTLE_SPAN: Duration = Duration::from_secs(60);
+const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(60);
 
 /// Measures how many items of a lot are recorded a second, by the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PaceMeter {
-    since: Option<Timestamp>,
-    seen: Timestamp,
+    first_observed_at: Option<Timestamp>,
+    last_observed_at: Timestamp,
     items: u32,
     pace: f64,
 }
@@ -22,31 +22,33 @@
 impl PaceMeter {
     /// Takes in how many items are recorded by now.
     pub fn observe(&mut self, items: u32, now: Timestamp) {
-        if self.since.is_none() {
+        if self.first_observed_at.is_none() {
             *self = PaceMeter {
-                since: Some(now),
-                seen: now,
+                first_observed_at: Some(now),
+                last_observed_at: now,
                 items,
                 pace: 0.0,
             };
             return;
         }
-        let span = now.since(self.seen).as_secs_f64();
-        if span < 1.0 {
+        let elapsed = now.since(self.last_observed_at).as_secs_f64();
+        if elapsed < 1.0 {
             return;
         }
-        let fresh = f64::from(items.saturating_sub(self.items)) / span;
-        let age = now.since(self.since.unwrap_or(now)).min(PACE_SPAN);
-        let part = (span / age.as_secs_f64().max(span)).min(1.0);
-        self.pace += (fresh - self.pace) * part;
-        self.seen = now;
+        let current_pace = f64::from(items.saturating_sub(self.items)) / elapsed;
+        let observed_for = now
+            .since(self.first_observed_at.unwrap_or(now))
+            .min(AVERAGING_WINDOW);
+        let weight = (elapsed / observed_for.as_secs_f64().max(elapsed)).min(1.0);
+        self.pace += (current_pace - self.pace) * weight;
+        self.last_observed_at = now;
         self.items = items;
     }
 
     /// Items a second, once the lot was seen for long enough.
     pub fn pace(&self, now: Timestamp) -> Option<f64> {
-        let since = self.since?;
-        (now.since(since) >= SETTLE_SPAN).then_some(self.pace)
+        let first_observed_at = self.first_observed_at?;
+        (now.since(first_observed_at) >= MIN_OBSERVATION_TIME).then_some(self.pace)
     }
 
     /// How long so many items will take, or nothing while that is unknown.
@@ -74,9 +76,9 @@
         if now > due {
             return LotForecast::IsLate(now.since(due));
         }
-        let late = needs.unwrap_or_default().checked_sub(due.since(now));
-        match late.filter(|it| !it.is_zero()) {
-            Some(late) => LotForecast::WillBeLate(late),
+        let lateness = needs.unwrap_or_default().checked_sub(due.since(now));
+        match lateness.filter(|it| !it.is_zero()) {
+            Some(lateness) => LotForecast::WillBeLate(lateness),
             None => LotForecast::OnTime,
         }
     }
--- a/crates/policy/src/lots/lot_ranking.rs
+++ b/crates/policy/src/lots/lot_ranking.rs
@@ -71,7 +71,7 @@
     pub fn set_weight(&mut self, customer: CustomerId, weight: f64) {
         // A weight of zero would make its tokens infinitely dear and a negative
         // one would turn the order round; settings are checked, data may not be.
-        self.share(customer).weight = if weight > 0.0 {
+        self.share_mut(customer).weight = if weight > 0.0 {
             weight
         } else {
             f64::MIN_POSITIVE
@@ -82,12 +82,12 @@
     /// pause starts level with the least served of the others: it must neither
     /// claim what it didn't ask for nor pay for having been served alone.
     pub fn set_active(&mut self, active: &[CustomerId]) {
-        let level = self.level();
+        let min_served = self.min_served();
         for &customer in active {
-            let share = self.share(customer);
+            let share = self.share_mut(customer);
             if !share.is_active {
                 share.is_active = true;
-                share.served = share.served.max(level);
+                share.served = share.served.max(min_served);
             }
         }
         for (index, share) in self.customers.iter_mut().enumerate() {
@@ -98,7 +98,7 @@
     /// Counts tokens as served. Negative ones give back what was estimated too
     /// high.
     pub fn charge(&mut self, customer: CustomerId, tokens: f64) {
-        let share = self.share(customer);
+        let share = self.share_mut(customer);
         share.served += tokens / share.weight;
     }
 
@@ -128,13 +128,17 @@
         1.0 - (slack.as_secs_f64() / ample.as_secs_f64()).min(1.0)
     }
 
-    fn level(&self) -> f64 {
+    fn min_served(&self) -> f64 {
         let active = self.customers.iter().filter(|it| it.is_active);
-        let level = active.map(|it| it.served).fold(f64::INFINITY, f64::min);
-        if level.is_finite() { level } else { 0.0 }
+        let min_served = active.map(|it| it.served).fold(f64::INFINITY, f64::min);
+        if min_served.is_finite() {
+            min_served
+        } else {
+            0.0
+        }
     }
 
-    fn share(&mut self, customer: CustomerId) -> &mut CustomerShare {
+    fn share_mut(&mut self, customer: CustomerId) -> &mut CustomerShare {
         if self.customers.len() <= customer.index() {
             self.customers
                 .resize(customer.index() + 1, CustomerShare::default());
--- a/crates/policy/src/lots/runner_choice.rs
+++ b/crates/policy/src/lots/runner_choice.rs
@@ -28,7 +28,7 @@
 
 /// How many items more than another one a daemon has to have, beside those of the lot,
 /// before it hands a lot over: each time costs three calls to the store.
-const LEAST_GAP: u32 = 40;
+const MIN_HANDOVER_GAP: u32 = 40;
 
 /// Chooses the daemon to which one with `own` items hands a lot of `moved` items over, if
 /// it is to hand it over at all: the one with the least to do, where that is still less
@@ -37,7 +37,10 @@
 /// After a restart of all VMs the first daemon that is back finds all lots with nobody to
 /// run them, claims them, and would run them alone.
 pub fn choose_successor(own: u32, moved: u32, others: &[RunnerLoad]) -> Option<PeerId> {
-    let least = others.iter().min_by_key(|it| (it.items, it.runner))?;
-    let after = least.items.saturating_add(moved).saturating_add(LEAST_GAP);
-    (after <= own.saturating_sub(moved)).then_some(least.runner)
+    let least_loaded = others.iter().min_by_key(|it| (it.items, it.runner))?;
+    let required = least_loaded
+        .items
+        .saturating_add(moved)
+        .saturating_add(MIN_HANDOVER_GAP);
+    (required <= own.saturating_sub(moved)).then_some(least_loaded.runner)
 }
--- a/crates/policy/src/lots/segment_choice.rs
+++ b/crates/policy/src/lots/segment_choice.rs
@@ -9,28 +9,28 @@
 /// one would mostly fail to claim it, each failure costing a platform write.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SegmentChoice {
-    begun: Vec<usize>,
-    fresh: Vec<usize>,
+    started: Vec<usize>,
+    unstarted: Vec<usize>,
 }
 
 impl SegmentChoice {
     /// Adds a segment that is neither done nor claimed.
-    pub fn add(&mut self, segment: usize, is_begun: bool) {
-        match is_begun {
-            true => self.begun.push(segment),
-            false => self.fresh.push(segment),
+    pub fn add(&mut self, segment: usize, is_started: bool) {
+        match is_started {
+            true => self.started.push(segment),
+            false => self.unstarted.push(segment),
         }
     }
 
     /// The segment to claim, if there is any.
     pub fn pick(&self, random: &mut impl Rng) -> Option<usize> {
-        let from = match self.begun.is_empty() {
-            true => &self.fresh,
-            false => &self.begun,
+        let candidates = match self.started.is_empty() {
+            true => &self.unstarted,
+            false => &self.started,
         };
-        match from.len() {
+        match candidates.len() {
             0 => None,
-            len => Some(from[random.random_range(0..len)]),
+            len => Some(candidates[random.random_range(0..len)]),
         }
     }
 }
--- a/crates/policy/src/lots/start_order.rs
+++ b/crates/policy/src/lots/start_order.rs
@@ -52,46 +52,46 @@
 /// How long items take to run, as measured.
 #[derive(Clone, Copy, Debug)]
 pub struct RunPace {
-    event_secs: f64,
-    events: f64,
+    secs_per_event: f64,
+    events_per_item: f64,
 }
 
 /// How much a new measurement counts in the mean.
-const PACE_WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 
 impl Default for RunPace {
     /// Nothing was measured: every item could be on time.
     fn default() -> Self {
         RunPace {
-            event_secs: 0.0,
-            events: 0.0,
+            secs_per_event: 0.0,
+            events_per_item: 0.0,
         }
     }
 }
 
 impl RunPace {
     /// Takes in a run that made so many events.
-    pub fn note_run(&mut self, span: Duration, events: u32) {
+    pub fn note_run(&mut self, run_time: Duration, events: u32) {
         if events > 0 {
-            let secs = span.as_secs_f64() / f64::from(events);
-            mix(&mut self.event_secs, secs);
+            let secs_per_event = run_time.as_secs_f64() / f64::from(events);
+            update_mean(&mut self.secs_per_event, secs_per_event);
         }
     }
 
     /// Takes in how many events a whole item had.
     pub fn note_whole(&mut self, events: u32) {
-        mix(&mut self.events, f64::from(events));
+        update_mean(&mut self.events_per_item, f64::from(events));
     }
 
     /// How long the rest of an item takes that has made so many events.
     pub fn rest(&self, events: u32) -> Duration {
-        let left = (self.events - f64::from(events)).max(0.0);
-        Duration::from_secs_f64(left * self.event_secs)
+        let remaining = (self.events_per_item - f64::from(events)).max(0.0);
+        Duration::from_secs_f64(remaining * self.secs_per_event)
     }
 }
 
 /// The first measurement stands by itself: half of nothing would be no estimate.
-fn mix(mean: &mut f64, measured: f64) {
-    let weight = if *mean > 0.0 { PACE_WEIGHT } else { 1.0 };
-    *mean += (measured - *mean) * weight;
+fn update_mean(mean: &mut f64, sample: f64) {
+    let weight = if *mean > 0.0 { SAMPLE_WEIGHT } else { 1.0 };
+    *mean += (sample - *mean) * weight;
 }
--- a/crates/policy/src/lots/waiting_tokens.rs
+++ b/crates/policy/src/lots/waiting_tokens.rs
@@ -8,13 +8,13 @@
 
 /// Beyond this many lots a ledger is long enough to be worth a look at which of them
 /// are still open.
-const MOST_LOTS: usize = 96;
+const MAX_UNCHECKED_LOTS: usize = 96;
 /// When a caller may come back while nothing is known of how fast tokens come back.
-const USUAL_RETURN: Duration = Duration::from_millis(1_000);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// No caller is told to come back sooner: the ledger isn't looked at more often.
-const SOONEST_RETURN: Duration = Duration::from_millis(500);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// How much a new measurement counts in the mean.
-const PACE_WEIGHT: f64 = 0.5;
+const SAMPLE_WEIGHT: f64 = 0.5;
 
 /// What of a lot still waits, at most.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -76,19 +76,19 @@
     /// Whether it has to be compared with the open lots before it decides: it was
     /// counted by another bound, or has become long.
     pub fn is_doubtful(&self, bound: u64) -> bool {
-        self.bound != bound || self.lots.len() > MOST_LOTS
+        self.bound != bound || self.lots.len() > MAX_UNCHECKED_LOTS
     }
 
     /// Whether a lot fits.
     pub fn judge(&self, lot: &WaitingLot, bound: u64) -> TokenVerdict {
-        if self.place(&lot.lot).is_ok() {
+        if self.position(&lot.lot).is_ok() {
             return TokenVerdict::Known;
         }
         if lot.tokens > bound {
             return TokenVerdict::NeverFits;
         }
-        let wanted = self.total().saturating_add(lot.tokens);
-        match wanted.checked_sub(bound) {
+        let required = self.total().saturating_add(lot.tokens);
+        match required.checked_sub(bound) {
             None | Some(0) => TokenVerdict::Fits,
             Some(missing) => TokenVerdict::Full { missing },
         }
@@ -96,9 +96,9 @@
 
     /// Notes a lot, or that more of it waits than is known.
     pub fn add(&mut self, lot: WaitingLot) {
-        match self.place(&lot.lot) {
-            Ok(place) => self.lots[place].tokens = self.lots[place].tokens.max(lot.tokens),
-            Err(place) => self.lots.insert(place, lot),
+        match self.position(&lot.lot) {
+            Ok(position) => self.lots[position].tokens = self.lots[position].tokens.max(lot.tokens),
+            Err(position) => self.lots.insert(position, lot),
         }
     }
 
@@ -107,12 +107,12 @@
     pub fn compare(&mut self, open: &[WaitingLot], bound: u64) -> LotsKnown {
         let mut known = LotsKnown::default();
         for lot in &self.lots {
-            let shown = open.iter().find(|it| it.lot == lot.lot);
-            known.note(&lot.lot, shown.map_or(0, |it| it.tokens));
+            let matching = open.iter().find(|it| it.lot == lot.lot);
+            known.set(&lot.lot, matching.map_or(0, |it| it.tokens));
         }
         self.reduce(&known);
         for lot in open {
-            if self.place(&lot.lot).is_err() {
+            if self.position(&lot.lot).is_err() {
                 self.add(lot.clone());
             }
         }
@@ -136,7 +136,7 @@
         self.lots.retain(|it| !is_finished(&it.lot));
     }
 
-    fn place(&self, lot: &str) -> Result<usize, usize> {
+    fn position(&self, lot: &str) -> Result<usize, usize> {
         self.lots.binary_search_by(|it| it.lot.as_str().cmp(lot))
     }
 }
@@ -149,19 +149,19 @@
 }
 
 impl LotsKnown {
-    fn note(&mut self, lot: &str, tokens: u64) {
+    fn set(&mut self, lot: &str, tokens: u64) {
         match self.lots.binary_search_by(|it| it.lot.as_str().cmp(lot)) {
-            Ok(place) => self.lots[place].tokens = tokens,
-            Err(place) => {
+            Ok(position) => self.lots[position].tokens = tokens,
+            Err(position) => {
                 let lot = lot.to_owned();
-                self.lots.insert(place, WaitingLot { lot, tokens });
+                self.lots.insert(position, WaitingLot { lot, tokens });
             }
         }
     }
 
     fn tokens(&self, lot: &str) -> Option<u64> {
-        let place = self.lots.binary_search_by(|it| it.lot.as_str().cmp(lot));
-        Some(self.lots[place.ok()?].tokens)
+        let position = self.lots.binary_search_by(|it| it.lot.as_str().cmp(lot));
+        Some(self.lots[position.ok()?].tokens)
     }
 }
 
@@ -171,45 +171,46 @@
 pub struct ReturnPace {
     tokens_per_sec: f64,
     /// The open lots at the last look, and when that was.
-    last: Option<(Vec<WaitingLot>, Timestamp)>,
+    last_observation: Option<(Vec<WaitingLot>, Timestamp)>,
 }
 
 impl ReturnPace {
     /// Takes in the open lots as of now.
     pub fn note(&mut self, open: &[WaitingLot], now: Timestamp) {
-        let last = self.last.replace((open.to_vec(), now));
-        let Some((before, looked_at)) = last else {
+        let last_observation = self.last_observation.replace((open.to_vec(), now));
+        let Some((before, observed_at)) = last_observation else {
             return;
         };
-        let span = now.since(looked_at);
-        if span.is_zero() {
+        let elapsed = now.since(observed_at);
+        if elapsed.is_zero() {
             return;
         }
-        let left = |lot: &str| {
+        let remaining = |lot: &str| {
             open.iter()
                 .find(|it| it.lot == lot)
                 .map_or(0, |it| it.tokens)
         };
         let returned = before
             .iter()
-            .map(|it| it.tokens.saturating_sub(left(&it.lot)));
+            .map(|it| it.tokens.saturating_sub(remaining(&it.lot)));
         let returned = returned.fold(0, u64::saturating_add);
-        let measured = returned as f64 / span.as_secs_f64();
+        let sample = returned as f64 / elapsed.as_secs_f64();
         let weight = if self.tokens_per_sec > 0.0 {
-            PACE_WEIGHT
+            SAMPLE_WEIGHT
         } else {
             1.0
         };
-        self.tokens_per_sec += (measured - self.tokens_per_sec) * weight;
+        self.tokens_per_sec += (sample - self.tokens_per_sec) * weight;
     }
 
     /// When there should be room for what is missing, `longest` from now at most.
-    pub fn room_in(&self, missing: u64, longest: Duration) -> Duration {
-        let span = match self.tokens_per_sec > 0.0 {
+    pub fn room_in(&self, missing: u64, max_retry_after: Duration) -> Duration {
+        let wait = match self.tokens_per_sec > 0.0 {
             true => Duration::try_from_secs_f64(missing as f64 / self.tokens_per_sec),
-            false => Ok(USUAL_RETURN),
+            false => Ok(DEFAULT_RETRY_AFTER),
         };
-        let longest = longest.max(SOONEST_RETURN);
-        span.unwrap_or(longest).clamp(SOONEST_RETURN, longest)
+        let max_retry_after = max_retry_after.max(MIN_RETRY_AFTER);
+        wait.unwrap_or(max_retry_after)
+            .clamp(MIN_RETRY_AFTER, max_retry_after)
     }
 }
--- a/crates/policy/src/placement/home_set.rs
+++ b/crates/policy/src/placement/home_set.rs
@@ -24,7 +24,7 @@
     if wanted <= daemons.len() {
         let of_server = |server: &u64| {
             let server = *server;
-            let homes = highest(daemons, users, |it| mix(server ^ it.0));
+            let homes = highest_scored(daemons, users, |it| mix(server ^ it.0));
             homes.into_iter().map(move |it| (server, it))
         };
         return servers.iter().flat_map(of_server).collect();
@@ -32,13 +32,13 @@
     let each = wanted.div_ceil(daemons.len().max(1));
     let of_daemon = |daemon: &PeerId| {
         let daemon = *daemon;
-        let homes = highest(servers, each, |it| mix(it ^ daemon.0));
+        let homes = highest_scored(servers, each, |it| mix(it ^ daemon.0));
         homes.into_iter().map(move |it| (it, daemon))
     };
     daemons.iter().flat_map(of_daemon).collect()
 }
 
-fn highest<T: Copy + Ord>(all: &[T], count: usize, score: impl Fn(T) -> u64) -> Vec<T> {
+fn highest_scored<T: Copy + Ord>(all: &[T], count: usize, score: impl Fn(T) -> u64) -> Vec<T> {
     let mut ranked: Vec<(u64, T)> = all.iter().map(|it| (score(*it), *it)).collect();
     ranked.sort_unstable_by(|left, right| right.cmp(left));
     ranked.into_iter().take(count).map(|it| it.1).collect()
--- a/crates/policy/src/placement/placement_table.rs
+++ b/crates/policy/src/placement/placement_table.rs
@@ -15,14 +15,14 @@
 const ZONE_PENALTY: f64 = 1.0;
 /// What a server costs that other daemons use first, in requests: about as much
 /// as a full one. What is known of it is old.
-const FOREIGN_PENALTY: f64 = 1.5;
+const NON_HOME_PENALTY: f64 = 1.5;
 /// Slots of each server that items leave free for live requests that arrive
 /// while the daemons' counts are on their way to each other. Without them each such
 /// request has an item step aside.
-const BULK_MARGIN: u32 = 1;
+const BULK_RESERVED_SLOTS: u32 = 1;
 /// The shortest and the longest time after which a refused caller may come back.
-const SHORTEST_RETRY: Duration = Duration::from_millis(250);
-const LONGEST_RETRY: Duration = Duration::from_millis(1_500);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
 /// A server as the directory lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -122,12 +122,12 @@
             entry.is_listed = false;
         }
         for listing in listings {
-            let same = |it: &ServerEntry| {
+            let is_same_server = |it: &ServerEntry| {
                 it.listing.name == listing.name
                     && it.listing.start == listing.start
                     && it.listing.address == listing.address
             };
-            if let Some(entry) = self.servers.iter_mut().find(|it| same(it)) {
+            if let Some(entry) = self.servers.iter_mut().find(|it| is_same_server(it)) {
                 entry.is_listed = true;
                 if entry.listing.slots != listing.slots {
                     entry.load.slots = listing.slots;
@@ -144,9 +144,9 @@
             };
             // The place of a server that left, and on which nothing is open any
             // more, is free: servers come and go for as long as a daemon runs.
-            let is_free = |it: &ServerEntry| !it.is_listed && it.load.own == LoadShare::default();
-            match self.servers.iter_mut().find(|it| is_free(it)) {
-                Some(free) => *free = entry,
+            let is_unused = |it: &ServerEntry| !it.is_listed && it.load.own == LoadShare::default();
+            match self.servers.iter_mut().find(|it| is_unused(it)) {
+                Some(unused) => *unused = entry,
                 None => self.servers.push(entry),
             }
         }
@@ -190,8 +190,8 @@
         let mut best: Option<(f64, usize)> = None;
         // Ejected servers are better than none: their pause may be mistaken.
         for allow_ejected in [false, true] {
-            for (place, entry) in self.servers.iter().enumerate() {
-                let id = ServerId(place as u32);
+            for (index, entry) in self.servers.iter().enumerate() {
+                let id = ServerId(index as u32);
                 if !entry.is_usable(query.service) || query.exclude.contains(&id) {
                     continue;
                 }
@@ -200,25 +200,25 @@
                 }
                 let cost = entry.live_cost(query.zone, now) + random.random_range(0.0..0.3);
                 if best.is_none_or(|(least, _)| cost < least) {
-                    best = Some((cost, place));
+                    best = Some((cost, index));
                 }
             }
             if best.is_some() {
                 break;
             }
         }
-        let Some((_, place)) = best else {
+        let Some((_, index)) = best else {
             return Err(PlacementRefusal::NoServer);
         };
-        let entry = &self.servers[place];
+        let entry = &self.servers[index];
         let expected_wait = entry.load.expected_wait(now);
         if expected_wait > query.longest_wait {
-            let over = expected_wait - query.longest_wait;
-            let retry_after = (over * 2).clamp(SHORTEST_RETRY, LONGEST_RETRY);
+            let excess_wait = expected_wait - query.longest_wait;
+            let retry_after = (excess_wait * 2).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
             return Err(PlacementRefusal::Full { retry_after });
         }
         Ok(Placement {
-            server: ServerId(place as u32),
+            server: ServerId(index as u32),
             expected_wait,
             load: entry.load.total(now),
         })
@@ -237,31 +237,31 @@
             .iter()
             .any(|it| it.is_home && it.is_usable(query.service));
         let mut best: Option<(f64, usize)> = None;
-        for (place, entry) in self.servers.iter().enumerate() {
-            let id = ServerId(place as u32);
-            let is_out = !entry.is_usable(query.service)
+        for (index, entry) in self.servers.iter().enumerate() {
+            let id = ServerId(index as u32);
+            let is_ineligible = !entry.is_usable(query.service)
                 || query.exclude.contains(&id)
                 || entry.load.is_ejected(now)
                 || (has_home && !entry.is_home)
                 || !entry.load.may_start_bulk(now);
-            if is_out || entry.free_for_bulk(now) < 1.0 {
+            if is_ineligible || entry.free_bulk_slots(now) < 1.0 {
                 continue;
             }
-            let away = if entry.listing.zone == query.zone {
+            let zone_penalty = if entry.listing.zone == query.zone {
                 0.0
             } else {
                 0.5
             };
-            let cost = away - entry.free_for_bulk(now) + random.random_range(0.0..0.5);
+            let cost = zone_penalty - entry.free_bulk_slots(now) + random.random_range(0.0..0.5);
             if best.is_none_or(|(least, _)| cost < least) {
-                best = Some((cost, place));
+                best = Some((cost, index));
             }
         }
-        let (_, place) = best?;
+        let (_, index) = best?;
         Some(Placement {
-            server: ServerId(place as u32),
+            server: ServerId(index as u32),
             expected_wait: Duration::ZERO,
-            load: self.servers[place].load.total(now),
+            load: self.servers[index].load.total(now),
         })
     }
 
@@ -271,14 +271,14 @@
     /// of them together give up just enough.
     pub fn yield_orders(&mut self, now: Timestamp) -> Vec<YieldOrder> {
         let mut orders = Vec::new();
-        for (place, entry) in self.servers.iter_mut().enumerate() {
-            let items = entry.load.own_missing(self.own, now);
+        for (index, entry) in self.servers.iter_mut().enumerate() {
+            let items = entry.load.own_preemptions(self.own, now);
             if items == 0 {
                 continue;
             }
-            entry.load.note_yield(now);
+            entry.load.record_preemption(now);
             orders.push(YieldOrder {
-                server: ServerId(place as u32),
+                server: ServerId(index as u32),
                 items,
             });
         }
@@ -288,7 +288,7 @@
     /// The other daemons whose items have to step aside at a server. They are told
     /// at once: a live request waits for them.
     pub fn yield_holders(&self, id: ServerId, now: Timestamp) -> Vec<PeerId> {
-        self.servers[id.index()].load.yield_holders(now)
+        self.servers[id.index()].load.preemption_holders(now)
     }
 
     /// Counts a request in that is sent to a server. Returns whether it should
@@ -300,7 +300,7 @@
             WorkKind::Live => load.own.live += 1,
             WorkKind::Bulk => {
                 load.own.bulk += 1;
-                load.note_bulk_start(now);
+                load.record_bulk_start(now);
             }
         }
         has_slot
@@ -317,14 +317,14 @@
 
     /// Takes in how a request went.
     pub fn note(&mut self, id: ServerId, outcome: ServerOutcomeKind, now: Timestamp) {
-        self.servers[id.index()].load.note(outcome, now);
+        self.servers[id.index()].load.record_outcome(outcome, now);
     }
 
     /// Takes in how long a live request held its slot, if it found one free. What
     /// waited in the server's queue would make the next ones look hopeless, and a
     /// server that answers within 60 ms would be refused for a queue of three.
-    pub fn note_span(&mut self, id: ServerId, span: Duration) {
-        self.servers[id.index()].load.note_span(span);
+    pub fn note_span(&mut self, id: ServerId, hold_time: Duration) {
+        self.servers[id.index()].load.record_hold_time(hold_time);
     }
 
     /// Takes in a server's own report.
@@ -338,7 +338,7 @@
         for entry in &mut self.servers {
             let named = shares.iter().find(|it| it.0 == entry.key);
             let share = named.map_or_else(LoadShare::default, |it| it.1);
-            entry.load.hear(peer, share, now);
+            entry.load.receive(peer, share, now);
         }
     }
 
@@ -363,22 +363,22 @@
         let bulk = f64::from(total.bulk);
         let slots = f64::from(self.load.slots.max(1));
         let used = live + BULK_WEIGHT * bulk;
-        let away = if self.listing.zone == zone {
+        let zone_penalty = if self.listing.zone == zone {
             0.0
         } else {
             ZONE_PENALTY
         };
         // A full server costs more than any other zone.
-        let over = (live + 1.0 - slots).max(0.0) * 4.0;
+        let overload_penalty = (live + 1.0 - slots).max(0.0) * 4.0;
         // Items have to step aside there first.
-        let yielding = if live + bulk + 1.0 > slots { 1.0 } else { 0.0 };
-        let foreign = if self.is_home { 0.0 } else { FOREIGN_PENALTY };
-        used / slots * 2.0 + away + foreign + over + yielding
+        let preemption_penalty = if live + bulk + 1.0 > slots { 1.0 } else { 0.0 };
+        let non_home_penalty = if self.is_home { 0.0 } else { NON_HOME_PENALTY };
+        used / slots * 2.0 + zone_penalty + non_home_penalty + overload_penalty + preemption_penalty
     }
 
-    fn free_for_bulk(&self, now: Timestamp) -> f64 {
+    fn free_bulk_slots(&self, now: Timestamp) -> f64 {
         let total = self.load.total(now);
         let used = f64::from(total.live) + f64::from(total.bulk) + self.load.surplus(now);
-        f64::from(self.load.slots) - f64::from(BULK_MARGIN) - used
+        f64::from(self.load.slots) - f64::from(BULK_RESERVED_SLOTS) - used
     }
 }
--- a/crates/policy/src/placement/server_load.rs
+++ b/crates/policy/src/placement/server_load.rs
@@ -12,21 +12,21 @@
 
 /// A server that failed is left alone for so long the first time, and twice as
 /// long each time in a row.
-const FIRST_EJECTION: Duration = Duration::from_millis(300);
+const INITIAL_EJECTION_DURATION: Duration = Duration::from_millis(300);
 /// The longest such pause: by then a restarted server is back.
-const LONGEST_EJECTION: Duration = Duration::from_secs(4);
+const MAX_EJECTION_DURATION: Duration = Duration::from_secs(4);
 /// Two items of one daemon start at a server no closer than this: twice the time
 /// in which other daemons hear of the first.
-const BULK_INTERVAL: Duration = Duration::from_millis(60);
+const BULK_START_INTERVAL: Duration = Duration::from_millis(60);
 /// Where items stepped aside none starts for so long: about as long as a live
 /// request holds its slot. Without a pause items start and step aside over and over.
-const YIELD_PAUSE: Duration = Duration::from_millis(800);
+const PREEMPTION_BACKOFF: Duration = Duration::from_millis(800);
 /// How much a new span counts in the mean of spans.
-const SPAN_WEIGHT: f64 = 0.1;
+const HOLD_TIME_WEIGHT: f64 = 0.1;
 /// How long a server holds a slot for a request before anything was measured.
-const FIRST_SPAN: Duration = Duration::from_millis(500);
+const DEFAULT_HOLD_TIME: Duration = Duration::from_millis(500);
 /// What a server's report says beyond what daemons told fades over this span.
-const SURPLUS_SPAN: Duration = Duration::from_millis(300);
+const SURPLUS_DECAY_TIME: Duration = Duration::from_millis(300);
 
 /// What a slot is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,10 +81,10 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeardShare {
+struct PeerShare {
     peer: PeerId,
     share: LoadShare,
-    at: Timestamp,
+    received_at: Timestamp,
 }
 
 /// What is known of one server's load and health.
@@ -92,15 +92,15 @@
 pub(super) struct ServerLoad {
     pub(super) slots: u32,
     pub(super) own: LoadShare,
-    heard: Vec<HeardShare>,
+    peer_shares: Vec<PeerShare>,
     surplus: f64,
     surplus_at: Timestamp,
     failures: u32,
     ejected_until: Timestamp,
     /// How long a live request takes there, queueing left out; nothing before the
     /// first one was measured.
-    held_secs: Option<f64>,
-    bulk_from: Timestamp,
+    mean_hold_secs: Option<f64>,
+    bulk_allowed_at: Timestamp,
 }
 
 impl ServerLoad {
@@ -108,44 +108,44 @@
         ServerLoad {
             slots,
             own: LoadShare::default(),
-            heard: Vec::new(),
+            peer_shares: Vec::new(),
             surplus: 0.0,
             surplus_at: Timestamp::ZERO,
             failures: 0,
             ejected_until: Timestamp::ZERO,
-            held_secs: None,
-            bulk_from: Timestamp::ZERO,
+            mean_hold_secs: None,
+            bulk_allowed_at: Timestamp::ZERO,
         }
     }
 
     /// Takes in what another daemon has on the server. Only those that have
     /// something there are kept: in a large fleet most have nothing, and each look
     /// at the server goes through all that are kept.
-    pub(super) fn hear(&mut self, peer: PeerId, share: LoadShare, now: Timestamp) {
+    pub(super) fn receive(&mut self, peer: PeerId, share: LoadShare, now: Timestamp) {
         if share == LoadShare::default() {
-            if let Ok(place) = self.heard.binary_search_by_key(&peer, |it| it.peer) {
-                self.heard.remove(place);
+            if let Ok(index) = self.peer_shares.binary_search_by_key(&peer, |it| it.peer) {
+                self.peer_shares.remove(index);
             }
             return;
         }
-        let heard = HeardShare {
+        let peer_share = PeerShare {
             peer,
             share,
-            at: now,
+            received_at: now,
         };
-        match self.heard.binary_search_by_key(&peer, |it| it.peer) {
-            Ok(place) => self.heard[place] = heard,
-            Err(place) => self.heard.insert(place, heard),
+        match self.peer_shares.binary_search_by_key(&peer, |it| it.peer) {
+            Ok(index) => self.peer_shares[index] = peer_share,
+            Err(index) => self.peer_shares.insert(index, peer_share),
         }
     }
 
     /// Live requests and items of all daemons.
     pub(super) fn total(&self, now: Timestamp) -> LoadShare {
         let mut total = self.own;
-        for heard in &self.heard {
-            if now.since(heard.at) < SHARE_LIFETIME {
-                total.live += heard.share.live;
-                total.bulk += heard.share.bulk;
+        for peer_share in &self.peer_shares {
+            if now.since(peer_share.received_at) < SHARE_LIFETIME {
+                total.live += peer_share.share.live;
+                total.bulk += peer_share.share.bulk;
             }
         }
         total
@@ -166,7 +166,7 @@
 
     /// Requests that only the server's report shows.
     pub(super) fn surplus(&self, now: Timestamp) -> f64 {
-        let age = now.since(self.surplus_at).as_secs_f64() / SURPLUS_SPAN.as_secs_f64();
+        let age = now.since(self.surplus_at).as_secs_f64() / SURPLUS_DECAY_TIME.as_secs_f64();
         self.surplus * (-age).exp()
     }
 
@@ -174,7 +174,7 @@
         now < self.ejected_until
     }
 
-    pub(super) fn note(&mut self, outcome: ServerOutcomeKind, now: Timestamp) {
+    pub(super) fn record_outcome(&mut self, outcome: ServerOutcomeKind, now: Timestamp) {
         match outcome {
             ServerOutcomeKind::Answered => self.failures = 0,
             // It has more than the daemons know of; its queue drains by itself.
@@ -202,15 +202,15 @@
         if self.failures < 2 {
             return;
         }
-        let doubled = FIRST_EJECTION * 2_u32.saturating_pow((self.failures - 2).min(5));
-        self.ejected_until = now + doubled.min(LONGEST_EJECTION);
+        let duration = INITIAL_EJECTION_DURATION * 2_u32.saturating_pow((self.failures - 2).min(5));
+        self.ejected_until = now + duration.min(MAX_EJECTION_DURATION);
     }
 
     /// Takes in how long a request held its slot.
-    pub(super) fn note_span(&mut self, span: Duration) {
-        let span = span.as_secs_f64();
-        let held = self.held_secs.get_or_insert(span);
-        *held += SPAN_WEIGHT * (span - *held);
+    pub(super) fn record_hold_time(&mut self, hold_time: Duration) {
+        let secs = hold_time.as_secs_f64();
+        let mean_secs = self.mean_hold_secs.get_or_insert(secs);
+        *mean_secs += HOLD_TIME_WEIGHT * (secs - *mean_secs);
     }
 
     /// Whether a request that is sent now gets a slot at once.
@@ -224,54 +224,58 @@
     /// division falls to the daemon with the lowest id, so that all of them
     /// together give up just enough. Were each to round up, three daemons would
     /// give up three slots for one request, and take them back a moment later.
-    pub(super) fn own_missing(&self, own: PeerId, now: Timestamp) -> u32 {
+    pub(super) fn own_preemptions(&self, own: PeerId, now: Timestamp) -> u32 {
         let missing = self.missing_slots(now);
         if missing == 0 || self.own.bulk == 0 {
             return 0;
         }
         let others = self
-            .heard
+            .peer_shares
             .iter()
-            .filter(|it| it.share.bulk > 0 && now.since(it.at) < SHARE_LIFETIME);
+            .filter(|it| it.share.bulk > 0 && now.since(it.received_at) < SHARE_LIFETIME);
         let all = u32::from(self.own.bulk)
             + others
                 .clone()
                 .map(|it| u32::from(it.share.bulk))
                 .sum::<u32>();
-        let part_of = |bulk: u16| missing * u32::from(bulk) / all;
-        let own_part = part_of(self.own.bulk);
-        let given: u32 = own_part + others.clone().map(|it| part_of(it.share.bulk)).sum::<u32>();
-        let is_lowest = others.map(|it| it.peer).all(|it| it > own);
-        let rest = if is_lowest { missing - given } else { 0 };
-        (own_part + rest).min(u32::from(self.own.bulk))
+        let share_of = |bulk: u16| missing * u32::from(bulk) / all;
+        let own_share = share_of(self.own.bulk);
+        let assigned: u32 = own_share
+            + others
+                .clone()
+                .map(|it| share_of(it.share.bulk))
+                .sum::<u32>();
+        let has_lowest_id = others.map(|it| it.peer).all(|it| it > own);
+        let remainder = if has_lowest_id { missing - assigned } else { 0 };
+        (own_share + remainder).min(u32::from(self.own.bulk))
     }
 
     /// Whether an item may start as far as the pace allows: not right after
     /// another one, since the other daemons don't know of that one yet, and not
     /// where items have just stepped aside.
     pub(super) fn may_start_bulk(&self, now: Timestamp) -> bool {
-        now >= self.bulk_from
+        now >= self.bulk_allowed_at
     }
 
     /// Notes that an item starts.
-    pub(super) fn note_bulk_start(&mut self, now: Timestamp) {
-        self.bulk_from = self.bulk_from.max(now + BULK_INTERVAL);
+    pub(super) fn record_bulk_start(&mut self, now: Timestamp) {
+        self.bulk_allowed_at = self.bulk_allowed_at.max(now + BULK_START_INTERVAL);
     }
 
     /// Notes that items step aside.
-    pub(super) fn note_yield(&mut self, now: Timestamp) {
-        self.bulk_from = self.bulk_from.max(now + YIELD_PAUSE);
+    pub(super) fn record_preemption(&mut self, now: Timestamp) {
+        self.bulk_allowed_at = self.bulk_allowed_at.max(now + PREEMPTION_BACKOFF);
     }
 
     /// The other daemons whose items have to step aside here.
-    pub(super) fn yield_holders(&self, now: Timestamp) -> Vec<PeerId> {
+    pub(super) fn preemption_holders(&self, now: Timestamp) -> Vec<PeerId> {
         if self.missing_slots(now) == 0 {
             return Vec::new();
         }
         let holders = self
-            .heard
+            .peer_shares
             .iter()
-            .filter(|it| it.share.bulk > 0 && now.since(it.at) < SHARE_LIFETIME);
+            .filter(|it| it.share.bulk > 0 && now.since(it.received_at) < SHARE_LIFETIME);
         holders.map(|it| it.peer).collect()
     }
 
@@ -290,8 +294,10 @@
         if ahead <= 0.0 {
             return Duration::ZERO;
         }
-        let held = self.held_secs.unwrap_or(FIRST_SPAN.as_secs_f64());
-        let wait = held * ahead / f64::from(self.slots.max(1));
+        let hold_secs = self
+            .mean_hold_secs
+            .unwrap_or(DEFAULT_HOLD_TIME.as_secs_f64());
+        let wait = hold_secs * ahead / f64::from(self.slots.max(1));
         Duration::from_secs_f64(wait.min(60.0))
     }
 }
--- a/crates/policy/src/queue/live_queue.rs
+++ b/crates/policy/src/queue/live_queue.rs
@@ -10,7 +10,7 @@
 
 /// How long a call of each urgency waits at most, whatever its deadline. A
 /// person has gone by then, and a program is better told to come back.
-const LONGEST_WAITS: [Duration; 3] = [
+const MAX_WAITS: [Duration; 3] = [
     Duration::from_secs(10),
     Duration::from_secs(30),
     Duration::from_secs(30),
@@ -18,13 +18,13 @@
 
 /// Of so many calls in a row one goes to a lower urgency if any waits there, so
 /// that it isn't shut out for as long as more urgent calls keep coming.
-const LOWER_EVERY: u32 = 8;
+const LOWER_URGENCY_INTERVAL: u32 = 8;
 
 /// The weight of one sample in the mean time between starts.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
 /// The shortest time after which a refused caller may come back.
-const SHORTEST_RETRY: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A call that waits for a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -79,12 +79,12 @@
     /// The calls that wait by urgency.
     counts: [usize; 3],
     /// The served tokens of the customer that was served last.
-    served_now: f64,
-    passed_over: u32,
+    last_served: f64,
+    starts_since_lower: u32,
     start_interval_secs: f64,
     /// The starts that the interval was learnt from.
     starts: u32,
-    started_at: Option<Timestamp>,
+    last_start_at: Option<Timestamp>,
 }
 
 impl LiveQueue {
@@ -100,7 +100,7 @@
 
     /// Sets a customer's part of scarce capacity against other customers.
     pub fn set_weight(&mut self, customer: CustomerId, weight: f64) {
-        self.share(customer).weight = weight.max(0.01);
+        self.share_mut(customer).weight = weight.max(0.01);
     }
 
     /// Takes a call in. If the queue was full, the call that had to make way
@@ -114,9 +114,9 @@
         mut call: QueuedCall,
         now: Timestamp,
     ) -> Result<Option<QueuedCall>, QueueRefusal> {
-        let longest = LONGEST_WAITS[call.urgency as usize];
-        call.deadline = call.deadline.min(now + longest);
-        if now + self.longest_wait(now) > call.deadline {
+        let max_wait = MAX_WAITS[call.urgency as usize];
+        call.deadline = call.deadline.min(now + max_wait);
+        if now + self.max_wait(now) > call.deadline {
             let wait = self.expected_wait(&call, now);
             if now + wait > call.deadline {
                 return Err(refusal(QueueCause::TooLong, wait));
@@ -140,24 +140,24 @@
         let customer = self.least_served(urgency)?;
         let call = self.calls[customer.index()].pop(urgency)?;
         let share = &mut self.shares[customer.index()];
-        self.served_now = self.served_now.max(share.served);
+        self.last_served = self.last_served.max(share.served);
         share.charge(call.tokens);
-        self.note_start(now);
-        self.taken_out(&call);
+        self.record_start(now);
+        self.record_removal(&call);
         Some(call)
     }
 
     /// Charges a customer for what a call cost beyond, or short of, what was
     /// expected of it.
     pub fn charge(&mut self, customer: CustomerId, tokens: f64) {
-        self.share(customer).charge(tokens);
+        self.share_mut(customer).charge(tokens);
     }
 
     /// Takes out a call whose caller is gone.
     pub fn remove(&mut self, customer: CustomerId, number: u64) -> Option<QueuedCall> {
         let calls = self.calls.get_mut(customer.index())?;
         let call = calls.remove(number)?;
-        self.taken_out(&call);
+        self.record_removal(&call);
         Some(call)
     }
 
@@ -165,12 +165,12 @@
     pub fn take_late(&mut self, now: Timestamp) -> Vec<QueuedCall> {
         let calls = self.waiting.iter().map(|it| &self.calls[it.index()]);
         let calls = calls.flat_map(CallList::iter);
-        let late = calls.filter(|it| it.deadline <= now);
-        let late: Vec<QueuedCall> = late.copied().collect();
-        for call in &late {
+        let expired = calls.filter(|it| it.deadline <= now);
+        let expired: Vec<QueuedCall> = expired.copied().collect();
+        for call in &expired {
             self.remove(call.customer, call.number);
         }
-        late
+        expired
     }
 
     /// Takes out the calls that were overtaken so often that they can't start
@@ -182,27 +182,29 @@
     /// have waited in vain. The last call of each customer has the longest wait,
     /// so the looking ends at the first one that can still start.
     pub fn take_hopeless(&mut self, now: Timestamp) -> Vec<QueuedCall> {
-        let mut hopeless = Vec::new();
+        let mut infeasible = Vec::new();
         for customer in self.waiting.clone() {
             for urgency in Urgency::ALL {
-                while let Some(call) = self.hopeless_last(customer, urgency, now) {
+                while let Some(call) = self.infeasible_last(customer, urgency, now) {
                     self.remove(customer, call.number);
-                    hopeless.push(call);
+                    infeasible.push(call);
                 }
             }
         }
-        hopeless
+        infeasible
     }
 
-    fn hopeless_last(
+    fn infeasible_last(
         &self,
         customer: CustomerId,
         urgency: Urgency,
         now: Timestamp,
     ) -> Option<QueuedCall> {
-        let call = *self.calls[customer.index()].last_of(urgency)?;
-        let before = self.shares[customer.index()].of(urgency).saturating_sub(1);
-        let wait = self.wait_behind(f64::from(before), &call, now);
+        let call = *self.calls[customer.index()].last_with(urgency)?;
+        let ahead_of_it = self.shares[customer.index()]
+            .count(urgency)
+            .saturating_sub(1);
+        let wait = self.wait_behind(f64::from(ahead_of_it), &call, now);
         (now + wait > call.deadline).then_some(call)
     }
 
@@ -215,7 +217,7 @@
             return Duration::ZERO;
         }
         let own = self.shares.get(call.customer.index());
-        let queued = own.map_or(0, |it| it.of(call.urgency));
+        let queued = own.map_or(0, |it| it.count(call.urgency));
         self.wait_behind(f64::from(queued), call, now)
     }
 
@@ -223,21 +225,22 @@
     fn wait_behind(&self, queued: f64, call: &QueuedCall, now: Timestamp) -> Duration {
         let own = self.shares.get(call.customer.index());
         let own = own.copied().unwrap_or_default();
-        let served = own.served.max(self.served_now);
+        let served = own.served.max(self.last_served);
         let tokens = call.tokens.max(1.0);
-        let until = served + queued * tokens / own.weight;
+        let served_at_start = served + queued * tokens / own.weight;
         let mut ahead = queued;
         for &customer in &self.waiting {
             let share = &self.shares[customer.index()];
             if customer != call.customer {
-                let turns = ((until - share.served) * share.weight / tokens + 1.0).max(0.0);
-                ahead += turns.min(f64::from(share.of(call.urgency)));
+                let starts =
+                    ((served_at_start - share.served) * share.weight / tokens + 1.0).max(0.0);
+                ahead += starts.min(f64::from(share.count(call.urgency)));
             }
         }
         let more_urgent: usize = self.counts[..call.urgency as usize].iter().sum();
-        let at_most = (ahead + 1.0) * f64::from(LOWER_EVERY);
-        let ahead = (ahead + more_urgent as f64).min(at_most);
-        self.since_start(now) + Duration::from_secs_f64(ahead * self.start_interval_secs)
+        let max_ahead = (ahead + 1.0) * f64::from(LOWER_URGENCY_INTERVAL);
+        let ahead = (ahead + more_urgent as f64).min(max_ahead);
+        self.since_last_start(now) + Duration::from_secs_f64(ahead * self.start_interval_secs)
     }
 
     /// The bytes that the queue holds.
@@ -248,16 +251,16 @@
     }
 
     fn insert(&mut self, call: QueuedCall) {
-        let served_now = self.served_now;
-        let share = self.share(call.customer);
-        let was_away = share.len() == 0;
-        if was_away {
+        let last_served = self.last_served;
+        let share = self.share_mut(call.customer);
+        let was_idle = share.len() == 0;
+        if was_idle {
             // A customer that was away doesn't come back with a credit for all
             // the time it wasn't there.
-            share.served = share.served.max(served_now);
+            share.served = share.served.max(last_served);
         }
         share.counts[call.urgency as usize] += 1;
-        if was_away {
+        if was_idle {
             self.waiting.push(call.customer);
         }
         self.counts[call.urgency as usize] += 1;
@@ -265,13 +268,14 @@
     }
 
     /// How long any call would wait at most, without looking at the customers.
-    fn longest_wait(&self, now: Timestamp) -> Duration {
+    fn max_wait(&self, now: Timestamp) -> Duration {
         let secs = self.len() as f64 * self.start_interval_secs;
-        self.since_start(now) + Duration::from_secs_f64(secs)
+        self.since_last_start(now) + Duration::from_secs_f64(secs)
     }
 
-    fn since_start(&self, now: Timestamp) -> Duration {
-        self.started_at.map_or(Duration::ZERO, |at| now.since(at))
+    fn since_last_start(&self, now: Timestamp) -> Duration {
+        self.last_start_at
+            .map_or(Duration::ZERO, |at| now.since(at))
     }
 
     fn next_urgency(&mut self) -> Option<Urgency> {
@@ -280,14 +284,14 @@
         let mut waiting = urgencies.filter(|&it| counts[it as usize] > 0);
         let first = waiting.next()?;
         let Some(lower) = waiting.next() else {
-            self.passed_over = 0;
+            self.starts_since_lower = 0;
             return Some(first);
         };
-        self.passed_over += 1;
-        if self.passed_over < LOWER_EVERY {
+        self.starts_since_lower += 1;
+        if self.starts_since_lower < LOWER_URGENCY_INTERVAL {
             return Some(first);
         }
-        self.passed_over = 0;
+        self.starts_since_lower = 0;
         Some(lower)
     }
 
@@ -296,7 +300,7 @@
         let mut least_served = f64::INFINITY;
         for &customer in &self.waiting {
             let share = &self.shares[customer.index()];
-            if share.served < least_served && share.of(urgency) > 0 {
+            if share.served < least_served && share.count(urgency) > 0 {
                 least_served = share.served;
                 least = Some(customer);
             }
@@ -307,20 +311,20 @@
     /// Makes room by the newest call of the customer that holds most of the
     /// queue, over its weight, unless that is the one who asks.
     fn evict_for(&mut self, customer: CustomerId) -> Option<QueuedCall> {
-        let own = self.share(customer).held(1);
-        let held = |it: &CustomerId| self.shares[it.index()].held(0);
+        let own = self.share_mut(customer).queue_share(1);
+        let held = |it: &CustomerId| self.shares[it.index()].queue_share(0);
         let customers = self.waiting.iter().copied();
-        let longest = customers.max_by(|left, right| held(left).total_cmp(&held(right)))?;
-        if held(&longest) <= own {
+        let largest_holder = customers.max_by(|left, right| held(left).total_cmp(&held(right)))?;
+        if held(&largest_holder) <= own {
             return None;
         }
-        let last = *self.calls[longest.index()].last()?;
+        let last = *self.calls[largest_holder.index()].last()?;
         self.remove(last.customer, last.number)
     }
 
     /// Learns the time between starts from those that had a backlog.
-    fn note_start(&mut self, now: Timestamp) {
-        if let Some(at) = self.started_at {
+    fn record_start(&mut self, now: Timestamp) {
+        if let Some(at) = self.last_start_at {
             let secs = now.since(at).as_secs_f64();
             // The first starts count in full: a mean that grows from zero would
             // take in calls that can't start in time.
@@ -328,10 +332,10 @@
             let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.starts));
             self.start_interval_secs += (secs - self.start_interval_secs) * weight;
         }
-        self.started_at = Some(now);
+        self.last_start_at = Some(now);
     }
 
-    fn taken_out(&mut self, call: &QueuedCall) {
+    fn record_removal(&mut self, call: &QueuedCall) {
         self.counts[call.urgency as usize] -= 1;
         let share = &mut self.shares[call.customer.index()];
         share.counts[call.urgency as usize] -= 1;
@@ -343,11 +347,11 @@
         }
         if self.is_empty() {
             // The next start waits for a caller, not for a server.
-            self.started_at = None;
+            self.last_start_at = None;
         }
     }
 
-    fn share(&mut self, customer: CustomerId) -> &mut Share {
+    fn share_mut(&mut self, customer: CustomerId) -> &mut Share {
         let len = customer.index() + 1;
         if self.shares.len() < len {
             self.shares.resize(len, Share::default());
@@ -360,6 +364,6 @@
 fn refusal(cause: QueueCause, wait: Duration) -> QueueRefusal {
     QueueRefusal {
         cause,
-        retry_after: wait.max(SHORTEST_RETRY),
+        retry_after: wait.max(MIN_RETRY_AFTER),
     }
 }
--- a/crates/policy/src/queue/share.rs
+++ b/crates/policy/src/queue/share.rs
@@ -32,13 +32,13 @@
         self.counts.iter().sum()
     }
 
-    pub(super) fn of(&self, urgency: Urgency) -> u32 {
+    pub(super) fn count(&self, urgency: Urgency) -> u32 {
         self.counts[urgency as usize]
     }
 
     /// How much of the queue it holds, over its weight, with `more` calls.
-    pub(super) fn held(&self, more: u32) -> f64 {
-        f64::from(self.len() + more) / self.weight
+    pub(super) fn queue_share(&self, additional: u32) -> f64 {
+        f64::from(self.len() + additional) / self.weight
     }
 
     pub(super) fn charge(&mut self, tokens: f64) {
@@ -69,7 +69,7 @@
     }
 
     /// The newest call of an urgency.
-    pub(super) fn last_of(&self, urgency: Urgency) -> Option<&QueuedCall> {
+    pub(super) fn last_with(&self, urgency: Urgency) -> Option<&QueuedCall> {
         self.queues[urgency as usize].back()
     }
 
--- a/crates/policy/src/usage/speak_schedule.rs
+++ b/crates/policy/src/usage/speak_schedule.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SpeakSchedule {
     due_at: Timestamp,
-    has_spoken: bool,
+    has_reported: bool,
 }
 
 impl SpeakSchedule {
@@ -24,7 +24,7 @@
     pub fn new(now: Timestamp) -> Self {
         SpeakSchedule {
             due_at: now,
-            has_spoken: false,
+            has_reported: false,
         }
     }
 
@@ -35,11 +35,11 @@
 
     /// Takes note that it spoke. The pause after the first word is drawn.
     pub fn speak(&mut self, interval: Duration, now: Timestamp, random: &mut impl Rng) {
-        let part = match self.has_spoken {
+        let fraction = match self.has_reported {
             true => 1.0,
             false => random.random_range(0.0..1.0),
         };
-        self.has_spoken = true;
-        self.due_at = now + interval.mul_f64(part);
+        self.has_reported = true;
+        self.due_at = now + interval.mul_f64(fraction);
     }
 }
--- a/crates/policy/src/usage/usage_bucket.rs
+++ b/crates/policy/src/usage/usage_bucket.rs
@@ -6,7 +6,7 @@
 use crate::Timestamp;
 
 /// The longest time after which a refused caller is told to come back.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// A token bucket that several daemons draw from.
 ///
@@ -21,7 +21,7 @@
     /// What came in since daemons were last heard that may have spent it. It comes back
     /// once they say that they haven't.
     withheld: f64,
-    late: LateCharges,
+    late_charges: LateCharges,
     filled_at: Timestamp,
 }
 
@@ -33,7 +33,7 @@
             burst,
             level: level.min(burst),
             withheld: 0.0,
-            late: LateCharges::default(),
+            late_charges: LateCharges::default(),
             filled_at: now,
         }
     }
@@ -41,64 +41,65 @@
     /// Fills the bucket up to `now`, less what silent daemons may be spending:
     /// `reserved` is their part of the rate, from 0 to 1.
     pub fn fill(&mut self, reserved: f64, now: Timestamp) {
-        let span = now.since(self.filled_at).as_secs_f64();
-        let level = self.level + self.rate * span * (1.0 - reserved);
+        let elapsed = now.since(self.filled_at).as_secs_f64();
+        let level = self.level + self.rate * elapsed * (1.0 - reserved);
         self.level = level.min(self.burst);
-        self.late.note_lost(level - self.level, self.rate, now);
+        self.late_charges
+            .record_overflow(level - self.level, self.rate, now);
         self.filled_at = now;
     }
 
     /// Fills the bucket up to `now`, and withholds what daemons that weren't heard just
     /// now may be spending: `doubted` is their part of the rate, from 0 to 1.
-    pub fn fill_doubted(&mut self, reserved: f64, doubted: f64, now: Timestamp) {
-        let span = now.since(self.filled_at).as_secs_f64();
-        let gained = self.rate * span * doubted.min(1.0 - reserved);
-        self.fill((reserved + doubted).min(1.0), now);
+    pub fn fill_unconfirmed(&mut self, reserved: f64, unconfirmed: f64, now: Timestamp) {
+        let elapsed = now.since(self.filled_at).as_secs_f64();
+        let gained = self.rate * elapsed * unconfirmed.min(1.0 - reserved);
+        self.fill((reserved + unconfirmed).min(1.0), now);
         let withheld = self.withheld + gained;
         self.withheld = withheld.min(self.burst - self.level);
-        self.late
-            .note_lost(withheld - self.withheld, self.rate, now);
-        if doubted == 0.0 {
+        self.late_charges
+            .record_overflow(withheld - self.withheld, self.rate, now);
+        if unconfirmed == 0.0 {
             self.level += self.withheld;
             self.withheld = 0.0;
         }
     }
 
     /// Gives up what was withheld: daemons that may have spent it fell silent.
-    pub fn drop_withheld(&mut self) {
+    pub fn discard_withheld(&mut self) {
         self.withheld = 0.0;
     }
 
     /// Takes one token, or tells when there will be one. The part `doubted` of the
     /// whole bucket is left to daemons that weren't heard just now: they may have
     /// spent it.
-    pub fn take(&mut self, doubted: f64) -> Result<(), Duration> {
-        let level = self.level - self.burst * doubted;
+    pub fn take(&mut self, unconfirmed: f64) -> Result<(), Duration> {
+        let level = self.level - self.burst * unconfirmed;
         if level >= 1.0 {
             self.level -= 1.0;
             return Ok(());
         }
         let missing = 1.0 - level;
         let wait = missing / self.rate.max(f64::MIN_POSITIVE);
-        Err(Duration::try_from_secs_f64(wait).map_or(LONGEST_RETRY, |it| it.min(LONGEST_RETRY)))
+        Err(Duration::try_from_secs_f64(wait).map_or(MAX_RETRY_AFTER, |it| it.min(MAX_RETRY_AFTER)))
     }
 
     /// Charges requests that another daemon let in at `since`.
-    pub fn charge(&mut self, requests: f64, since: Timestamp, now: Timestamp) {
+    pub fn charge(&mut self, requests: f64, admitted_at: Timestamp, now: Timestamp) {
         self.level -= requests;
-        self.late.note_charge(requests, since, now);
+        self.late_charges.record_charge(requests, admitted_at, now);
     }
 
     /// Gives back what was lost before late charges were known of. All daemons were heard at
     /// `heard` or later.
-    pub fn settle_charges(&mut self, heard: Timestamp) {
-        self.level = (self.level + self.late.settle(heard)).min(self.burst);
+    pub fn settle_late_charges(&mut self, confirmed_at: Timestamp) {
+        self.level = (self.level + self.late_charges.settle(confirmed_at)).min(self.burst);
     }
 
     /// Sets aside the part of the whole bucket that a silent daemon may spend.
-    pub fn set_aside(&mut self, part: f64) {
+    pub fn reserve(&mut self, fraction: f64) {
         if self.level > 0.0 {
-            self.level = (self.level - self.burst * part).max(0.0);
+            self.level = (self.level - self.burst * fraction).max(0.0);
         }
     }
 
