--- a/crates/policy/src/bulk/arrival_rate.rs
+++ b/crates/policy/src/bulk/arrival_rate.rs
@@ -1,4 +1,4 @@
-//! How many live requests arrive, lately.
+//! The recent arrival rate of live requests.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 /// The time after which an arrival counts half.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// A decaying count of arrivals.
+/// An exponentially decaying count of arrivals.
 ///
-/// It rises at once when a burst begins and falls within seconds after it, so
-/// that room is made for the rest of a burst as soon as its head is seen.
+/// It rises at once when a burst begins and falls within seconds after it, so that
+/// capacity is kept for the rest of a burst as soon as its first requests arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ArrivalRate {
     weight: f64,
@@ -18,15 +18,15 @@
 }
 
 impl ArrivalRate {
-    /// Counts an arrival.
+    /// Records an arrival.
     pub fn arrive(&mut self, now: Timestamp) {
         self.weight = self.decayed(now) + 1.0;
         self.at = self.at.max(now);
     }
 
-    /// Arrivals a second.
+    /// Returns the arrivals a second.
     pub fn per_second(&self, now: Timestamp) -> f64 {
-        // A steady rate r keeps the weight at r * half life / ln 2.
+        // At a steady rate r, `weight` settles at r * half life / ln 2.
         self.decayed(now) * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64()
     }
 
--- a/crates/policy/src/bulk/bulk_gate.rs
+++ b/crates/policy/src/bulk/bulk_gate.rs
@@ -1,27 +1,29 @@
-//! The gate for bulk work of one server.
+//! The limiter for the bulk work of one server.
 
 use std::{collections::VecDeque, time::Duration};
 
 use super::{ArrivalRate, SlotLimit};
 use crate::{LoadReport, Timestamp};
 
-/// A report older than this says nothing of the live work on a server.
+/// A report older than this says nothing of the live work on a server; no bulk work
+/// runs then.
 const REPORT_LIFETIME: Duration = Duration::from_secs(5);
 
-/// How soon the gate can react, and what hurts a live caller.
+/// How fast the limiter can react, and what counts as a slowdown of live callers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GateTiming {
     /// The time from a live arrival to the end of a cancelled bulk stream.
     pub reaction: Duration,
     /// The age of a server's load report when it arrives.
     pub report_lag: Duration,
-    /// The gap between two tokens that a live caller shall not exceed.
+    /// The longest acceptable gap between two tokens of a live answer.
     pub token_gap: Duration,
-    /// The time between two starts of bulk items on one server. Each start
-    /// holds up the server's next step while its prompt is read.
+    /// The least time between two starts of bulk items on one server. Each start delays
+    /// the server's next step while its prompt is read.
     pub start_gap: Duration,
-    /// Standard deviations of the arrivals within a reaction time for which
-    /// room is kept. Three leave about one such time in a thousand without.
+    /// For how many standard deviations of the arrivals within a reaction time capacity
+    /// is kept free. With three it falls short in about one reaction time in a
+    /// thousand.
     pub headroom_deviations: f64,
 }
 
@@ -39,10 +41,10 @@
 
 /// Decides how many bulk items may run on one server.
 ///
-/// Engines start whatever arrives. A live request that finds the batch full of
-/// bulk items would wait for one of them to end, seconds later. So the gate
-/// keeps room for as many live requests as may arrive before it can react, and
-/// asks for bulk streams to be cancelled as soon as one arrives.
+/// Engines start whatever arrives. A live request that finds the batch full of bulk
+/// items would wait for seconds until one of them ends. So the limiter keeps capacity
+/// free for as many live requests as may arrive before it can react, and requests that
+/// bulk streams be cancelled as soon as one arrives.
 ///
 /// ```
 /// use comfreyramp_policy::{LoadReport, Timestamp, bulk::{BulkGate, FixedLimit, GateTiming}};
@@ -66,7 +68,7 @@
 }
 
 impl<L: SlotLimit> BulkGate<L> {
-    /// A closed gate: until a first report nothing is known of the server.
+    /// Creates a limiter that allows no bulk work until the server's first report.
     pub fn new(timing: GateTiming, limit: L) -> Self {
         BulkGate {
             timing,
@@ -81,61 +83,61 @@
         }
     }
 
-    /// The home daemon itself sends a live request to the server.
+    /// Records that the home daemon itself sends a live request to the server.
     pub fn live_begins(&mut self, now: Timestamp) {
         self.arrivals.arrive(now);
         self.own_requests.live += 1;
         self.own_requests.record(now, self.timing.report_lag);
     }
 
-    /// A live request of the home daemon has ended.
+    /// Records that a live request of the home daemon has ended.
     pub fn live_ends(&mut self, now: Timestamp) {
         self.own_requests.live = self.own_requests.live.saturating_sub(1);
         self.own_requests.record(now, self.timing.report_lag);
     }
 
-    /// Another daemon sends a live request to the server.
+    /// Records that another daemon sends a live request to the server.
     pub fn announce(&mut self, now: Timestamp) {
         self.arrivals.arrive(now);
         self.announced.push_back(now);
     }
 
-    /// A bulk item was sent to the server.
+    /// Records that a bulk item was sent to the server.
     pub fn bulk_begins(&mut self, now: Timestamp) {
         self.last_start_at = Some(now);
         self.own_requests.bulk += 1;
         self.own_requests.record(now, self.timing.report_lag);
     }
 
-    /// A bulk item has ended or was cancelled.
+    /// Records that a bulk item has ended or was cancelled.
     pub fn bulk_ends(&mut self, now: Timestamp) {
         self.own_requests.bulk = self.own_requests.bulk.saturating_sub(1);
         self.own_requests.record(now, self.timing.report_lag);
     }
 
-    /// The feedback that the gate obeys.
+    /// Returns the adaptive limit in use.
     pub fn limit(&self) -> &L {
         &self.limit
     }
 
-    /// The bulk items on the server.
+    /// Returns the number of bulk items on the server.
     pub fn bulk(&self) -> u32 {
         self.own_requests.bulk
     }
 
-    /// Takes in the server's report, which is `report_lag` old.
+    /// Applies the server's report, which is `report_lag` old.
     ///
-    /// What it holds beyond the home daemon's own requests of that time is the
-    /// live work of other daemons. Comparing it with the present count instead
-    /// would take bulk items started since for missing live ones, and those
-    /// cancelled since for a burst.
+    /// Requests beyond the home daemon's own requests of that time are the live work of
+    /// other daemons. A comparison with the present count instead would mistake bulk
+    /// items started since for missing live requests, and items cancelled since for a
+    /// burst.
     pub fn report(&mut self, report: LoadReport, now: Timestamp) {
         self.batch = report.batch;
         let total = report.running.saturating_add(report.waiting);
         let reported_as_of = now - self.timing.report_lag;
         self.other_live = total.saturating_sub(self.own_requests.count_at(reported_as_of));
         self.reported_at = Some(now);
-        // Those announced before are in the report from now on.
+        // Requests announced before the report was made are included in it.
         while self
             .announced
             .front()
@@ -145,25 +147,26 @@
         }
     }
 
-    /// A live caller was hurt on this server.
+    /// Records that a live caller was slowed down on this server.
     pub fn harm(&mut self, now: Timestamp) {
         self.limit.harm(now);
     }
 
-    /// A gap between two tokens of a live answer.
+    /// Records a gap between two tokens of a live answer; a gap beyond `token_gap`
+    /// counts as a slowdown.
     pub fn token_gap(&mut self, gap: Duration, now: Timestamp) {
         if gap > self.timing.token_gap {
             self.harm(now);
         }
     }
 
-    /// Lets time pass.
+    /// Advances the limit's time.
     pub fn tick(&mut self, now: Timestamp) {
         self.limit.tick(now);
     }
 
-    /// How many bulk items may run now. If more run, the rest shall be
-    /// cancelled at once.
+    /// Returns how many bulk items may run now. If more run, [`BulkGate::excess`] says
+    /// how many of them have to be cancelled.
     pub fn allowed(&self, now: Timestamp) -> u32 {
         let has_recent_report = self
             .reported_at
@@ -177,7 +180,7 @@
             .min(self.limit.limit() as u32)
     }
 
-    /// Whether another bulk item may start now.
+    /// Returns whether another bulk item may start now.
     pub fn may_start(&self, now: Timestamp) -> bool {
         let start_gap_passed = self
             .last_start_at
@@ -185,10 +188,10 @@
         start_gap_passed && self.own_requests.bulk < self.allowed(now)
     }
 
-    /// How many bulk items have to be cancelled now.
+    /// Returns how many bulk items have to be cancelled now.
     pub fn excess(&self) -> u32 {
-        // The room for arrivals that haven't come is kept free when items
-        // start. Cancelling for it too would throw work away on a forecast.
+        // The headroom for arrivals that haven't come is only kept free when items
+        // start. Cancelling items for it too would discard work because of a forecast.
         let available = self
             .batch
             .saturating_sub(self.live())
@@ -196,7 +199,7 @@
         self.own_requests.bulk.saturating_sub(available)
     }
 
-    /// The live requests on the server, of all daemons.
+    /// Returns the live requests of all daemons on the server.
     pub fn live(&self) -> u32 {
         let announced = u32::try_from(self.announced.len()).unwrap_or(u32::MAX);
         self.own_requests
@@ -205,14 +208,16 @@
             .saturating_add(announced)
     }
 
-    /// The room kept for live requests that arrive before the gate can react.
+    /// Returns the capacity kept free for live requests that arrive before the limiter
+    /// can react.
     pub fn headroom(&self, now: Timestamp) -> u32 {
         let expected = self.arrivals.per_second(now) * self.timing.reaction.as_secs_f64();
         (expected + self.timing.headroom_deviations * expected.sqrt()).ceil() as u32
     }
 }
 
-/// The home daemon's own requests on the server, now and a report's lag ago.
+/// The home daemon's own requests on the server, at present and as of the latest
+/// report.
 #[derive(Clone, Debug, Default)]
 struct OwnHistory {
     live: u32,
--- a/crates/policy/src/bulk/slot_limit.rs
+++ b/crates/policy/src/bulk/slot_limit.rs
@@ -1,22 +1,22 @@
-//! The feedback that holds bulk work back when live callers are hurt.
+//! The feedback that holds bulk work back when live callers are slowed down.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Limits the bulk slots of one server by feedback.
+/// A limit on the bulk slots of one server that adapts to how live callers fare.
 pub trait SlotLimit {
-    /// Live callers were hurt.
+    /// Lowers the limit, since live callers were slowed down.
     fn harm(&mut self, now: Timestamp);
 
-    /// Lets time pass.
+    /// Raises the limit for the time that passed.
     fn tick(&mut self, now: Timestamp);
 
-    /// The most bulk slots, fractions included.
+    /// Returns the most bulk slots, fractions included.
     fn limit(&self) -> f64;
 }
 
-/// The same limit whatever happens: a baseline.
+/// A constant limit, as a baseline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FixedLimit {
     /// The limit, in slots.
@@ -33,10 +33,10 @@
     }
 }
 
-/// Halves on harm, and adds slots at a steady rate otherwise.
+/// Halves when live callers are slowed down, and otherwise adds slots at a steady rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdditiveLimit {
-    /// The most slots there can be.
+    /// The upper bound of the limit, in slots.
     pub max_slots: f64,
     /// Slots added a second.
     pub per_second: f64,
@@ -45,11 +45,12 @@
     last_cut_at: Timestamp,
 }
 
-/// Harm within this time of a cut is the harm that the cut answers.
+/// For this long after a cut, further slowdowns count as the one that the cut responds
+/// to.
 const CUT_COOLDOWN: Duration = Duration::from_millis(250);
 
 impl AdditiveLimit {
-    /// A limit that starts with one slot.
+    /// Creates a limit that starts with one slot.
     pub fn new(max_slots: f64, per_second: f64) -> Self {
         AdditiveLimit {
             max_slots,
@@ -81,32 +82,32 @@
     }
 }
 
-/// Cuts by a fixed share on harm and grows by a factor each interval: the
-/// choke and creep of "Design of a DoS protection overlay for autonomous
-/// services across untrusted nodes", section 2.3, with a server's home daemon
-/// as the upstream node.
+/// Cuts the limit to a fixed fraction when live callers are slowed down, and multiplies
+/// it by a factor each interval: the choke and creep of "Design of a DoS protection
+/// overlay for autonomous services across untrusted nodes", section 2.3, with a
+/// server's home daemon as the upstream node.
 ///
 /// See `docs/DESIGN.md` for how it compares with [`AdditiveLimit`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChokeCreepLimit {
-    /// The most slots there can be.
+    /// The upper bound of the limit, in slots.
     pub max_slots: f64,
-    /// The time between two steps up.
+    /// The time between two increases.
     pub interval: Duration,
     slots: f64,
     last_growth_at: Timestamp,
     last_cut_at: Timestamp,
 }
 
-/// The share that a choke leaves.
+/// The fraction of the limit that a cut leaves.
 const CUT_FACTOR: f64 = 0.5;
-/// The factor of a creep.
+/// The factor of one increase.
 const GROWTH_FACTOR: f64 = 1.5;
-/// Growth by a factor never leaves zero.
+/// The lower bound of the limit: multiplying zero would never raise it again.
 const MIN_SLOTS: f64 = 0.5;
 
 impl ChokeCreepLimit {
-    /// A limit that starts with one slot.
+    /// Creates a limit that starts with one slot.
     pub fn new(max_slots: f64, interval: Duration) -> Self {
         let slots = 1.0_f64.min(max_slots);
         ChokeCreepLimit {
--- a/crates/policy/src/placement/home_set.rs
+++ b/crates/policy/src/placement/home_set.rs
@@ -1,24 +1,25 @@
-//! Which daemons use which servers in a large fleet.
+//! The assignment of servers to home daemons in a large fleet.
 
 use crate::{hash::mix, usage::PeerId};
 
-/// A server, by the hash of its name, and a daemon that uses it first.
+/// A server, by the hash of its name, and one of its home daemons, which use it before
+/// other servers.
 pub type HomePair = (u64, PeerId);
 
-/// Which of a zone's daemons use which servers of one service first, so that each server
-/// has about `users` of them.
+/// Assigns the servers of one service to the daemons of a zone, so that each server has
+/// about `users` home daemons.
 ///
-/// Where many daemons send to the same servers, none knows in time what the
-/// others do, and all of them send to the server that looked idle a moment ago.
-/// So each server is shared by a few daemons that tell each other often; others
-/// use it only where their own are full. Each daemon works this out from the lists
-/// it has; while lists differ, a server has a few users more.
+/// Where many daemons send to the same servers, none learns in time what the others
+/// send, and all of them choose the server that was idle a moment ago. So each server
+/// is shared by a few daemons that report to each other often; other daemons use it
+/// only where their own servers are full. Each daemon computes the assignment from its
+/// own lists; while lists differ, a server has a few more users.
 ///
-/// Each daemon has the same number of servers. Were each server to draw its daemons
-/// instead, some daemons would have one server or none, and send most of their requests
-/// to servers of which they know little (`tests/placement_large.rs`). Only where there
-/// are too few servers for that does each draw its daemons: shared by all, they would
-/// have everybody speak to everybody.
+/// Each daemon has the same number of servers. If each server drew its daemons instead,
+/// some daemons would have one server or none, and would send most of their requests to
+/// servers whose load they hardly know (`tests/placement_large.rs`). Only where there
+/// are too few servers for that does each server draw its daemons: if all daemons
+/// shared them, each daemon would have to report to every other.
 pub fn home_pairs(servers: &[u64], daemons: &[PeerId], users: usize) -> Vec<HomePair> {
     let wanted = servers.len() * users;
     if wanted <= daemons.len() {
--- a/crates/policy/src/placement/placement_table.rs
+++ b/crates/policy/src/placement/placement_table.rs
@@ -1,4 +1,4 @@
-//! The servers as one daemon knows them, and where requests go.
+//! The servers as one daemon knows them, and the choice of a server for a request.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use super::{LoadShare, ServerOutcomeKind, SlotReport, WorkKind, server_load::ServerLoad};
 use crate::{ServerId, Timestamp, hash::name_key, usage::PeerId};
 
-/// How much an item of a lot weighs against a live request when a server is
-/// chosen for one: the item steps aside, which takes a moment.
+/// The weight of a lot item against a live request when a server is chosen for a live
+/// request: the item can be preempted, which takes a moment.
 const BULK_WEIGHT: f64 = 0.15;
-/// What another zone costs against the own one, in requests. Crossing takes a
-/// few milliseconds and bytes between zones are billed.
+/// The cost of a server in another zone, in requests. Crossing zones takes a few
+/// milliseconds, and bytes between zones are billed.
 const ZONE_PENALTY: f64 = 1.0;
-/// What a server costs that other daemons use first, in requests: about as much
-/// as a full one. What is known of it is old.
+/// The cost of a server that has other home daemons, in requests: about as much as a
+/// full server, since its known load is out of date.
 const NON_HOME_PENALTY: f64 = 1.5;
-/// Slots of each server that items leave free for live requests that arrive
-/// while the daemons' counts are on their way to each other. Without them each such
-/// request has an item step aside.
+/// Slots of each server that items leave free for live requests that arrive before the
+/// daemons have reported their counts to each other. Without them each such request
+/// preempts an item.
 const BULK_RESERVED_SLOTS: u32 = 1;
-/// The shortest and the longest time after which a refused caller may come back.
+/// The shortest and the longest delay after which a rejected caller is asked to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
@@ -33,37 +33,37 @@
     pub service: String,
     /// Its zone.
     pub zone: String,
-    /// Its `ip:port`.
+    /// Its address as `ip:port`.
     pub address: String,
     /// How many requests it runs at once.
     pub slots: u32,
     /// Whether it takes new requests.
     pub is_ready: bool,
-    /// A number that changes when the server starts anew under the same name.
+    /// A number that changes when the server restarts under the same name.
     pub start: u64,
 }
 
-/// What a request asks of the servers.
+/// What a request requires of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementQuery<'a> {
-    /// The service.
+    /// The service that has to answer the request.
     pub service: &'a str,
-    /// The zone that is asked from.
+    /// The zone of the daemon that places the request.
     pub zone: &'a str,
-    /// Servers that were tried already.
+    /// Servers that were attempted already.
     pub exclude: &'a [ServerId],
-    /// The longest wait at a server that still meets the objective.
+    /// The longest wait for a slot that still meets the request's objective.
     pub longest_wait: Duration,
 }
 
-/// A server that was chosen.
+/// A chosen server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// The server.
     pub server: ServerId,
     /// How long the request is expected to wait there.
     pub expected_wait: Duration,
-    /// What all daemons have there, this request left out.
+    /// The load of all daemons on the server, without this request.
     pub load: LoadShare,
 }
 
@@ -72,19 +72,19 @@
 pub enum PlacementRefusal {
     /// The service has no server that could take the request.
     NoServer,
-    /// All servers are full for longer than the request may wait.
+    /// No server is expected to start the request within its longest wait.
     Full {
-        /// When there should be room.
+        /// The delay after which there should be capacity.
         retry_after: Duration,
     },
 }
 
-/// How many items have to step aside at a server.
+/// How many lot items to preempt at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct YieldOrder {
     /// The server.
     pub server: ServerId,
-    /// How many of this daemon's items.
+    /// How many of this daemon's items to preempt.
     pub items: u32,
 }
 
@@ -94,7 +94,7 @@
     key: u64,
     load: ServerLoad,
     is_listed: bool,
-    /// Whether this daemon is one of those that use it first.
+    /// Whether this daemon is one of its home daemons, which use it first.
     is_home: bool,
 }
 
@@ -102,12 +102,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct PlacementTable {
     own: PeerId,
-    /// An arena: a server that left keeps its place for the requests on it.
+    /// Indexed by [`ServerId`]: a server that left the directory keeps its index for
+    /// the requests that still run on it.
     servers: Vec<ServerEntry>,
 }
 
 impl PlacementTable {
-    /// A table of the daemon with this id that knows no servers yet.
+    /// Creates the table of the daemon with this id, without servers.
     pub fn new(own: PeerId) -> Self {
         PlacementTable {
             own,
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Takes over the directory's list. Servers that aren't on it any more get
-    /// no new requests.
+    /// Applies the directory's list. Servers that are no longer on it get no new
+    /// requests.
     pub fn set_listings(&mut self, listings: &[ServerListing]) {
         for entry in &mut self.servers {
             entry.is_listed = false;
@@ -142,8 +143,8 @@
                 is_listed: true,
                 is_home: true,
             };
-            // The place of a server that left, and on which nothing is open any
-            // more, is free: servers come and go for as long as a daemon runs.
+            // The entry of a server that left the directory and has no open requests is
+            // reused: servers come and go for as long as a daemon runs.
             let is_unused = |it: &ServerEntry| !it.is_listed && it.load.own == LoadShare::default();
             match self.servers.iter_mut().find(|it| is_unused(it)) {
                 Some(unused) => *unused = entry,
@@ -152,25 +153,26 @@
         }
     }
 
-    /// Sets which servers this daemon uses first, by the hashes of their names.
+    /// Sets the servers of which this daemon is a home daemon, by the hashes of their
+    /// names.
     pub fn set_homes(&mut self, is_home: impl Fn(u64) -> bool) {
         for entry in &mut self.servers {
             entry.is_home = is_home(entry.key);
         }
     }
 
-    /// The servers in use, by the hashes of their names.
+    /// Returns the servers on the directory's list, with the hashes of their names.
     pub fn listed(&self) -> Vec<(u64, &ServerListing)> {
         let listed = self.servers.iter().filter(|it| it.is_listed);
         listed.map(|it| (it.key, &it.listing)).collect()
     }
 
-    /// A server's listing.
+    /// Returns a server's listing.
     pub fn listing(&self, id: ServerId) -> &ServerListing {
         &self.servers[id.index()].listing
     }
 
-    /// Whether a service has a server that takes requests.
+    /// Returns whether a service has a server that takes new requests.
     pub fn has_server(&self, service: &str) -> bool {
         let usable = |it: &ServerEntry| it.is_usable(service);
         self.servers.iter().any(usable)
@@ -180,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses where no server would start the request in time.
+    /// Rejects the request if no server would start it in time.
     pub fn choose_live(
         &self,
         query: PlacementQuery<'_>,
@@ -188,7 +190,7 @@
         random: &mut impl Rng,
     ) -> Result<Placement, PlacementRefusal> {
         let mut best: Option<(f64, usize)> = None;
-        // Ejected servers are better than none: their pause may be mistaken.
+        // An ejected server is better than none: the ejection may be a mistake.
         for allow_ejected in [false, true] {
             for (index, entry) in self.servers.iter().enumerate() {
                 let id = ServerId(index as u32);
@@ -224,14 +226,14 @@
         })
     }
 
-    /// Chooses a server for an item of a lot, if one has slots left over.
+    /// Chooses a server for an item of a lot, if one has free slots for bulk work.
     pub fn choose_bulk(
         &self,
         query: PlacementQuery<'_>,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> Option<Placement> {
-        // A zone without servers of its own still has lots to run.
+        // A daemon without home servers of this service still has lots to run.
         let has_home = self
             .servers
             .iter()
@@ -265,10 +267,10 @@
         })
     }
 
-    /// Where this daemon's items have to step aside for live requests.
+    /// Returns where this daemon's items have to be preempted for live requests.
     ///
-    /// Each daemon gives up its part of the slots that are missing, so that all
-    /// of them together give up just enough.
+    /// Each daemon gives up its share of the missing slots, so that all of them
+    /// together give up just enough.
     pub fn yield_orders(&mut self, now: Timestamp) -> Vec<YieldOrder> {
         let mut orders = Vec::new();
         for (index, entry) in self.servers.iter_mut().enumerate() {
@@ -285,14 +287,15 @@
         orders
     }
 
-    /// The other daemons whose items have to step aside at a server. They are told
-    /// at once: a live request waits for them.
+    /// Returns the other daemons whose items have to be preempted at a server. They
+    /// need a report at once, since a live request waits for these slots.
     pub fn yield_holders(&self, id: ServerId, now: Timestamp) -> Vec<PeerId> {
         self.servers[id.index()].load.preemption_holders(now)
     }
 
-    /// Counts a request in that is sent to a server. Returns whether it should
-    /// find a free slot there: only then does its span tell what the server takes.
+    /// Counts a request that is sent to a server. Returns whether it should find a free
+    /// slot there: only then does its duration tell how long the server holds a slot
+    /// for a request.
     pub fn begin(&mut self, id: ServerId, kind: WorkKind, now: Timestamp) -> bool {
         let load = &mut self.servers[id.index()].load;
         let has_slot = load.has_free_slot(now);
@@ -306,7 +309,7 @@
         has_slot
     }
 
-    /// Counts a request out.
+    /// Removes a request from a server's count.
     pub fn end(&mut self, id: ServerId, kind: WorkKind) {
         let own = &mut self.servers[id.index()].load.own;
         match kind {
@@ -315,25 +318,26 @@
         }
     }
 
-    /// Takes in how a request went.
+    /// Records how a request ended.
     pub fn note(&mut self, id: ServerId, outcome: ServerOutcomeKind, now: Timestamp) {
         self.servers[id.index()].load.record_outcome(outcome, now);
     }
 
-    /// Takes in how long a live request held its slot, if it found one free. What
-    /// waited in the server's queue would make the next ones look hopeless, and a
-    /// server that answers within 60 ms would be refused for a queue of three.
+    /// Records how long a live request held its slot, if it found one free. With the
+    /// time in the server's queue included, later requests would seem to have no chance
+    /// to start in time, and a server that answers within 60 ms would be rejected for a
+    /// queue of three.
     pub fn note_span(&mut self, id: ServerId, hold_time: Duration) {
         self.servers[id.index()].load.record_hold_time(hold_time);
     }
 
-    /// Takes in a server's own report.
+    /// Applies a server's own report.
     pub fn report(&mut self, id: ServerId, report: SlotReport, now: Timestamp) {
         self.servers[id.index()].load.report(report, now);
     }
 
-    /// Takes in what another daemon has on servers, by the hash of their names.
-    /// Servers that it doesn't name have nothing of it.
+    /// Applies a report of another daemon: its load on servers, by the hashes of their
+    /// names. It has nothing on servers that the report doesn't name.
     pub fn hear(&mut self, peer: PeerId, shares: &[(u64, LoadShare)], now: Timestamp) {
         for entry in &mut self.servers {
             let named = shares.iter().find(|it| it.0 == entry.key);
@@ -342,7 +346,7 @@
         }
     }
 
-    /// What this daemon has on servers, by the hash of their names.
+    /// Returns this daemon's load on servers, by the hashes of their names.
     pub fn own_shares(&self) -> Vec<(u64, LoadShare)> {
         let used = self
             .servers
@@ -368,9 +372,9 @@
         } else {
             ZONE_PENALTY
         };
-        // A full server costs more than any other zone.
+        // A full server costs more than any server in another zone.
         let overload_penalty = (live + 1.0 - slots).max(0.0) * 4.0;
-        // Items have to step aside there first.
+        // Items have to be preempted there first.
         let preemption_penalty = if live + bulk + 1.0 > slots { 1.0 } else { 0.0 };
         let non_home_penalty = if self.is_home { 0.0 } else { NON_HOME_PENALTY };
         used / slots * 2.0 + zone_penalty + non_home_penalty + overload_penalty + preemption_penalty
--- a/crates/policy/src/placement/server_load.rs
+++ b/crates/policy/src/placement/server_load.rs
@@ -1,4 +1,4 @@
-//! What is known of one server's load and health.
+//! The load and health of one server, as one daemon knows them.
 
 use std::time::Duration;
 
@@ -6,39 +6,41 @@
 
 use crate::{Timestamp, usage::PeerId};
 
-/// What another daemon said it has on a server counts for so long. Daemons speak
-/// at least every 250 ms; a daemon that fell silent no longer starts much.
+/// How long another daemon's reported load counts. Daemons report at least every 250
+/// ms; one that fell silent hardly starts new requests.
 const SHARE_LIFETIME: Duration = Duration::from_millis(1_500);
 
-/// A server that failed is left alone for so long the first time, and twice as
-/// long each time in a row.
+/// How long a failed server gets no requests, other than as a last resort, the first
+/// time; it doubles with each failure in a row.
 const INITIAL_EJECTION_DURATION: Duration = Duration::from_millis(300);
-/// The longest such pause: by then a restarted server is back.
+/// The longest ejection: by then a restarted server is back.
 const MAX_EJECTION_DURATION: Duration = Duration::from_secs(4);
-/// Two items of one daemon start at a server no closer than this: twice the time
-/// in which other daemons hear of the first.
+/// The shortest time between two starts of items by one daemon at a server: twice the
+/// time in which other daemons receive the report of the first.
 const BULK_START_INTERVAL: Duration = Duration::from_millis(60);
-/// Where items stepped aside none starts for so long: about as long as a live
-/// request holds its slot. Without a pause items start and step aside over and over.
+/// How long no item starts at a server where items were preempted: about as long as a
+/// live request holds its slot. Without this, items start and are preempted over and
+/// over.
 const PREEMPTION_BACKOFF: Duration = Duration::from_millis(800);
-/// How much a new span counts in the mean of spans.
+/// The weight of a new sample in the mean hold time.
 const HOLD_TIME_WEIGHT: f64 = 0.1;
-/// How long a server holds a slot for a request before anything was measured.
+/// The assumed time for which a request holds a slot, until there is a sample.
 const DEFAULT_HOLD_TIME: Duration = Duration::from_millis(500);
-/// What a server's report says beyond what daemons told fades over this span.
+/// The time constant with which the surplus of a server's report over the daemons'
+/// reports decays.
 const SURPLUS_DECAY_TIME: Duration = Duration::from_millis(300);
 
 /// What a slot is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkKind {
-    /// Somebody waits.
+    /// A live request, whose caller waits.
     Live,
-    /// An item of a lot, which may step aside.
+    /// An item of a lot, which may be preempted.
     Bulk,
 }
 
 impl WorkKind {
-    /// The kind as a label.
+    /// Returns the kind as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             WorkKind::Live => "live",
@@ -47,31 +49,31 @@
     }
 }
 
-/// How a request ended, as it tells on its server.
+/// How a request ended, as far as it says something of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOutcomeKind {
     /// It was answered.
     Answered,
-    /// The server was full and didn't run it.
+    /// The server was full and rejected it without running it.
     Full,
-    /// The connection failed, or broke off in the middle.
+    /// The connection failed, or broke in the middle of the answer.
     Broken,
-    /// Another server has its address.
+    /// Another server answers at its address.
     Replaced,
 }
 
 /// A server's own report of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotReport {
-    /// Requests in a slot.
+    /// Requests that hold a slot.
     pub running: u32,
     /// Requests in its queue.
     pub waiting: u32,
-    /// Its slots.
+    /// The number of its slots.
     pub slots: u32,
 }
 
-/// What one daemon has on a server.
+/// One daemon's load on a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadShare {
     /// Live requests.
@@ -87,7 +89,7 @@
     received_at: Timestamp,
 }
 
-/// What is known of one server's load and health.
+/// The load and health of one server, as one daemon knows them.
 #[derive(Clone, Debug)]
 pub(super) struct ServerLoad {
     pub(super) slots: u32,
@@ -97,8 +99,8 @@
     surplus_at: Timestamp,
     failures: u32,
     ejected_until: Timestamp,
-    /// How long a live request takes there, queueing left out; nothing before the
-    /// first one was measured.
+    /// The mean time for which a live request holds a slot there, without queueing;
+    /// `None` before the first sample.
     mean_hold_secs: Option<f64>,
     bulk_allowed_at: Timestamp,
 }
@@ -118,9 +120,9 @@
         }
     }
 
-    /// Takes in what another daemon has on the server. Only those that have
-    /// something there are kept: in a large fleet most have nothing, and each look
-    /// at the server goes through all that are kept.
+    /// Applies another daemon's load on the server. Only daemons with load there are
+    /// kept: in a large fleet most have none, and each look at the server iterates over
+    /// all that are kept.
     pub(super) fn receive(&mut self, peer: PeerId, share: LoadShare, now: Timestamp) {
         if share == LoadShare::default() {
             if let Ok(index) = self.peer_shares.binary_search_by_key(&peer, |it| it.peer) {
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Live requests and items of all daemons.
+    /// Returns the live requests and items of all daemons.
     pub(super) fn total(&self, now: Timestamp) -> LoadShare {
         let mut total = self.own;
         for peer_share in &self.peer_shares {
@@ -151,8 +153,9 @@
         total
     }
 
-    /// Takes in the server's own report. What it has beyond what the daemons
-    /// said comes from some that aren't heard, such as those behind a cut.
+    /// Applies the server's own report. Requests beyond those that the daemons reported
+    /// come from daemons whose reports don't arrive, such as those behind a network
+    /// partition.
     pub(super) fn report(&mut self, report: SlotReport, now: Timestamp) {
         if report.slots > 0 {
             self.slots = report.slots;
@@ -164,7 +167,7 @@
         self.surplus_at = now;
     }
 
-    /// Requests that only the server's report shows.
+    /// Returns the requests that only the server's report accounts for.
     pub(super) fn surplus(&self, now: Timestamp) -> f64 {
         let age = now.since(self.surplus_at).as_secs_f64() / SURPLUS_DECAY_TIME.as_secs_f64();
         self.surplus * (-age).exp()
@@ -177,7 +180,8 @@
     pub(super) fn record_outcome(&mut self, outcome: ServerOutcomeKind, now: Timestamp) {
         match outcome {
             ServerOutcomeKind::Answered => self.failures = 0,
-            // It has more than the daemons know of; its queue drains by itself.
+            // It has more requests than the daemons know of; its queue drains by
+            // itself.
             ServerOutcomeKind::Full => {
                 self.surplus = f64::from(self.slots);
                 self.surplus_at = now;
@@ -191,14 +195,14 @@
     }
 
     fn eject(&mut self, now: Timestamp) {
-        // Requests that were on a server when it died fail together; they are
-        // one failure.
+        // Requests that were on a server when it died fail together; they count as one
+        // failure.
         if self.is_ejected(now) {
             return;
         }
         self.failures += 1;
-        // One broken answer is no reason to do without a server: it may have
-        // spoilt just this one.
+        // One broken answer is no reason to eject a server: the fault may concern only
+        // this answer.
         if self.failures < 2 {
             return;
         }
@@ -206,24 +210,24 @@
         self.ejected_until = now + duration.min(MAX_EJECTION_DURATION);
     }
 
-    /// Takes in how long a request held its slot.
+    /// Records how long a request held its slot.
     pub(super) fn record_hold_time(&mut self, hold_time: Duration) {
         let secs = hold_time.as_secs_f64();
         let mean_secs = self.mean_hold_secs.get_or_insert(secs);
         *mean_secs += HOLD_TIME_WEIGHT * (secs - *mean_secs);
     }
 
-    /// Whether a request that is sent now gets a slot at once.
+    /// Returns whether a request that is sent now gets a slot at once.
     pub(super) fn has_free_slot(&self, now: Timestamp) -> bool {
         let total = self.total(now);
         u32::from(total.live) + u32::from(total.bulk) < self.slots
     }
 
-    /// How many of this daemon's items have to step aside, of those that have to
-    /// in whole: its part by the items that it has there. What is left of the
-    /// division falls to the daemon with the lowest id, so that all of them
-    /// together give up just enough. Were each to round up, three daemons would
-    /// give up three slots for one request, and take them back a moment later.
+    /// Returns how many of this daemon's items to preempt: its share of the missing
+    /// slots, in proportion to its items there, rounded down. The remainder falls to
+    /// the daemon with the lowest id, so that all daemons together give up just enough.
+    /// If each rounded up, three daemons would give up three slots for one request, and
+    /// take them back a moment later.
     pub(super) fn own_preemptions(&self, own: PeerId, now: Timestamp) -> u32 {
         let missing = self.missing_slots(now);
         if missing == 0 || self.own.bulk == 0 {
@@ -250,24 +254,24 @@
         (own_share + remainder).min(u32::from(self.own.bulk))
     }
 
-    /// Whether an item may start as far as the pace allows: not right after
-    /// another one, since the other daemons don't know of that one yet, and not
-    /// where items have just stepped aside.
+    /// Returns whether an item may start as far as pacing allows: not right after
+    /// another one, since the other daemons don't know of that one yet, and not where
+    /// items have just been preempted.
     pub(super) fn may_start_bulk(&self, now: Timestamp) -> bool {
         now >= self.bulk_allowed_at
     }
 
-    /// Notes that an item starts.
+    /// Records that an item starts.
     pub(super) fn record_bulk_start(&mut self, now: Timestamp) {
         self.bulk_allowed_at = self.bulk_allowed_at.max(now + BULK_START_INTERVAL);
     }
 
-    /// Notes that items step aside.
+    /// Records that items are preempted.
     pub(super) fn record_preemption(&mut self, now: Timestamp) {
         self.bulk_allowed_at = self.bulk_allowed_at.max(now + PREEMPTION_BACKOFF);
     }
 
-    /// The other daemons whose items have to step aside here.
+    /// Returns the other daemons whose items have to be preempted here.
     pub(super) fn preemption_holders(&self, now: Timestamp) -> Vec<PeerId> {
         if self.missing_slots(now) == 0 {
             return Vec::new();
@@ -279,15 +283,15 @@
         holders.map(|it| it.peer).collect()
     }
 
-    /// How many slots are missing, which items have to give up. What only the
-    /// server's report shows doesn't count: the report is as old as the answer
-    /// that carried it.
+    /// Returns how many slots items have to give up. Requests that only the server's
+    /// report accounts for don't count: the report is as old as the answer that carried
+    /// it.
     fn missing_slots(&self, now: Timestamp) -> u32 {
         let total = self.total(now);
         (u32::from(total.live) + u32::from(total.bulk)).saturating_sub(self.slots)
     }
 
-    /// How long a live request would wait for a slot.
+    /// Returns how long a live request would wait for a slot.
     pub(super) fn expected_wait(&self, now: Timestamp) -> Duration {
         let live = f64::from(self.total(now).live) + self.surplus(now);
         let ahead = live + 1.0 - f64::from(self.slots);
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,8 +1,8 @@
-//! Where requests wait while the servers are full.
+//! The queue of requests that wait while the servers are full.
 //!
-//! Backend servers start what arrives in order of arrival. So a request that
-//! can't start at once waits here, where a more urgent one, or one of a
-//! customer that was served less, can still go first. See `docs/DESIGN.md`.
+//! Backend servers start requests in order of arrival. So a request that can't start at
+//! once waits here, where a more urgent one, or one of a customer that was served less,
+//! can still overtake it. See `docs/DESIGN.md`.
 
 mod live_queue;
 mod share;
--- a/crates/policy/src/queue/live_queue.rs
+++ b/crates/policy/src/queue/live_queue.rs
@@ -1,29 +1,29 @@
-//! Live requests that wait for a server.
+//! The queue of live requests that wait for a server.
 
 use std::{mem::size_of, time::Duration};
 
 use super::share::{CallList, Share};
 use crate::{CustomerId, Timestamp, Urgency};
 
-/// The calls that wait at most.
+/// The most calls that wait.
 const MAX_CALLS: usize = 4096;
 
-/// How long a call of each urgency waits at most, whatever its deadline. A
-/// person has gone by then, and a program is better told to come back.
+/// The longest wait of a call by urgency, whatever its deadline. A person has given up
+/// by then, and a program is better asked to retry.
 const MAX_WAITS: [Duration; 3] = [
     Duration::from_secs(10),
     Duration::from_secs(30),
     Duration::from_secs(30),
 ];
 
-/// Of so many calls in a row one goes to a lower urgency if any waits there, so
-/// that it isn't shut out for as long as more urgent calls keep coming.
+/// One in this many starts goes to a lower urgency if any call waits there, so that
+/// lower urgencies make progress while more urgent calls keep coming.
 const LOWER_URGENCY_INTERVAL: u32 = 8;
 
 /// The weight of one sample in the mean time between starts.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// The shortest time after which a refused caller may come back.
+/// The shortest delay after which a rejected caller is asked to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A call that waits for a server.
@@ -31,84 +31,84 @@
 pub struct QueuedCall {
     /// The daemon's number for the call.
     pub number: u64,
-    /// Its customer.
+    /// The customer that sent it.
     pub customer: CustomerId,
     /// How urgent it is.
     pub urgency: Urgency,
-    /// The tokens that it is expected to cost, of prompt and answer.
+    /// The tokens that it is expected to cost, prompt and answer together.
     pub tokens: f64,
-    /// When it has to have started.
+    /// The time by which it has to have started.
     pub deadline: Timestamp,
 }
 
-/// Why a call isn't taken into the queue.
+/// Why a call isn't queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueCause {
-    /// The queue is full, and none of its customers holds more of it.
+    /// The queue is full, and no other customer holds more of it, relative to its
+    /// weight.
     Full,
     /// It would wait past its deadline.
     TooLong,
 }
 
-/// The last word on a call that isn't taken into the queue. It hasn't run.
+/// The final answer to a call that isn't queued. The call hasn't run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueRefusal {
-    /// Why it isn't taken.
+    /// Why it isn't queued.
     pub cause: QueueCause,
-    /// When its caller may come back.
+    /// The delay after which its caller may retry.
     pub retry_after: Duration,
 }
 
 /// Live calls that wait for a server of one group.
 ///
-/// Each call goes through it, also when a server is free: [`push`](Self::push)
-/// it, then [`pop`](Self::pop) as long as there is room. Among equally urgent
-/// calls the customer that was served the fewest tokens, over its weight, goes
-/// first. In order of arrival, one customer's burst would put everybody else
-/// behind it.
+/// Each call goes through the queue, also when a server is free: [`push`](Self::push)
+/// it, then [`pop`](Self::pop) as long as there is capacity. Among equally urgent
+/// calls, the customer that was served the fewest tokens, relative to its weight, goes
+/// first. In order of arrival, one customer's burst would delay all other customers.
 ///
-/// Customers' ids must mean the same as long as the queue lives.
+/// The ids of customers must keep their meaning for as long as the queue lives.
 #[derive(Clone, Debug, Default)]
 pub struct LiveQueue {
-    /// By customer.
+    /// By customer id.
     shares: Vec<Share>,
-    /// By customer.
+    /// By customer id.
     calls: Vec<CallList>,
-    /// The customers whose calls wait.
+    /// The customers with waiting calls.
     waiting: Vec<CustomerId>,
-    /// The calls that wait by urgency.
+    /// The number of waiting calls by urgency.
     counts: [usize; 3],
-    /// The served tokens of the customer that was served last.
+    /// The weighted served tokens of the customer that was served last.
     last_served: f64,
     starts_since_lower: u32,
     start_interval_secs: f64,
-    /// The starts that the interval was learnt from.
+    /// How many starts the mean interval is based on.
     starts: u32,
     last_start_at: Option<Timestamp>,
 }
 
 impl LiveQueue {
-    /// The calls that wait.
+    /// Returns the number of waiting calls.
     pub fn len(&self) -> usize {
         self.counts.iter().sum()
     }
 
-    /// Whether no call waits.
+    /// Returns whether no call waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Sets a customer's part of scarce capacity against other customers.
+    /// Sets a customer's weight, its share of scarce capacity against other customers.
     pub fn set_weight(&mut self, customer: CustomerId, weight: f64) {
         self.share_mut(customer).weight = weight.max(0.01);
     }
 
-    /// Takes a call in. If the queue was full, the call that had to make way
-    /// for it is returned and must be refused.
+    /// Queues a call. If the queue was full, the call that was evicted for it is
+    /// returned and must be rejected.
     ///
     /// # Errors
     ///
-    /// A call that can't start in time is refused at once.
+    /// A call that can't start in time is rejected at once.
     pub fn push(
         &mut self,
         mut call: QueuedCall,
@@ -134,7 +134,7 @@
         Ok(evicted)
     }
 
-    /// Takes out the call that goes next. Call it only if it can start.
+    /// Takes out the call that goes next. The caller must be able to start it.
     pub fn pop(&mut self, now: Timestamp) -> Option<QueuedCall> {
         let urgency = self.next_urgency()?;
         let customer = self.least_served(urgency)?;
@@ -147,13 +147,13 @@
         Some(call)
     }
 
-    /// Charges a customer for what a call cost beyond, or short of, what was
-    /// expected of it.
+    /// Charges a customer for the tokens that a call cost beyond what was expected; a
+    /// negative number is a refund.
     pub fn charge(&mut self, customer: CustomerId, tokens: f64) {
         self.share_mut(customer).charge(tokens);
     }
 
-    /// Takes out a call whose caller is gone.
+    /// Takes out a call whose caller disconnected.
     pub fn remove(&mut self, customer: CustomerId, number: u64) -> Option<QueuedCall> {
         let calls = self.calls.get_mut(customer.index())?;
         let call = calls.remove(number)?;
@@ -161,7 +161,7 @@
         Some(call)
     }
 
-    /// Takes out the calls whose deadline has passed; they must be refused.
+    /// Takes out the calls whose deadline has passed; they must be rejected.
     pub fn take_late(&mut self, now: Timestamp) -> Vec<QueuedCall> {
         let calls = self.waiting.iter().map(|it| &self.calls[it.index()]);
         let calls = calls.flat_map(CallList::iter);
@@ -173,14 +173,13 @@
         expired
     }
 
-    /// Takes out the calls that were overtaken so often that they can't start
-    /// before their deadline any more; they must be refused.
+    /// Takes out the calls that were overtaken so often that they can't start before
+    /// their deadline any more; they must be rejected.
     ///
-    /// A call is taken in if its turn would come in time, but more urgent calls
-    /// and customers that were served less may come after it. Left alone it
-    /// would wait to its deadline only to be refused then, and its caller would
-    /// have waited in vain. The last call of each customer has the longest wait,
-    /// so the looking ends at the first one that can still start.
+    /// A call is queued if its turn would come in time, but more urgent calls and
+    /// customers that were served less may come after it. If it stayed, it would wait
+    /// until its deadline only to be rejected then. The last call of each customer has
+    /// the longest wait, so the search ends at the first one that can still start.
     pub fn take_hopeless(&mut self, now: Timestamp) -> Vec<QueuedCall> {
         let mut infeasible = Vec::new();
         for customer in self.waiting.clone() {
@@ -208,10 +207,10 @@
         (now + wait > call.deadline).then_some(call)
     }
 
-    /// How long the call would wait if it came now.
+    /// Returns how long the call would wait if it came now.
     ///
-    /// Ahead of it are its customer's earlier calls, and of each other customer
-    /// as many as it may start before it was served more than this one.
+    /// Ahead of it are its customer's earlier calls and, of each other customer, as
+    /// many calls as that customer may start before it was served more than this one.
     pub fn expected_wait(&self, call: &QueuedCall, now: Timestamp) -> Duration {
         if self.is_empty() {
             return Duration::ZERO;
@@ -221,7 +220,7 @@
         self.wait_behind(f64::from(queued), call, now)
     }
 
-    /// How long a call waits that stands behind `queued` of its customer's.
+    /// Returns how long a call waits behind `queued` calls of its own customer.
     fn wait_behind(&self, queued: f64, call: &QueuedCall, now: Timestamp) -> Duration {
         let own = self.shares.get(call.customer.index());
         let own = own.copied().unwrap_or_default();
@@ -243,7 +242,7 @@
         self.since_last_start(now) + Duration::from_secs_f64(ahead * self.start_interval_secs)
     }
 
-    /// The bytes that the queue holds.
+    /// Returns the bytes of memory that the queue occupies.
     pub fn memory(&self) -> usize {
         let shares = self.shares.capacity() * size_of::<Share>();
         let calls: usize = self.calls.iter().map(CallList::memory).sum();
@@ -255,8 +254,8 @@
         let share = self.share_mut(call.customer);
         let was_idle = share.len() == 0;
         if was_idle {
-            // A customer that was away doesn't come back with a credit for all
-            // the time it wasn't there.
+            // A customer that was idle gets no credit for the time in which it had no
+            // calls.
             share.served = share.served.max(last_served);
         }
         share.counts[call.urgency as usize] += 1;
@@ -267,7 +266,8 @@
         self.calls[call.customer.index()].push(call);
     }
 
-    /// How long any call would wait at most, without looking at the customers.
+    /// Returns an upper bound for the wait of any call, without looking at the
+    /// customers.
     fn max_wait(&self, now: Timestamp) -> Duration {
         let secs = self.len() as f64 * self.start_interval_secs;
         self.since_last_start(now) + Duration::from_secs_f64(secs)
@@ -308,8 +308,8 @@
         least
     }
 
-    /// Makes room by the newest call of the customer that holds most of the
-    /// queue, over its weight, unless that is the one who asks.
+    /// Evicts the newest call of the customer with the largest share of the queue,
+    /// relative to its weight, unless that is `customer` itself.
     fn evict_for(&mut self, customer: CustomerId) -> Option<QueuedCall> {
         let own = self.share_mut(customer).queue_share(1);
         let held = |it: &CustomerId| self.shares[it.index()].queue_share(0);
@@ -322,12 +322,12 @@
         self.remove(last.customer, last.number)
     }
 
-    /// Learns the time between starts from those that had a backlog.
+    /// Updates the mean time between starts, from starts with other calls waiting.
     fn record_start(&mut self, now: Timestamp) {
         if let Some(at) = self.last_start_at {
             let secs = now.since(at).as_secs_f64();
-            // The first starts count in full: a mean that grows from zero would
-            // take in calls that can't start in time.
+            // The first samples form a plain average: a mean that grows slowly from
+            // zero would admit calls that can't start in time.
             self.starts = self.starts.saturating_add(1);
             let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.starts));
             self.start_interval_secs += (secs - self.start_interval_secs) * weight;
--- a/crates/policy/src/queue/share.rs
+++ b/crates/policy/src/queue/share.rs
@@ -1,19 +1,19 @@
-//! One customer's part of the queue.
+//! One customer's share of the queue.
 
 use std::{collections::VecDeque, mem::size_of};
 
 use super::QueuedCall;
 use crate::Urgency;
 
-/// What the choice of the next call looks at. It is kept apart from the calls,
-/// since the choice looks at all customers that wait.
+/// The fields that decide which call goes next. They are kept apart from the calls,
+/// since each decision scans all waiting customers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Share {
     pub(super) weight: f64,
-    /// The tokens it was served, over its weight, on the clock that all
-    /// customers share.
+    /// The tokens that it was served, divided by its weight. A customer that returns
+    /// continues from the value of the customer served last.
     pub(super) served: f64,
-    /// Its calls by urgency.
+    /// Its waiting calls by urgency.
     pub(super) counts: [u32; 3],
 }
 
@@ -36,7 +36,8 @@
         self.counts[urgency as usize]
     }
 
-    /// How much of the queue it holds, over its weight, with `more` calls.
+    /// Returns its share of the queue, divided by its weight, if it had `additional`
+    /// more calls.
     pub(super) fn queue_share(&self, additional: u32) -> f64 {
         f64::from(self.len() + additional) / self.weight
     }
@@ -68,12 +69,12 @@
         })
     }
 
-    /// The newest call of an urgency.
+    /// Returns the newest call of an urgency.
     pub(super) fn last_with(&self, urgency: Urgency) -> Option<&QueuedCall> {
         self.queues[urgency as usize].back()
     }
 
-    /// The newest of the least urgent calls.
+    /// Returns the newest of the least urgent calls.
     pub(super) fn last(&self) -> Option<&QueuedCall> {
         self.queues.iter().rev().find_map(VecDeque::back)
     }
--- a/crates/policy/src/usage/late_charges.rs
+++ b/crates/policy/src/usage/late_charges.rs
@@ -1,47 +1,49 @@
-//! Tokens that come back for requests that were heard of late.
+//! Refunds of tokens that overflowed because charges arrived late.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Into so long parts the last seconds are divided.
+/// The length of the time bins into which the last seconds are divided.
 const BIN_DURATION: Duration = Duration::from_millis(50);
-/// So many parts are remembered.
+/// How many bins are kept.
 const BIN_COUNT: usize = 32;
 
-/// What one part of the last seconds brought, in tokens.
+/// What happened within one bin, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Bin {
-    /// Lost, since the bucket was full.
+    /// Tokens that overflowed because the bucket was full.
     overflowed: f32,
-    /// Spent by other daemons.
+    /// Requests that other daemons admitted in this bin.
     admitted: f32,
-    /// Of what was spent by others, what was charged.
+    /// Requests of other daemons that were charged in this bin, but admitted in an
+    /// earlier one.
     charged: f32,
 }
 
-/// Tokens that come back for requests that were heard of late.
+/// Refunds of tokens that overflowed because charges arrived late.
 ///
-/// What other daemons let in is charged up to an interval late. Charged at once, it would
-/// have left room in the bucket for tokens that were lost to a full one until then. They
-/// come back, but only once all daemons have said what they let in by the time at which
-/// the tokens were lost: where a customer begins to send many times its usual, what isn't
-/// heard of yet is more than what was lost.
+/// Requests that other daemons admit are charged up to one report interval late.
+/// Charged at once, they would have left capacity in the bucket for tokens that
+/// overflowed until then. These tokens are refunded, but only once all daemons have
+/// reported what they admitted by the time of the overflow: when a customer begins to
+/// send many times its typical rate, its unreported requests outnumber the tokens that
+/// overflowed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct LateCharges {
     bins: [Bin; BIN_COUNT],
-    /// The number of the newest part since the clock began.
+    /// The number of the newest bin, counted from the start of the clock.
     newest_bin: u64,
-    /// The first part that isn't known in full.
+    /// The first bin for which some daemon's report is still missing.
     first_unsettled: u64,
-    /// Charges that stand for requests of the settled parts, and may bring tokens back.
+    /// Charges for requests of settled bins that may still bring a refund.
     refundable: f32,
-    /// The same, with what they brought back already.
+    /// The same, plus the charges that were refunded already.
     outstanding: f32,
 }
 
 impl LateCharges {
-    /// Notes that tokens were lost up to `now`, at `rate` a second.
+    /// Records that tokens overflowed up to `now`, at `rate` tokens a second.
     pub(super) fn record_overflow(&mut self, tokens: f64, rate: f64, now: Timestamp) {
         if tokens <= 0.0 || rate <= 0.0 {
             return;
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Notes requests that another daemon let in at `since` and that are charged now.
+    /// Records requests that another daemon admitted at `admitted_at` and that are
+    /// charged now.
     pub(super) fn record_charge(&mut self, requests: f64, admitted_at: Timestamp, now: Timestamp) {
         let newest_bin = bin_of(now);
         self.advance_to(newest_bin);
@@ -76,7 +79,8 @@
         }
     }
 
-    /// Takes the tokens that come back now that all daemons were heard at `heard` or later.
+    /// Returns the tokens to refund now that all daemons have reported at
+    /// `confirmed_at` or later.
     pub(super) fn settle(&mut self, confirmed_at: Timestamp) -> f64 {
         let end = bin_of(confirmed_at).min(self.newest_bin);
         self.first_unsettled = self.first_unsettled.max(self.oldest_bin());
@@ -85,7 +89,8 @@
             let bin = self.bins[index(self.first_unsettled)];
             self.refundable += bin.admitted;
             self.outstanding += bin.admitted;
-            // Charged by then, they left room for what came in since.
+            // By now these are charged: what came in since found the capacity that they
+            // left.
             self.outstanding -= bin.charged.min(self.outstanding);
             self.refundable = self.refundable.min(self.outstanding);
             let refund = self.refundable.min(bin.overflowed);
--- a/crates/policy/src/usage/mod.rs
+++ b/crates/policy/src/usage/mod.rs
@@ -1,12 +1,12 @@
-//! Customers' rates counted by all daemons together, without a coordinator.
+//! Customers' rates, enforced by all daemons together without a coordinator.
 //!
-//! Each daemon tells the others how many requests of each customer it has let
-//! in since it started ([`UsageBook::own_counts`]). Everybody charges everybody's
-//! requests to its own copy of the customer's [`UsageBucket`], so all copies run
-//! nearly level, and a customer may spend its whole rate at any one daemon.
+//! Each daemon reports to the others how many requests of each customer it has admitted
+//! since it started ([`UsageBook::own_counts`]). Every daemon charges these requests to
+//! its own copy of the customer's [`UsageBucket`], so all copies stay nearly level, and
+//! a customer may spend its whole rate at any one daemon.
 //!
-//! What can go wrong is that a daemon doesn't hear of the others: behind a cut,
-//! or in the time that a message takes. [`UsageBook`] then sets aside what the
+//! The copies drift apart when a daemon receives no reports, because of a network
+//! partition, or while a report is in transit. [`UsageBook`] then reserves what the
 //! silent daemons may be spending. docs/PLATFORM.md has the figures.
 
 mod late_charges;
--- a/crates/policy/src/usage/speak_schedule.rs
+++ b/crates/policy/src/usage/speak_schedule.rs
@@ -1,4 +1,4 @@
-//! When a daemon of a large fleet speaks to all others.
+//! When a daemon of a large fleet reports its usage to all others.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 
 use crate::Timestamp;
 
-/// When a daemon of a large fleet speaks to all others.
+/// When a daemon of a large fleet reports its usage to all others.
 ///
-/// Daemons that were killed together start together. Were they to speak in step from
-/// then on, all words would grow old at the same time, and at the end of each interval
-/// everybody would leave most of every customer's tokens to everybody else
+/// Daemons that were killed together start together. If they reported in step from then
+/// on, all reports would age at the same time, and at the end of each interval every
+/// daemon would leave most of each customer's tokens to the others
 /// (`tests/usage_large.rs`).
 #[derive(Clone, Copy, Debug)]
 pub struct SpeakSchedule {
@@ -19,8 +19,8 @@
 }
 
 impl SpeakSchedule {
-    /// A schedule of a daemon that starts now: it speaks at once, since the others
-    /// wait to hear of it.
+    /// Creates the schedule of a daemon that starts now: the first report is due at
+    /// once, since the other daemons wait for it.
     pub fn new(now: Timestamp) -> Self {
         SpeakSchedule {
             due_at: now,
@@ -28,12 +28,13 @@
         }
     }
 
-    /// Whether it is time to speak.
+    /// Returns whether a report is due.
     pub fn is_due(&self, now: Timestamp) -> bool {
         now >= self.due_at
     }
 
-    /// Takes note that it spoke. The pause after the first word is drawn.
+    /// Records that a report was sent. The delay after the first report is random, so
+    /// that daemons that started together spread out.
     pub fn speak(&mut self, interval: Duration, now: Timestamp, random: &mut impl Rng) {
         let fraction = match self.has_reported {
             true => 1.0,
--- a/crates/policy/src/usage/usage_book.rs
+++ b/crates/policy/src/usage/usage_book.rs
@@ -7,94 +7,94 @@
 use super::UsageBucket;
 use crate::{Timestamp, hash::name_key};
 
-/// How often daemons speak at least, unless [`UsageBook::set_interval`] says
-/// otherwise.
+/// The longest time between two reports of a daemon, unless [`UsageBook::set_interval`]
+/// changes it.
 const DEFAULT_REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// After so many intervals without a word a daemon counts as silent: that is one
-/// lost datagram and some delay.
+/// A daemon counts as silent after this many intervals without a report: that allows
+/// for one lost datagram and some delay.
 const SILENT_INTERVALS: f64 = 2.4;
-/// From the first of these many intervals without a word on, tokens are left to a
-/// daemon, and from the second on all that it may spend. Both sides of a cut would
-/// otherwise spend the whole bucket before they notice: 690 requests in a window
-/// for 614 in `tests/usage.rs`.
+/// Intervals without a report over which the tokens left to a daemon grow from none to
+/// all that it may spend. Without this, both sides of a network partition would spend
+/// the whole bucket before they notice it: 690 requests in a window for 614 in
+/// `tests/usage.rs`.
 const UNCONFIRMED_INTERVALS: (f64, f64) = (0.35, 1.2);
-/// How much of its burst a customer has at a daemon that knows nothing of what
-/// was spent before it started. Should all daemons restart at once, this is all
-/// that can be spent twice; more of it would be more of an overshoot, less would
-/// refuse requests that are owed.
+/// The fraction of its burst that a customer has at a daemon that has just started and
+/// doesn't know what was spent before. If all daemons restart at once, this is what can
+/// be spent twice: a larger fraction would overshoot more, a smaller one would reject
+/// requests within the customer's limit.
 const RESTART_BURST_FRACTION: f64 = 0.3;
 
-/// Of a customer's burst, the part that a daemon lets in before it tells the others
-/// at once. Within the time in which changes usually gather a customer could have
-/// its whole burst at each daemon.
+/// The fraction of a customer's burst that a daemon admits before it reports at once.
+/// If it always waited for the next regular report, a customer could spend its whole
+/// burst at each daemon meanwhile.
 const UNREPORTED_BURST_FRACTION: f64 = 0.1;
-/// The same for customers with hardly any burst, in requests.
+/// The lower bound of that, in requests, for customers with hardly any burst.
 const MIN_UNREPORTED: f64 = 2.0;
 
-/// The longest time after which a refused caller is told to come back.
+/// The longest delay after which a rejected caller is asked to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
-/// A daemon's part of a customer's tokens counts as no less than this when callers
-/// are told to come back.
+/// The lower bound of a daemon's share of a customer's tokens when retry times are
+/// computed.
 const MIN_SHARE: f64 = 0.05;
-/// Over so long a daemon's part in a customer's requests is measured.
+/// The time over which a daemon's share of a customer's requests is measured.
 const SHARE_WINDOW: Duration = Duration::from_secs(5);
 
-/// In so long steps daemons say when they let requests in.
+/// The resolution of the times at which daemons report to have admitted requests.
 const CLOCK_TICK: Duration = Duration::from_millis(10);
 
-/// The number by which daemons name each other: the hash of their name.
+/// The id by which daemons name each other: the hash of the daemon's name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct PeerId(pub u64);
 
 impl PeerId {
-    /// The id of the daemon with this name.
+    /// Returns the id of the daemon with this name.
     pub fn of_name(name: &str) -> Self {
         PeerId(name_key(name))
     }
 }
 
-/// A customer's limit as the settings in force say.
+/// A customer's limit in the settings in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CustomerLimit {
     /// The hash of the customer's name.
     pub customer: u64,
     /// Requests a second.
     pub rate: f64,
-    /// Requests at once beyond that.
+    /// How many requests it may send at once beyond that.
     pub burst: f64,
 }
 
-/// What one daemon says of one customer.
+/// What one daemon reports of one customer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UsageCount {
     /// The hash of the customer's name.
     pub customer: u64,
-    /// Requests let in since the daemon started.
+    /// Requests admitted since the daemon started.
     pub admitted: u32,
     /// The tokens in its copy of the bucket.
     pub level: f32,
-    /// When these requests were let in; nothing where a daemon doesn't say.
+    /// When these requests were admitted; `None` if the daemon doesn't report it.
     #[serde(skip)]
     pub times: Option<SpendingTimes>,
 }
 
-/// When a daemon let requests in, in steps of 10 ms of a clock of its own, modulo 2^16.
+/// When a daemon admitted requests, in steps of 10 ms of its own clock, modulo 2^16.
 ///
-/// As totals they outlive lost messages: from two of them follows how long before the
-/// later one the requests in between were let in, on average.
+/// These are running totals, so a lost report does no harm: the difference of any two
+/// gives the average age of the requests in between at the time of the later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpendingTimes {
-    /// The sum of the times of all requests that were let in.
+    /// The sum of the times at which all requests so far were admitted.
     pub sum: u16,
-    /// The time at which the daemon says so.
+    /// The time of the report.
     pub told: u16,
 }
 
 impl SpendingTimes {
-    /// How long ago `requests` were let in on average, if these are all since the earlier
-    /// word.
+    /// Returns how long before this report `requests` were admitted on average, if
+    /// these are all since the `earlier` report.
     fn mean_age(self, earlier: SpendingTimes, requests: u32) -> Duration {
         let times = self.sum.wrapping_sub(earlier.sum);
         let total_age = self.told.wrapping_mul(requests as u16).wrapping_sub(times);
@@ -123,16 +123,16 @@
     customer: u64,
     bucket: UsageBucket,
     own_admitted: u32,
-    /// The sum of the times at which these were let in.
+    /// The sum of the times at which these were admitted.
     own_time_sum: u16,
-    /// Of these the others were told.
+    /// How many of them were reported to the other daemons.
     reported: u32,
     own_recent: RecentCount,
-    /// What all daemons let in of it lately. It is kept as one count, since adding
-    /// up those of all daemons for each message takes a large fleet all of its time.
+    /// What all daemons admitted recently. It is kept as one count, since summing over
+    /// all daemons for each message would take all of a daemon's time in a large fleet.
     all_recent: RecentCount,
     last_used: Timestamp,
-    /// Until when refused callers were told to come back.
+    /// The latest retry time given to a rejected caller.
     last_retry_at: Timestamp,
 }
 
@@ -142,9 +142,9 @@
     incarnation: u64,
     last_received_at: Timestamp,
     is_silent: bool,
-    /// Whether it was heard since this daemon started.
+    /// Whether it has reported since this daemon started.
     has_reported: bool,
-    /// Whether it said that it stops: it spends nothing once it is gone.
+    /// Whether it announced that it stops: it spends nothing once it is gone.
     is_leaving: bool,
     /// Sorted by the customer's hash.
     counts: Vec<PeerCount>,
@@ -158,18 +158,18 @@
     recent: RecentCount,
 }
 
-/// What a word tells of a customer's requests.
+/// What a report says of a customer's requests.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedSpending {
-    /// Those let in since the word before.
+    /// Requests admitted since the previous report.
     requests: u32,
-    /// When they were let in, on average; now, where that isn't known.
+    /// When they were admitted on average; the present time if that isn't known.
     admitted_at: Timestamp,
 }
 
 impl PeerCount {
     fn record(&mut self, count: &UsageCount, now: Timestamp) -> ReceivedSpending {
-        // Datagrams may overtake each other; an older one says nothing new.
+        // Datagrams may overtake each other; an older one adds nothing.
         let requests = count.admitted.saturating_sub(self.admitted);
         let mut admitted_at = now;
         if requests > 0 {
@@ -187,7 +187,7 @@
     }
 }
 
-/// Requests of the last seconds, older ones fading.
+/// A count of recent requests that decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
 struct RecentCount {
     count: f64,
@@ -207,7 +207,7 @@
 }
 
 impl UsageBook {
-    /// A book of a daemon that starts now.
+    /// Creates the tracker of a daemon that starts now.
     pub fn new(now: Timestamp) -> Self {
         UsageBook {
             started_at: now,
@@ -217,16 +217,17 @@
         }
     }
 
-    /// Sets how often daemons speak at least. In a large fleet they speak less.
+    /// Sets the longest time between two reports of a daemon. Daemons of a large fleet
+    /// report less often.
     pub fn set_interval(&mut self, interval: Duration) {
         self.silent_after = interval.mul_f64(SILENT_INTERVALS);
         self.unconfirmed_after = unconfirmed_limits(interval);
     }
 
-    /// Takes over the limits of the settings in force.
+    /// Applies the limits of the settings in force.
     ///
-    /// A customer that is new to a daemon which has run for a while has its
-    /// whole burst; one that a daemon finds when it starts may have spent it.
+    /// A customer that is added while the daemon runs has its whole burst; one that the
+    /// daemon finds when it starts may have spent it already.
     pub fn set_limits(&mut self, limits: &[CustomerLimit], now: Timestamp) {
         let is_initial = self.customers.is_empty();
         let mut customers = Vec::with_capacity(limits.len());
@@ -263,8 +264,11 @@
         self.customers = customers;
     }
 
-    /// Lets a request in, or tells when its customer may come back. Customers
-    /// without a limit are always let in.
+    /// Admits a request. Customers without a limit are always admitted.
+    ///
+    /// # Errors
+    ///
+    /// Returns after which time a rejected caller may retry.
     pub fn admit(&mut self, customer: u64, now: Timestamp) -> Result<(), Duration> {
         let Some(index) = self.find(customer) else {
             return Ok(());
@@ -285,8 +289,8 @@
         Ok(())
     }
 
-    /// Whether the others have to hear at once of what was let in of a customer's
-    /// requests.
+    /// Returns whether so many requests of a customer are unreported that the other
+    /// daemons need a report at once.
     pub fn is_tell_urgent(&self, customer: u64) -> bool {
         let Some(index) = self.find(customer) else {
             return false;
@@ -296,7 +300,12 @@
         f64::from(usage.own_admitted.wrapping_sub(usage.reported)) >= max_unreported
     }
 
-    /// Tells when a customer may come back, if a request of it wouldn't be let in.
+    /// Checks whether a request of a customer would be admitted, without taking a
+    /// token.
+    ///
+    /// # Errors
+    ///
+    /// Returns after which time the caller may retry.
     pub fn check(&mut self, customer: u64, now: Timestamp) -> Result<(), Duration> {
         let Some(index) = self.find(customer) else {
             return Ok(());
@@ -312,15 +321,15 @@
         }
     }
 
-    /// Whether this daemon started a moment ago, and takes the others' word for what was
-    /// spent before. Each word it hears lowers its tokens.
+    /// Returns whether this daemon has just started, and relies on the others for what
+    /// was spent before: each report that it receives may lower its levels.
     fn is_recently_started(&self, now: Timestamp) -> bool {
         now.since(self.started_at) < self.silent_after * 2
     }
 
-    /// Whether a request of a customer would be refused just for what daemons may have
-    /// let in since their last word. A word of theirs decides it
-    /// ([`UsageBook::doubted_peers`]).
+    /// Returns whether a request of a customer would be rejected only because peers may
+    /// have admitted requests since their last report. A new report from those peers
+    /// ([`UsageBook::doubted_peers`]) decides it.
     pub fn is_refused_by_doubt(&self, customer: u64, now: Timestamp) -> bool {
         let Some(index) = self
             .find(customer)
@@ -338,7 +347,7 @@
         !is_admitted(unconfirmed) && is_admitted(0.0)
     }
 
-    /// The daemons whose last word is so old that tokens are left to them.
+    /// Returns the daemons whose last report is so old that tokens are left to them.
     pub fn doubted_peers(&self, now: Timestamp) -> Vec<PeerId> {
         let unconfirmed = self.peers.iter().filter(|it| self.is_unconfirmed(it, now));
         unconfirmed.map(|it| it.id).collect()
@@ -348,12 +357,12 @@
         !peer.is_accounted_for() && now.since(peer.last_received_at) > self.unconfirmed_after.0
     }
 
-    /// When a refused caller may come back.
+    /// Returns the delay after which a rejected caller may retry.
     ///
-    /// The next token comes soon, but of the many callers that were refused within
-    /// the same second only one can have it. Told the same moment, they would all
-    /// be refused again. So each is told a moment of its own, as far apart as this
-    /// daemon's part of the customer's tokens comes in.
+    /// The next token comes soon, but only one of the many callers rejected within the
+    /// same second can have it. Given the same time, they would all be rejected again.
+    /// So each gets a time of its own; these are as far apart as the tokens of this
+    /// daemon's share.
     fn assign_retry_after(&mut self, index: usize, wait: Duration, now: Timestamp) -> Duration {
         let own_share = self.own_share(index, now).max(MIN_SHARE);
         let usage = &mut self.customers[index];
@@ -366,14 +375,15 @@
         usage.last_retry_at.since(now)
     }
 
-    /// The tokens in this daemon's copy of a customer's bucket.
+    /// Returns the tokens in this daemon's copy of a customer's bucket; 0 for customers
+    /// without a limit.
     pub fn level(&self, customer: u64) -> f64 {
         let index = self.find(customer);
         index.map_or(0.0, |it| self.customers[it].bucket.level())
     }
 
-    /// Takes in what another daemon said. What it let in since it was last heard
-    /// is charged here.
+    /// Applies a report of another daemon: charges what that daemon admitted since its
+    /// previous report.
     pub fn hear(&mut self, id: PeerId, incarnation: u64, counts: &[UsageCount], now: Timestamp) {
         let index = match self.peers.binary_search_by_key(&id, |it| it.id) {
             Ok(index) => index,
@@ -414,23 +424,24 @@
             let bucket = &mut usage.bucket;
             bucket.fill(reserved, now);
             bucket.charge(f64::from(spent.requests), spent.admitted_at, now);
-            // What was spent before this daemon started is in the others' levels.
+            // Requests from before this daemon started are reflected in the levels of
+            // the other daemons.
             if is_recently_started {
                 bucket.lower_to(f64::from(count.level));
             }
         }
     }
 
-    /// Notes that a daemon stops. What it lets in until then it still tells; after
-    /// that nothing has to be set aside for it.
+    /// Records that a daemon is stopping. It still reports what it admits until then;
+    /// afterwards nothing has to be reserved for it.
     pub fn leave(&mut self, id: PeerId) {
         if let Ok(index) = self.peers.binary_search_by_key(&id, |it| it.id) {
             self.peers[index].is_leaving = true;
         }
     }
 
-    /// Notes the daemons that are expected to speak, and forgets all others:
-    /// those that were lost for good must not hold back a part for ever.
+    /// Sets the daemons that are expected to report, and removes all others: daemons
+    /// lost for good must not hold back a share for ever.
     pub fn set_members(&mut self, members: &[PeerId], now: Timestamp) {
         self.peers.retain(|it| members.contains(&it.id));
         for &id in members {
@@ -449,7 +460,7 @@
         }
     }
 
-    /// Sets aside what daemons that fell silent may spend.
+    /// Reserves what daemons that fell silent may spend, and settles late charges.
     pub fn tick(&mut self, now: Timestamp) {
         self.settle_late_charges();
         for index in 0..self.peers.len() {
@@ -461,9 +472,9 @@
                 continue;
             }
             self.peers[index].is_silent = true;
-            // A daemon that starts has little of the burst anyway; were it to set
-            // aside for all that start after it, a fleet that restarts would refuse
-            // customers who are well within their rates.
+            // A daemon that has just started has little of the burst anyway. If it
+            // reserved tokens for all daemons that start after it, a fleet that
+            // restarts would reject customers who are well within their rates.
             if !self.peers[index].has_reported {
                 continue;
             }
@@ -476,7 +487,7 @@
         }
     }
 
-    /// Settles late charges of the time of which all daemons have spoken.
+    /// Settles late charges up to the time for which all daemons have reported.
     fn settle_late_charges(&mut self) {
         let awaited = self.peers.iter().filter(|it| !it.is_accounted_for());
         let Some(confirmed_at) = awaited.map(|it| it.last_received_at).min() else {
@@ -487,7 +498,7 @@
         }
     }
 
-    /// What this daemon says of its customers: those used in the last seconds.
+    /// Returns this daemon's report: the counts of customers used in the last seconds.
     pub fn own_counts(&mut self, now: Timestamp) -> Vec<UsageCount> {
         let mut counts = Vec::new();
         for customer_index in 0..self.customers.len() {
@@ -518,7 +529,7 @@
             .ok()
     }
 
-    /// The part of a customer's rate that silent daemons may be spending.
+    /// Returns the share of a customer's rate that silent daemons may be spending.
     fn reserved_share(&self, customer: u64, now: Timestamp) -> f64 {
         let mut reserved = 0.0;
         for index in 0..self.peers.len() {
@@ -526,13 +537,14 @@
                 reserved += self.share_of(index, customer, now);
             }
         }
-        // Some rate is always left: a daemon that is alone must serve on.
+        // Some of the rate is always left: a daemon that is cut off from all others
+        // must keep serving.
         let min_left = 1.0 / (self.peers.len() as f64 + 1.0);
         reserved.min(1.0 - min_left)
     }
 
-    /// The part of a customer's tokens that daemons may have spent since their
-    /// last word. Those that count as silent had theirs set aside already.
+    /// Returns the share of a customer's tokens that daemons may have spent since their
+    /// last report. For silent daemons it was reserved already.
     fn unconfirmed_share(&self, customer: u64, now: Timestamp) -> f64 {
         let (begin, full) = self.unconfirmed_after;
         let mut unconfirmed = 0.0;
@@ -547,9 +559,9 @@
         unconfirmed.min(1.0)
     }
 
-    /// A daemon's part of a customer's rate: its part in the requests of the last
-    /// seconds, or an even part if that is more. What it was seen to use fades while
-    /// it isn't heard, but not what it may use.
+    /// Returns a daemon's share of a customer's rate: its share of the recent requests,
+    /// or an even share if that is more. While no report arrives from it, the measured
+    /// usage decays, but the even share stays.
     fn share_of(&self, index: usize, customer: u64, now: Timestamp) -> f64 {
         let even_share = self.even_share();
         let all_requests = self.find(customer).map_or(0.0, |customer_index| {
@@ -561,8 +573,8 @@
         even_share.max(self.peers[index].recent(customer, now) / all_requests)
     }
 
-    /// What is left of a customer's rate to this daemon once all others have had
-    /// their parts of it.
+    /// Returns this daemon's share of a customer's recent requests, or an even share if
+    /// there were none.
     fn own_share(&self, customer_index: usize, now: Timestamp) -> f64 {
         let usage = &self.customers[customer_index];
         let all_requests = usage.all_recent.decayed(now);
@@ -578,17 +590,18 @@
 }
 
 impl PeerUsage {
-    /// Whether nothing is expected of it: it is gone, or its part was set aside.
+    /// Returns whether no report is awaited from it: it is leaving, its share is
+    /// reserved already, or it has never reported.
     fn is_accounted_for(&self) -> bool {
         self.is_silent || self.is_leaving || !self.has_reported
     }
 
-    /// Takes in a count. Returns what was let in since the last one.
+    /// Records a count, and returns what was admitted since the previous one.
     ///
-    /// Of a first count nobody knows how old it is: all of a daemon's life may be in
-    /// it. Charged, a daemon that has just started would refuse customers for
-    /// seconds for what they did minutes ago; so it counts from there on. What this
-    /// misses is the time between two words.
+    /// The first count of a daemon may cover all the time since that daemon started. If it
+    /// were charged, a daemon that has just started would reject customers for seconds
+    /// because of requests from minutes ago. So counting starts from it, which misses the
+    /// requests of one report interval.
     fn record(&mut self, count: &UsageCount, now: Timestamp) -> ReceivedSpending {
         let index = self
             .counts
--- a/crates/policy/src/usage/usage_bucket.rs
+++ b/crates/policy/src/usage/usage_bucket.rs
@@ -1,32 +1,33 @@
-//! One daemon's copy of a customer's tokens.
+//! One daemon's copy of a customer's token bucket.
 
 use std::time::Duration;
 
 use super::late_charges::LateCharges;
 use crate::Timestamp;
 
-/// The longest time after which a refused caller is told to come back.
+/// The longest delay after which a rejected caller is asked to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// A token bucket that several daemons draw from.
 ///
-/// Its level may fall below zero: requests that other daemons let in are
-/// charged when they are heard of, whether or not there were tokens left, so
-/// that what was spent too much is made up for by later refusals.
+/// Its level may fall below zero: requests that other daemons admitted are charged when
+/// they are reported, whether or not tokens were left, so that overspending is made up
+/// for by later rejections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageBucket {
     rate: f64,
     burst: f64,
     level: f64,
-    /// What came in since daemons were last heard that may have spent it. It comes back
-    /// once they say that they haven't.
+    /// Tokens gained since all peers last reported, which unconfirmed peers may have
+    /// spent. They are added to the level once every peer's usage is confirmed.
     withheld: f64,
     late_charges: LateCharges,
     filled_at: Timestamp,
 }
 
 impl UsageBucket {
-    /// A bucket of `rate` tokens a second that holds `burst`, with `level` in it.
+    /// Creates a bucket that gains `rate` tokens a second and holds at most `burst`,
+    /// with `level` tokens in it.
     pub fn new(rate: f64, burst: f64, level: f64, now: Timestamp) -> Self {
         UsageBucket {
             rate,
@@ -39,7 +40,7 @@
     }
 
     /// Fills the bucket up to `now`, less what silent daemons may be spending:
-    /// `reserved` is their part of the rate, from 0 to 1.
+    /// `reserved` is their share of the rate, from 0 to 1.
     pub fn fill(&mut self, reserved: f64, now: Timestamp) {
         let elapsed = now.since(self.filled_at).as_secs_f64();
         let level = self.level + self.rate * elapsed * (1.0 - reserved);
@@ -49,8 +50,8 @@
         self.filled_at = now;
     }
 
-    /// Fills the bucket up to `now`, and withholds what daemons that weren't heard just
-    /// now may be spending: `doubted` is their part of the rate, from 0 to 1.
+    /// Fills the bucket up to `now`, and withholds what daemons with unconfirmed usage
+    /// may be spending: `unconfirmed` is their share of the rate, from 0 to 1.
     pub fn fill_unconfirmed(&mut self, reserved: f64, unconfirmed: f64, now: Timestamp) {
         let elapsed = now.since(self.filled_at).as_secs_f64();
         let gained = self.rate * elapsed * unconfirmed.min(1.0 - reserved);
@@ -65,14 +66,19 @@
         }
     }
 
-    /// Gives up what was withheld: daemons that may have spent it fell silent.
+    /// Discards the withheld tokens: daemons that may have spent them fell silent.
     pub fn discard_withheld(&mut self) {
         self.withheld = 0.0;
     }
 
-    /// Takes one token, or tells when there will be one. The part `doubted` of the
-    /// whole bucket is left to daemons that weren't heard just now: they may have
-    /// spent it.
+    /// Takes one token.
+    ///
+    /// The fraction `unconfirmed` of the burst is left to daemons that may have spent
+    /// it without having reported so yet.
+    ///
+    /// # Errors
+    ///
+    /// Returns how long it takes until a token is available.
     pub fn take(&mut self, unconfirmed: f64) -> Result<(), Duration> {
         let level = self.level - self.burst * unconfirmed;
         if level >= 1.0 {
@@ -84,26 +90,26 @@
         Err(Duration::try_from_secs_f64(wait).map_or(MAX_RETRY_AFTER, |it| it.min(MAX_RETRY_AFTER)))
     }
 
-    /// Charges requests that another daemon let in at `since`.
+    /// Charges requests that another daemon admitted at `admitted_at`.
     pub fn charge(&mut self, requests: f64, admitted_at: Timestamp, now: Timestamp) {
         self.level -= requests;
         self.late_charges.record_charge(requests, admitted_at, now);
     }
 
-    /// Gives back what was lost before late charges were known of. All daemons were heard at
-    /// `heard` or later.
+    /// Refunds tokens that overflowed only because charges arrived late. All daemons
+    /// have reported at `confirmed_at` or later.
     pub fn settle_late_charges(&mut self, confirmed_at: Timestamp) {
         self.level = (self.level + self.late_charges.settle(confirmed_at)).min(self.burst);
     }
 
-    /// Sets aside the part of the whole bucket that a silent daemon may spend.
+    /// Removes the fraction of the burst that a silent daemon may spend.
     pub fn reserve(&mut self, fraction: f64) {
         if self.level > 0.0 {
             self.level = (self.level - self.burst * fraction).max(0.0);
         }
     }
 
-    /// Takes over the level of a daemon that has counted for longer, if it is
+    /// Lowers the level to that of a daemon that has counted for longer, if that is
     /// lower.
     pub fn lower_to(&mut self, level: f64) {
         self.level = self.level.min(level);
@@ -116,17 +122,17 @@
         self.level = self.level.min(burst);
     }
 
-    /// Tokens a second.
+    /// Returns the tokens gained a second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// The tokens that the bucket holds at most.
+    /// Returns the most tokens that the bucket holds.
     pub fn burst(&self) -> f64 {
         self.burst
     }
 
-    /// The tokens in the bucket.
+    /// Returns the tokens in the bucket; negative if more was spent than it held.
     pub fn level(&self) -> f64 {
         self.level
     }
