--- a/crates/policy/src/bulk/bulk_gate.rs
+++ b/crates/policy/src/bulk/bulk_gate.rs
@@ -18,8 +18,8 @@
     pub report_lag: Duration,
     /// The longest acceptable gap between two tokens of a live answer.
     pub token_gap: Duration,
-    /// The least time between two starts of bulk items on one server. Each start delays
-    /// the server's next step while its prompt is read.
+    /// The shortest time between two starts of bulk items on one server. Each start
+    /// delays the server's next step while its prompt is read.
     pub start_gap: Duration,
     /// For how many standard deviations of the arrivals within a reaction time capacity
     /// is kept free. With three it falls short in about one reaction time in a
--- a/crates/policy/src/lots/claim_doubt.rs
+++ b/crates/policy/src/lots/claim_doubt.rs
@@ -1,29 +1,30 @@
-//! Whether a daemon may begin items of a lot whose claim it isn't sure of.
+//! Whether a daemon may begin items of a lot whose claim it isn't sure to hold.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// A daemon that says nothing for so long was out of touch, or this one was. Words of
-/// daemons get lost one by one, but not for such a time. A daemon that does nothing for
-/// so long stood still.
+/// Silence of this length means that a daemon, or this one, was out of contact: single
+/// reports get lost, but not all of them for so long. A daemon that does nothing for so
+/// long was suspended.
 const MIN_OUTAGE_SILENCE: Duration = Duration::from_secs(3);
 
-/// Whether a daemon of which there is a sign now was out of touch before. `last_sign` is
-/// the one before.
+/// Returns whether a daemon from which a message arrives now was out of contact before.
+/// `last_sign` is the time of its previous message.
 pub fn was_out_of_touch(last_sign: Option<Timestamp>, now: Timestamp) -> bool {
     last_sign.is_some_and(|it| now.since(it) >= MIN_OUTAGE_SILENCE)
 }
 
-/// Whether a daemon may begin items of a lot that it runs. `certain_at` is the moment
-/// at which its claim certainly held last, `regained_at` the last one at which it heard
-/// a daemon that had been out of touch, or went on after a standstill.
+/// Returns whether a daemon may begin items of a lot that it runs. `certain_at` is the
+/// last time at which its claim certainly held. `regained_at` is the last time at which
+/// it received a report from a daemon that had been out of contact, or resumed after a
+/// suspension.
 ///
-/// While the store is away for everybody nobody can take a lot over or end it, so items
-/// run on though the claim lapses. A daemon that was cut off or stood still can't tell
-/// this from a claim that is gone: its customer may have ended the lot long ago, and
-/// nobody repeats the end any more. Once it hears others again it learns from the
-/// store what holds; until then its servers would go on with what nobody wants.
+/// While the store is unavailable to everyone, no daemon can take a lot over or end it,
+/// so items run on although the claim expires. A daemon that was cut off or suspended
+/// can't tell this from a lost claim: its customer may have ended the lot long ago, and
+/// that end isn't repeated. Once it receives reports again, it learns from the store
+/// which claims hold; until then its servers would run items that are no longer wanted.
 pub fn may_begin_items(certain_at: Timestamp, regained_at: Option<Timestamp>) -> bool {
     regained_at.is_none_or(|it| it <= certain_at)
 }
--- a/crates/policy/src/lots/copy_proof.rs
+++ b/crates/policy/src/lots/copy_proof.rs
@@ -1,66 +1,68 @@
-//! Whether a daemon may answer a reader of a lot from its own copy.
+//! When a daemon may answer a reader of a lot's results from its own copy.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// "There is no result at this position" may be said for so long after it was
-/// certain. What one reader was shown, others expect to see within a second; the
-/// doubt about a write under way ([`WRITE_DOUBT`]) comes on top, and the way of a
-/// daemon's word, which is left 0.4 s.
+/// How long after the copy was proved complete a reader may be told that there is no
+/// result at a position. Results that one reader was sent are expected to be visible to
+/// others within a second. That second also covers an undecided write
+/// ([`UNDECIDED_WRITE_LIMIT`]) and the delivery of a daemon's report, for which 0.4 s
+/// are left.
 const EMPTY_PROOF_LIFETIME: Duration = Duration::from_millis(400);
-/// The same where the look for more took its time: what it found is how things were
-/// when it began.
+/// The same after a query for more results that took its time: its answer describes the
+/// state at the time when it began.
 const DELAYED_PROOF_LIFETIME: Duration = Duration::from_millis(600);
-/// Results that are there are shown for so long without a look for further ones: they
-/// never change, and the reader comes back for the rest.
+/// How long existing results are sent without a query for further ones: results never
+/// change, and the reader comes back for the rest.
 const FILLED_PROOF_LIFETIME: Duration = Duration::from_secs(5);
-/// A daemon speaks for all results of a lot for so long while a write of its own has
-/// no answer. The store may hold more by then than the daemon knows of.
+/// How long a daemon whose own write has no answer yet may still confirm that it knows
+/// all results of a lot. After that the store may hold more than the daemon knows of.
 const UNDECIDED_WRITE_LIMIT: Duration = Duration::from_millis(200);
 
-/// What a daemon that runs a lot says of its results.
+/// What the daemon that runs a lot reports of its results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunnerVouch {
     /// How many results there are.
     pub results: usize,
-    /// When this was heard.
+    /// When this report arrived.
     pub heard_at: Timestamp,
 }
 
 /// A daemon's copy of a lot's results.
 ///
-/// Results are only appended, by the daemon that holds the claim. So a copy is
-/// proved to be complete, as of a moment, by the store or by that daemon while its
-/// claim certainly holds; by nothing else. That daemons are heard proves nothing: one
-/// that is lost right after a write has told nobody, and in its next life it knows
-/// nothing of it.
+/// Results are only appended, by the daemon that holds the claim. So only the store, or
+/// that daemon while its claim certainly holds, can prove that a copy was complete at
+/// some time. Reports from the other daemons prove nothing: a daemon that is lost right
+/// after a write has told none of them, and its next incarnation knows nothing of that
+/// write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyState {
     /// How many results it has.
     pub results: usize,
     /// Whether there will never be more.
     pub is_final: bool,
-    /// When it was last proved to have them all.
+    /// When it was last proved to be complete.
     pub proved_at: Timestamp,
 }
 
-/// What a reader wants.
+/// What a reader requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReaderPosition {
     /// The first position that it wants.
     pub after: usize,
-    /// When it asked.
+    /// When it sent the request.
     pub asked_at: Timestamp,
 }
 
 impl CopyState {
-    /// Whether the copy has a result for a reader.
+    /// Returns whether the copy has a result for a reader.
     pub fn serves(&self, reader: ReaderPosition) -> bool {
         self.results > reader.after
     }
 
-    /// Whether it has to be looked for further results before a reader is answered.
+    /// Returns whether the store or the runner has to be queried for further results
+    /// before a reader is answered.
     pub fn is_doubtful(
         &self,
         reader: ReaderPosition,
@@ -70,7 +72,8 @@
         if self.is_final {
             return false;
         }
-        // A reader that was shown more elsewhere is the proof that the copy is behind.
+        // The reader was sent more results elsewhere, which proves that the copy is
+        // incomplete.
         if self.is_behind(reader) {
             let is_outdated = self.proved_at < reader.asked_at;
             return is_outdated || now.since(self.proved_at) > EMPTY_PROOF_LIFETIME;
@@ -85,19 +88,20 @@
         now.since(self.last_proved_at(report)) > proof_lifetime
     }
 
-    /// Whether a reader knows of results that the copy lacks.
+    /// Returns whether a reader knows of results that the copy lacks.
     pub fn is_behind(&self, reader: ReaderPosition) -> bool {
         !self.is_final && reader.after > self.results
     }
 
-    /// Whether the daemon that runs the lot told of more results. They never go, so that
-    /// this is true however old its word is, and whatever a look has brought.
+    /// Returns whether the daemon that runs the lot reported more results than the copy
+    /// has. Results are never removed, so this holds however old the report is, and
+    /// whatever a query has returned.
     pub fn falls_short(&self, report: Option<RunnerVouch>) -> bool {
         !self.is_final && report.is_some_and(|it| it.results > self.results)
     }
 
-    /// Whether a reader may be told that there is nothing for it, after a look that
-    /// may have taken its time.
+    /// Returns whether a reader may be told that there are no results for it, after a
+    /// query that may have taken its time.
     pub fn proves_nothing_there(
         &self,
         reader: ReaderPosition,
@@ -119,9 +123,9 @@
     }
 }
 
-/// Whether a daemon that runs a lot under a claim that holds may speak for all of its
-/// results. `undecided_since` is the moment at which it began a write that has no
-/// answer yet.
+/// Returns whether a daemon that runs a lot under a valid claim may confirm that it
+/// knows all of its results. `undecided_since` is the time at which it began a write
+/// that has no answer yet.
 pub fn knows_all_results(undecided_since: Option<Timestamp>, now: Timestamp) -> bool {
     undecided_since.is_none_or(|it| now.since(it) <= UNDECIDED_WRITE_LIMIT)
 }
--- a/crates/policy/src/lots/hold_limit.rs
+++ b/crates/policy/src/lots/hold_limit.rs
@@ -1,25 +1,26 @@
-//! How many lots a daemon holds at once.
+//! The limit on the lots that a daemon holds at once.
 
-/// The lots that a daemon holds at once, and the bytes of their items, which bind first
-/// where lots are large.
+/// The limits on the lots that a daemon holds at once and on the bytes of their items;
+/// the bytes are reached first where lots are large.
 const MAX_LOTS: usize = 256;
 const MAX_BYTES: usize = 32 << 20;
 
-/// What a daemon holds of lots that it runs.
+/// The size of the lots that a daemon holds to run them.
 ///
-/// Items are ranked among the lots that are held. In a flood the first lots are late
-/// before they are done, and stay until they are given up; were no others held meanwhile,
-/// these would be late too before their turn comes (`tests/start_order.rs`).
+/// Items are ranked among the lots that are held. In a burst of lots the first ones are
+/// late before they are done, and are held until they are given up. If no others were
+/// held meanwhile, those would be late too before their turn comes
+/// (`tests/start_order.rs`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeldSize {
-    /// How many lots, those that are being claimed included.
+    /// How many lots, including those that are being claimed.
     pub lots: usize,
     /// The bytes of their items.
     pub bytes: usize,
 }
 
 impl HeldSize {
-    /// Whether one more may be claimed.
+    /// Returns whether one more lot may be claimed.
     pub fn has_room(self) -> bool {
         self.lots < MAX_LOTS && self.bytes < MAX_BYTES
     }
--- a/crates/policy/src/lots/home_daemon.rs
+++ b/crates/policy/src/lots/home_daemon.rs
@@ -1,14 +1,14 @@
-//! Which daemon sends bulk work to a backend server.
+//! The choice of the daemon that sends bulk work to a backend server.
 
 use sha2::{Digest, Sha256};
 
-/// The daemon through which alone bulk work reaches a server.
+/// Returns the home daemon of a server, the only one that sends bulk work to it.
 ///
-/// Rendezvous hashing: each daemon of the zone works it out from the list it
-/// has, without talking. A daemon that comes or goes moves only the servers that
-/// it gains or leaves behind. While lists differ, two daemons may both believe
-/// to be a server's home; each then holds its bulk work back by what live work
-/// it measures, as for any other load it doesn't know of.
+/// The choice uses rendezvous hashing: each daemon of the zone computes it from its own
+/// list, without communication. A daemon that joins or leaves moves only the servers
+/// that it gains or leaves behind. While lists differ, two daemons may both consider
+/// themselves a server's home; each then limits its bulk work by the live work that it
+/// measures, as for any other load that it doesn't know of.
 pub fn home_daemon<'a>(server: &str, daemons: &[&'a str]) -> Option<&'a str> {
     let score = |daemon: &str| {
         Sha256::new()
--- a/crates/policy/src/lots/item_tries.rs
+++ b/crates/policy/src/lots/item_tries.rs
@@ -1,4 +1,4 @@
-//! What is tried again, and what is given up.
+//! Which items are retried, and which are given up.
 
 use std::time::Duration;
 
@@ -6,14 +6,15 @@
 
 use crate::Timestamp;
 
-/// How often an item was tried in vain.
+/// The failed attempts of an item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ItemTries {
     /// Runs that ended in a server's fault.
     pub faults: u32,
-    /// Those of them that speak against the item, since others went through.
+    /// Those of them that count against the item, since other items succeeded
+    /// meanwhile.
     pub own_faults: u32,
-    /// Whether a probe must tell whose fault the last one was.
+    /// Whether a probe must find out if the server or the item caused the last fault.
     pub needs_probe: bool,
     /// Backend servers that crashed while it ran.
     pub crashes: u8,
@@ -22,7 +23,7 @@
 /// Why an item is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// It failed time and again while other items went through.
+    /// It failed repeatedly while other items succeeded.
     FailsAlone,
     /// A second backend server crashed while it ran.
     CrashesServers,
@@ -31,31 +32,31 @@
 /// What to do with an item after a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryVerdict {
-    /// Run it again, not before this moment.
+    /// Run it again, at this time at the earliest.
     Retry(Timestamp),
-    /// Record an error.
+    /// Record an error as the item's result.
     GiveUp(GiveUpReason),
 }
 
-/// Tells an item that can never be done from a server's fault.
+/// Distinguishes an item that can never succeed from a server's fault.
 ///
-/// A fault speaks against the item only if other items went through in the
-/// meantime. Where there were none, as at the end of a lot, a probe is sent in
-/// place of the item's next run: without it, a lot whose last item can never be
-/// done would not end. While nothing goes through, the servers are at fault: the
-/// item waits, however long that takes, and isn't failed for it.
+/// A fault counts against the item only if other items succeeded in the meantime. Where
+/// there were none, as at the end of a lot, a probe is sent in place of the item's next
+/// run: without it, a lot whose last item can never succeed would not end. While
+/// nothing succeeds, the servers are at fault: the item waits, however long that takes,
+/// and isn't failed for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TryPolicy {
-    /// So many faults of its own end an item.
+    /// The number of faults of its own at which an item is given up.
     pub max_own_faults: u32,
-    /// So many other items must have gone through since the item's last fault
-    /// for the next one to count as its own.
+    /// How many other items must have succeeded since the item's last fault for the
+    /// next one to count as its own.
     pub min_other_successes: u64,
-    /// So many crashes end an item.
+    /// The number of crashes at which an item is given up.
     pub max_crashes: u8,
-    /// The pause after the first fault; it doubles with each.
+    /// The backoff after the first fault; it doubles with each.
     pub backoff: Duration,
-    /// The longest pause.
+    /// The longest backoff.
     pub max_backoff: Duration,
 }
 
@@ -72,8 +73,8 @@
 }
 
 impl TryPolicy {
-    /// Judges a server's fault, with the number of other items of the same
-    /// model that went through since the item's run began.
+    /// Records a server's fault. `others_done` is the number of other items of the same
+    /// model that succeeded since the item's run began.
     pub fn fault(
         &self,
         tries: &mut ItemTries,
@@ -89,7 +90,7 @@
         self.verdict(tries, now + self.backoff_after(tries.faults, random))
     }
 
-    /// Judges the last fault by whether a probe went through.
+    /// Decides on the last fault by whether a probe succeeded.
     pub fn probe(
         &self,
         tries: &mut ItemTries,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Judges the loss of a backend server while the item ran on it.
+    /// Records that a backend server crashed while the item ran on it.
     pub fn crash(
         &self,
         tries: &mut ItemTries,
@@ -126,8 +127,8 @@
         TryVerdict::Retry(now + self.backoff_after(1, random))
     }
 
-    /// A doubling pause, spread over its upper half so that the items of one
-    /// outage don't all come back at once.
+    /// Returns a doubling backoff, randomized over its upper half so that the items of
+    /// one outage don't all return at once.
     fn backoff_after(&self, faults: u32, random: &mut impl Rng) -> Duration {
         let doubled = self
             .backoff
--- a/crates/policy/src/lots/lot_forecast.rs
+++ b/crates/policy/src/lots/lot_forecast.rs
@@ -1,16 +1,16 @@
-//! Whether a lot will make its due time.
+//! The forecast whether a lot will be done by its due time.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Over which time the pace is averaged: long enough to bridge the writes of
-/// grouped results, short enough to notice a lasting burst of live work.
+/// The time over which the pace is averaged: long enough to bridge the gaps between
+/// writes of grouped results, short enough to notice a lasting burst of live work.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(300);
-/// No pace is judged before a lot was seen for this long.
+/// The time for which a lot must have been observed before its pace counts.
 const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(60);
 
-/// Measures how many items of a lot are recorded a second, by the whole fleet.
+/// Measures how many items of a lot the whole fleet records a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PaceMeter {
     first_observed_at: Option<Timestamp>,
@@ -20,7 +20,7 @@
 }
 
 impl PaceMeter {
-    /// Takes in how many items are recorded by now.
+    /// Updates the pace with the number of items recorded by now.
     pub fn observe(&mut self, items: u32, now: Timestamp) {
         if self.first_observed_at.is_none() {
             *self = PaceMeter {
@@ -45,13 +45,14 @@
         self.items = items;
     }
 
-    /// Items a second, once the lot was seen for long enough.
+    /// Returns the pace in items a second, or `None` until the lot was observed for
+    /// long enough.
     pub fn pace(&self, now: Timestamp) -> Option<f64> {
         let first_observed_at = self.first_observed_at?;
         (now.since(first_observed_at) >= MIN_OBSERVATION_TIME).then_some(self.pace)
     }
 
-    /// How long so many items will take, or nothing while that is unknown.
+    /// Returns how long `left` items will take, or `None` while the pace is unknown.
     pub fn needs(&self, left: u32, now: Timestamp) -> Option<Duration> {
         let pace = self.pace(now)?;
         let seconds = f64::from(left) / pace.max(f64::MIN_POSITIVE);
@@ -59,19 +60,19 @@
     }
 }
 
-/// Whether a lot will make its due time.
+/// Whether a lot will be done by its due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LotForecast {
     /// At its present pace it will, or its pace isn't known yet.
     OnTime,
-    /// At its present pace it will miss it by this much.
+    /// At its present pace it will miss its due time by this much.
     WillBeLate(Duration),
-    /// It has missed it by this much.
+    /// It has missed its due time by this much.
     IsLate(Duration),
 }
 
 impl LotForecast {
-    /// Judges a lot that is due at `due` and needs `needs` from now.
+    /// Returns the forecast for a lot that is due at `due` and needs `needs` from now.
     pub fn judge(due: Timestamp, needs: Option<Duration>, now: Timestamp) -> Self {
         if now > due {
             return LotForecast::IsLate(now.since(due));
--- a/crates/policy/src/lots/lot_ranking.rs
+++ b/crates/policy/src/lots/lot_ranking.rs
@@ -1,19 +1,19 @@
-//! Which open lot goes first.
+//! The order in which open lots are served.
 
 use std::time::Duration;
 
 use crate::{CustomerId, Timestamp};
 
-/// A lot, as numbered by whoever keeps the open lots.
+/// A lot, by the number that the table of open lots gave it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LotKey(pub u32);
 
-/// What ranking needs to know of an open lot.
+/// What the ranking needs to know of an open lot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RankedLot {
     /// The lot.
     pub lot: LotKey,
-    /// Whose it is.
+    /// The customer that owns it.
     pub customer: CustomerId,
     /// When it is due, on this process's clock.
     pub due: Timestamp,
@@ -40,18 +40,19 @@
 
 /// Orders open lots.
 ///
-/// Customers share bulk capacity by served tokens over weight: the one served
-/// least goes first, so that a lot of 99,000 items doesn't hold up another
-/// customer's lot of 20. A lot that is short of time gets a lead of some tokens,
-/// which is bounded: stating short due times can't starve anybody. A customer's
-/// own lots go by due time.
+/// Customers share bulk capacity by served tokens relative to their weight: the
+/// customer served least goes first, so that a lot of 99,000 items doesn't delay
+/// another customer's lot of 20. A lot that is short of time gets a lead of some
+/// tokens. The lead is bounded, so that stating short due times can't starve other
+/// customers. A customer's own lots go by due time.
 #[derive(Clone, Debug)]
 pub struct LotRanking {
-    /// The greatest lead of a lot that is out of time, in tokens over weight.
+    /// The lead of a lot that is out of time, in tokens relative to the weight; no lead
+    /// is larger.
     pub max_lead: f64,
-    /// A lot with more time to spare than this has no lead. A lot that needs
-    /// long gets its lead earlier: as soon as it has less to spare than it
-    /// still needs.
+    /// A lot with more slack than this has no lead. A lot that needs longer than this
+    /// gets its lead earlier: as soon as its slack is less than the time that it still
+    /// needs.
     pub ample_slack: Duration,
     customers: Vec<CustomerShare>,
 }
@@ -67,10 +68,11 @@
 }
 
 impl LotRanking {
-    /// Sets a customer's part of the capacity.
+    /// Sets a customer's weight, its share of the capacity.
     pub fn set_weight(&mut self, customer: CustomerId, weight: f64) {
-        // A weight of zero would make its tokens infinitely dear and a negative
-        // one would turn the order round; settings are checked, data may not be.
+        // A weight of zero would make its tokens infinitely expensive, and a negative
+        // one would reverse the order. Settings are validated, but stored data may not
+        // be.
         self.share_mut(customer).weight = if weight > 0.0 {
             weight
         } else {
@@ -78,9 +80,9 @@
         };
     }
 
-    /// Says which customers have open lots now. One that comes back after a
-    /// pause starts level with the least served of the others: it must neither
-    /// claim what it didn't ask for nor pay for having been served alone.
+    /// Sets which customers have open lots now. A customer that returns starts level
+    /// with the least served of the active ones: it must neither be owed capacity that
+    /// it didn't request nor pay for having been served alone.
     pub fn set_active(&mut self, active: &[CustomerId]) {
         let min_served = self.min_served();
         for &customer in active {
@@ -95,21 +97,21 @@
         }
     }
 
-    /// Counts tokens as served. Negative ones give back what was estimated too
-    /// high.
+    /// Charges a customer for served tokens. A negative number refunds an estimate that
+    /// was too high.
     pub fn charge(&mut self, customer: CustomerId, tokens: f64) {
         let share = self.share_mut(customer);
         share.served += tokens / share.weight;
     }
 
-    /// A customer's served tokens over its weight.
+    /// Returns a customer's served tokens, divided by its weight.
     pub fn served(&self, customer: CustomerId) -> f64 {
         self.customers
             .get(customer.index())
             .map_or(0.0, |it| it.served)
     }
 
-    /// Puts the lots in order, the first to be served first.
+    /// Sorts the lots, the first to be served first.
     pub fn sort(&self, lots: &mut [RankedLot], now: Timestamp) {
         lots.sort_by(|a, b| {
             let scores = self.score(a, now).total_cmp(&self.score(b, now));
@@ -121,7 +123,7 @@
         self.served(lot.customer) - self.max_lead * self.urgency(lot, now)
     }
 
-    /// From 0 (time to spare) to 1 (late, or sure to be).
+    /// Returns a value from 0 (ample slack) to 1 (late, or sure to be).
     fn urgency(&self, lot: &RankedLot, now: Timestamp) -> f64 {
         let slack = lot.due.since(now).saturating_sub(lot.needs);
         let ample = self.ample_slack.max(lot.needs);
--- a/crates/policy/src/lots/mod.rs
+++ b/crates/policy/src/lots/mod.rs
@@ -1,20 +1,21 @@
-//! Decisions about lots: who goes first, what is tried again, when results are
-//! written.
+//! Decisions about lots: which goes first, what is retried, when results are written.
 //!
-//! - [`LotRanking`] orders open lots by the customers' served tokens and the
+//! - [`LotRanking`] orders open lots by the tokens served to their customers and the
 //!   time left to each lot.
-//! - [`LotForecast`] tells early which lot will miss its due time.
+//! - [`LotForecast`] tells early which lots will miss their due time.
 //! - [`SegmentChoice`] picks the segment to claim next.
-//! - [`TryPolicy`] tells an item that can never be done from a server's fault.
-//! - [`home_daemon`] says through which daemon bulk work reaches a server; how
-//!   much it gets is decided by [`crate::bulk`].
-//! - [`CopyState`] says when a copy of a lot's results may be shown.
-//! - [`may_begin_items`] says whether a daemon back from a cut may go on with a lot.
+//! - [`TryPolicy`] distinguishes an item that can never succeed from a server's fault.
+//! - [`home_daemon`] names the daemon through which bulk work reaches a server;
+//!   [`crate::bulk`] decides how much of it.
+//! - [`CopyState`] decides when a reader may be answered from a copy of a lot's
+//!   results.
+//! - [`may_begin_items`] decides whether a daemon that lost contact may go on with a
+//!   lot.
 //! - [`StartRank`] orders items that wait while all slots are taken.
 //! - [`TokenLedger`] bounds the tokens of a customer's lots that wait on a route.
 //! - [`choose_runner`] gives an accepted lot to a daemon that has less to do.
 //! - [`HeldSize`] bounds the lots that a daemon holds at once.
-//! - [`ResultGrouping`] says when a group of results is written.
+//! - [`ResultGrouping`] decides when a group of results is written.
 //!
 //! See `docs/LOTS.md`.
 
--- a/crates/policy/src/lots/result_grouping.rs
+++ b/crates/policy/src/lots/result_grouping.rs
@@ -4,13 +4,13 @@
 
 use crate::Timestamp;
 
-/// Groups results by size and time: each write costs the platform a call, and
-/// each result not yet written is run again if its daemon is lost.
+/// Groups results by size and age: each write costs the store a call, and each result
+/// that isn't written yet is run again if its daemon is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResultGrouping {
-    /// A group of so many bytes is written at once.
+    /// The size in bytes at which a group is written at once.
     pub max_bytes: usize,
-    /// A group is written once its oldest result is this old.
+    /// The age of its oldest result at which a group is written.
     pub max_age: Duration,
 }
 
@@ -24,8 +24,8 @@
 }
 
 impl ResultGrouping {
-    /// When a group with so many bytes, whose first result came at `oldest`,
-    /// is to be written.
+    /// Returns when a group of `bytes` bytes whose first result came at `oldest` is to
+    /// be written.
     pub fn due(&self, bytes: usize, oldest: Timestamp) -> Timestamp {
         match bytes >= self.max_bytes {
             true => oldest,
--- a/crates/policy/src/lots/runner_choice.rs
+++ b/crates/policy/src/lots/runner_choice.rs
@@ -1,4 +1,4 @@
-//! Which daemon is asked to run a lot that was just accepted.
+//! The choice of the daemon that runs an accepted lot.
 
 use rand::{Rng, seq::IndexedRandom};
 
@@ -9,16 +9,16 @@
 pub struct RunnerLoad {
     /// The daemon.
     pub runner: PeerId,
-    /// The items that it has to run still, those on their way to it included.
+    /// The items that it still has to run, including those on their way to it.
     pub items: u32,
 }
 
-/// Chooses the daemon for a lot: the one with less to do of two that are drawn.
+/// Chooses the daemon for a lot: of two drawn at random, the one with less to do.
 ///
-/// Chosen by a hash of the lot, one daemon has many items waiting while others run dry.
-/// Were all daemons to choose the one with the least to do, a burst of lots would go to a
-/// single one before it can tell what it has. A lot whose daemon is lost is claimed by
-/// another all the same.
+/// With a choice by a hash of the lot, one daemon has many items waiting while others
+/// run dry. If all daemons chose the one with the least to do, a burst of lots would go
+/// to a single daemon before it can report its load. A lot whose daemon is lost is
+/// still claimed by another.
 ///
 /// `tests/runner_choice.rs` replays a burst.
 pub fn choose_runner(runners: &[RunnerLoad], random: &mut impl Rng) -> Option<PeerId> {
@@ -26,16 +26,16 @@
     drawn.min_by_key(|it| it.items).map(|it| it.runner)
 }
 
-/// How many items more than another one a daemon has to have, beside those of the lot,
-/// before it hands a lot over: each time costs three calls to the store.
+/// How many more items than another daemon a daemon must have, beside those of the lot,
+/// before it hands a lot over: each handover costs three calls to the store.
 const MIN_HANDOVER_GAP: u32 = 40;
 
-/// Chooses the daemon to which one with `own` items hands a lot of `moved` items over, if
-/// it is to hand it over at all: the one with the least to do, where that is still less
-/// than what is left here.
+/// Chooses the daemon to which a daemon with `own` items hands over a lot of `moved`
+/// items: the one with the least to do, if that is still clearly less than what is left
+/// here.
 ///
-/// After a restart of all VMs the first daemon that is back finds all lots with nobody to
-/// run them, claims them, and would run them alone.
+/// After a restart of all VMs, the first daemon that is back finds all lots without a
+/// runner, claims them, and would otherwise run them alone.
 pub fn choose_successor(own: u32, moved: u32, others: &[RunnerLoad]) -> Option<PeerId> {
     let least_loaded = others.iter().min_by_key(|it| (it.items, it.runner))?;
     let required = least_loaded
--- a/crates/policy/src/lots/waiting_tokens.rs
+++ b/crates/policy/src/lots/waiting_tokens.rs
@@ -1,4 +1,4 @@
-//! How many tokens of a customer's lots may wait on a route, over all daemons.
+//! The limit on the tokens of a customer's lots that wait on a route, over all daemons.
 
 use std::time::Duration;
 
@@ -6,80 +6,81 @@
 
 use crate::Timestamp;
 
-/// Beyond this many lots a ledger is long enough to be worth a look at which of them
-/// are still open.
+/// The number of lots above which a ledger is compared with the open lots, since some
+/// of its lots may be finished.
 const MAX_UNCHECKED_LOTS: usize = 96;
-/// When a caller may come back while nothing is known of how fast tokens come back.
+/// The delay after which a caller may retry while the return rate of tokens is unknown.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// No caller is told to come back sooner: the ledger isn't looked at more often.
+/// The shortest delay after which a caller may retry: the ledger isn't compared more
+/// often.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// How much a new measurement counts in the mean.
+/// The weight of a new sample in the mean.
 const SAMPLE_WEIGHT: f64 = 0.5;
 
-/// What of a lot still waits, at most.
+/// The part of a lot that still waits, or an upper bound of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingLot {
     /// The lot.
     pub lot: String,
-    /// The tokens of its items that have no result, or more.
+    /// The tokens of its items without a result; may be too high, but never too low.
     pub tokens: u64,
 }
 
-/// What becomes of a lot that is handed in.
+/// Whether a submitted lot is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenVerdict {
-    /// It fits.
+    /// It fits within the bound.
     Fits,
     /// It was accepted before.
     Known,
-    /// There is room once so many tokens have come back.
+    /// There will be capacity once this many tokens have returned.
     Full {
         /// The tokens that are missing.
         missing: u64,
     },
-    /// It is larger than the bound: there will never be room.
+    /// It is larger than the bound, so it can never be accepted.
     NeverFits,
 }
 
-/// The lots of one customer on one route that may still wait: the count that bounds
-/// them.
+/// The lots of one customer on one route that may still wait, with their tokens.
 ///
-/// It lies in the store, and every lot is accepted by a write that holds only if the
-/// ledger is still the one that was counted. So two daemons can't both use the same
-/// room, a late write finds the ledger changed, and a lost daemon leaves no count
-/// behind. A ledger may show more than there is, never less: lots leave it only once
-/// they are seen to be finished or ended, which the next one to write it notes.
+/// The ledger lies in the store, and every lot is accepted by a write that succeeds
+/// only if the ledger is unchanged since it was read. So two daemons can't both use the
+/// same capacity, a delayed write finds the ledger changed, and a lost daemon leaves no
+/// count behind. A ledger may count more than there is, never less: lots are removed
+/// only once they are seen to be finished or ended, by the next daemon that writes the
+/// ledger.
 ///
-/// The load that decides is one customer's flood of lots at several daemons at once;
+/// The load that shaped it is one customer's burst of lots at several daemons at once;
 /// `tests/waiting_tokens.rs` replays it. See docs/PLATFORM.md.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenLedger {
-    /// The bound by which it was last compared with the open lots. Before that bound
-    /// was set, lots may have been accepted without being noted.
+    /// The bound for which the ledger was last compared with the open lots. Before that
+    /// bound was set, lots may have been accepted without being recorded.
     bound: u64,
     /// Sorted by id.
     lots: Vec<WaitingLot>,
 }
 
 impl TokenLedger {
-    /// The tokens that wait, at most.
+    /// Returns the most tokens that may wait.
     pub fn total(&self) -> u64 {
         let tokens = self.lots.iter().map(|it| it.tokens);
         tokens.fold(0, u64::saturating_add)
     }
 
-    /// The lots that it holds, sorted by id.
+    /// Returns the lots in the ledger, sorted by id.
     pub fn lots(&self) -> &[WaitingLot] {
         &self.lots
     }
 
-    /// Whether it has to be compared with the open lots before it decides: it was
-    /// counted by another bound, or has become long.
+    /// Returns whether the ledger has to be compared with the open lots before it
+    /// decides: it was compared for another bound, or has become long.
     pub fn is_doubtful(&self, bound: u64) -> bool {
         self.bound != bound || self.lots.len() > MAX_UNCHECKED_LOTS
     }
 
-    /// Whether a lot fits.
+    /// Decides whether a lot fits within `bound`.
     pub fn judge(&self, lot: &WaitingLot, bound: u64) -> TokenVerdict {
         if self.position(&lot.lot).is_ok() {
             return TokenVerdict::Known;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Notes a lot, or that more of it waits than is known.
+    /// Adds a lot, or raises the waiting tokens of a lot that is in the ledger.
     pub fn add(&mut self, lot: WaitingLot) {
         match self.position(&lot.lot) {
             Ok(position) => self.lots[position].tokens = self.lots[position].tokens.max(lot.tokens),
@@ -102,8 +103,9 @@
         }
     }
 
-    /// Takes in all open lots of this customer and route, as the store showed them
-    /// after it had shown this ledger. A lot that isn't open any more never is again.
+    /// Compares the ledger with all open lots of this customer and route, as the store
+    /// returned them after it had returned this ledger. A lot that is no longer open is
+    /// never opened again.
     pub fn compare(&mut self, open: &[WaitingLot], bound: u64) -> LotsKnown {
         let mut known = LotsKnown::default();
         for lot in &self.lots {
@@ -120,8 +122,8 @@
         known
     }
 
-    /// Lowers what waits of each lot to what is known of it. That holds for any later
-    /// ledger too, since what is finished stays so.
+    /// Lowers the waiting tokens of each lot to the known upper bound. That holds for
+    /// any later version of the ledger too, since finished items stay finished.
     pub fn reduce(&mut self, known: &LotsKnown) {
         for lot in &mut self.lots {
             if let Some(tokens) = known.tokens(&lot.lot) {
@@ -131,7 +133,7 @@
         self.lots.retain(|it| it.tokens > 0);
     }
 
-    /// Drops the lots that are certainly finished.
+    /// Removes the lots that are certainly finished.
     pub fn drop_finished(&mut self, is_finished: impl Fn(&str) -> bool) {
         self.lots.retain(|it| !is_finished(&it.lot));
     }
@@ -141,7 +143,7 @@
     }
 }
 
-/// What is certainly known of lots: so many tokens of each wait at most.
+/// Upper bounds on the waiting tokens of lots.
 #[derive(Clone, Debug, Default)]
 pub struct LotsKnown {
     /// Sorted by id.
@@ -165,17 +167,17 @@
     }
 }
 
-/// How fast a customer's tokens come back, as seen from one look at the open lots to
-/// the next.
+/// The rate at which a customer's waiting tokens return, from one query of the open
+/// lots to the next.
 #[derive(Clone, Debug, Default)]
 pub struct ReturnPace {
     tokens_per_sec: f64,
-    /// The open lots at the last look, and when that was.
+    /// The open lots at the last query, and the time of it.
     last_observation: Option<(Vec<WaitingLot>, Timestamp)>,
 }
 
 impl ReturnPace {
-    /// Takes in the open lots as of now.
+    /// Records the open lots as of now.
     pub fn note(&mut self, open: &[WaitingLot], now: Timestamp) {
         let last_observation = self.last_observation.replace((open.to_vec(), now));
         let Some((before, observed_at)) = last_observation else {
@@ -203,7 +205,8 @@
         self.tokens_per_sec += (sample - self.tokens_per_sec) * weight;
     }
 
-    /// When there should be room for what is missing, `longest` from now at most.
+    /// Returns after which time there should be capacity for `missing` tokens, at most
+    /// the given limit (but no less than the shortest delay).
     pub fn room_in(&self, missing: u64, max_retry_after: Duration) -> Duration {
         let wait = match self.tokens_per_sec > 0.0 {
             true => Duration::try_from_secs_f64(missing as f64 / self.tokens_per_sec),
--- a/crates/policy/src/placement/placement_table.rs
+++ b/crates/policy/src/placement/placement_table.rs
@@ -13,8 +13,8 @@
 /// The cost of a server in another zone, in requests. Crossing zones takes a few
 /// milliseconds, and bytes between zones are billed.
 const ZONE_PENALTY: f64 = 1.0;
-/// The cost of a server that has other home daemons, in requests: about as much as a
-/// full server, since its known load is out of date.
+/// The cost of a server of which this daemon isn't a home daemon, in requests: about as
+/// much as a full server, since its known load is out of date.
 const NON_HOME_PENALTY: f64 = 1.5;
 /// Slots of each server that items leave free for live requests that arrive before the
 /// daemons have reported their counts to each other. Without them each such request
