--- a/crates/policy/src/bulk/mod.rs
+++ b/crates/policy/src/bulk/mod.rs
@@ -7,9 +7,9 @@
 //! are slowed down all the same. See `docs/DESIGN.md`.
 
 mod arrival_rate;
-mod bulk_gate;
+mod bulk_limiter;
 mod slot_limit;
 
 pub use arrival_rate::ArrivalRate;
-pub use bulk_gate::{BulkGate, GateTiming};
+pub use bulk_limiter::{BulkGate, GateTiming};
 pub use slot_limit::{AdditiveLimit, ChokeCreepLimit, FixedLimit, SlotLimit};
