--- a/crates/policy/src/bulk/bulk_limiter.rs
+++ b/crates/policy/src/bulk/bulk_limiter.rs
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Advances the limit's time.
+    /// Lets the limit grow for the time that passed.
     pub fn tick(&mut self, now: Timestamp) {
         self.limit.tick(now);
     }
--- a/crates/policy/src/lots/claim_doubt.rs
+++ b/crates/policy/src/lots/claim_doubt.rs
@@ -10,9 +10,9 @@
 const MIN_OUTAGE_SILENCE: Duration = Duration::from_secs(3);
 
 /// Returns whether a daemon from which a message arrives now was out of contact before.
-/// `last_sign` is the time of its previous message.
-pub fn was_out_of_touch(last_sign: Option<Timestamp>, now: Timestamp) -> bool {
-    last_sign.is_some_and(|it| now.since(it) >= MIN_OUTAGE_SILENCE)
+/// `last_message_at` is the time of its previous message.
+pub fn was_out_of_touch(last_message_at: Option<Timestamp>, now: Timestamp) -> bool {
+    last_message_at.is_some_and(|it| now.since(it) >= MIN_OUTAGE_SILENCE)
 }
 
 /// Returns whether a daemon may begin items of a lot that it runs. `certain_at` is the
--- a/crates/policy/src/lots/item_attempts.rs
+++ b/crates/policy/src/lots/item_attempts.rs
@@ -77,37 +77,37 @@
     /// model that succeeded since the item's run began.
     pub fn fault(
         &self,
-        tries: &mut ItemTries,
+        attempts: &mut ItemTries,
         others_done: u64,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> TryVerdict {
-        tries.faults += 1;
-        tries.needs_probe = others_done < self.min_other_successes;
-        if !tries.needs_probe {
-            tries.own_faults += 1;
+        attempts.faults += 1;
+        attempts.needs_probe = others_done < self.min_other_successes;
+        if !attempts.needs_probe {
+            attempts.own_faults += 1;
         }
-        self.verdict(tries, now + self.backoff_after(tries.faults, random))
+        self.verdict(attempts, now + self.backoff_after(attempts.faults, random))
     }
 
     /// Decides on the last fault by whether a probe succeeded.
     pub fn probe(
         &self,
-        tries: &mut ItemTries,
+        attempts: &mut ItemTries,
         went_through: bool,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> TryVerdict {
-        tries.needs_probe = false;
+        attempts.needs_probe = false;
         if went_through {
-            tries.own_faults += 1;
-            return self.verdict(tries, now);
+            attempts.own_faults += 1;
+            return self.verdict(attempts, now);
         }
-        TryVerdict::Retry(now + self.backoff_after(tries.faults, random))
+        TryVerdict::Retry(now + self.backoff_after(attempts.faults, random))
     }
 
-    fn verdict(&self, tries: &ItemTries, retry_at: Timestamp) -> TryVerdict {
-        match tries.own_faults >= self.max_own_faults {
+    fn verdict(&self, attempts: &ItemTries, retry_at: Timestamp) -> TryVerdict {
+        match attempts.own_faults >= self.max_own_faults {
             true => TryVerdict::GiveUp(GiveUpReason::FailsAlone),
             false => TryVerdict::Retry(retry_at),
         }
@@ -116,12 +116,12 @@
     /// Records that a backend server crashed while the item ran on it.
     pub fn crash(
         &self,
-        tries: &mut ItemTries,
+        attempts: &mut ItemTries,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> TryVerdict {
-        tries.crashes = tries.crashes.saturating_add(1);
-        if tries.crashes >= self.max_crashes {
+        attempts.crashes = attempts.crashes.saturating_add(1);
+        if attempts.crashes >= self.max_crashes {
             return TryVerdict::GiveUp(GiveUpReason::CrashesServers);
         }
         TryVerdict::Retry(now + self.backoff_after(1, random))
--- a/crates/policy/src/placement/home_set.rs
+++ b/crates/policy/src/placement/home_set.rs
@@ -21,8 +21,8 @@
 /// are too few servers for that does each server draw its daemons: if all daemons
 /// shared them, each daemon would have to report to every other.
 pub fn home_pairs(servers: &[u64], daemons: &[PeerId], users: usize) -> Vec<HomePair> {
-    let wanted = servers.len() * users;
-    if wanted <= daemons.len() {
+    let pairs = servers.len() * users;
+    if pairs <= daemons.len() {
         let of_server = |server: &u64| {
             let server = *server;
             let homes = highest_scored(daemons, users, |it| mix(server ^ it.0));
@@ -30,10 +30,10 @@
         };
         return servers.iter().flat_map(of_server).collect();
     }
-    let each = wanted.div_ceil(daemons.len().max(1));
+    let per_daemon = pairs.div_ceil(daemons.len().max(1));
     let of_daemon = |daemon: &PeerId| {
         let daemon = *daemon;
-        let homes = highest_scored(servers, each, |it| mix(it ^ daemon.0));
+        let homes = highest_scored(servers, per_daemon, |it| mix(it ^ daemon.0));
         homes.into_iter().map(move |it| (it, daemon))
     };
     daemons.iter().flat_map(of_daemon).collect()
--- a/crates/policy/src/usage/late_charges.rs
+++ b/crates/policy/src/usage/late_charges.rs
@@ -89,8 +89,8 @@
             let bin = self.bins[index(self.first_unsettled)];
             self.refundable += bin.admitted;
             self.outstanding += bin.admitted;
-            // By now these are charged: what came in since found the capacity that they
-            // left.
+            // Once charged, these requests leave capacity for later tokens and explain
+            // no further overflow.
             self.outstanding -= bin.charged.min(self.outstanding);
             self.refundable = self.refundable.min(self.outstanding);
             let refund = self.refundable.min(bin.overflowed);
--- a/crates/policy/src/usage/usage_book.rs
+++ b/crates/policy/src/usage/usage_book.rs
@@ -361,8 +361,8 @@
     ///
     /// The next token comes soon, but only one of the many callers rejected within the
     /// same second can have it. Given the same time, they would all be rejected again.
-    /// So each gets a time of its own; these are as far apart as the tokens of this
-    /// daemon's share.
+    /// So each gets a time of its own, spaced by the interval at which this daemon's
+    /// share of the tokens comes in.
     fn assign_retry_after(&mut self, index: usize, wait: Duration, now: Timestamp) -> Duration {
         let own_share = self.own_share(index, now).max(MIN_SHARE);
         let usage = &mut self.customers[index];
