--- a/crates/policy/src/bulk/slot_limit.rs
+++ b/crates/policy/src/bulk/slot_limit.rs
@@ -1,22 +1,22 @@
-//! The feedback that holds bulk work back when live callers are hurt.
+//! The feedback that holds bulk work back when live callers are slowed down.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Limits the bulk slots of one server by feedback.
+/// A limit on the bulk slots of one server that adapts to how live callers fare.
 pub trait SlotLimit {
-    /// Live callers were hurt.
+    /// Lowers the limit, since live callers were slowed down.
     fn harm(&mut self, now: Timestamp);
 
-    /// Lets time pass.
+    /// Raises the limit for the time that passed.
     fn tick(&mut self, now: Timestamp);
 
-    /// The most bulk slots, fractions included.
+    /// Returns the most bulk slots, fractions included.
     fn limit(&self) -> f64;
 }
 
-/// The same limit whatever happens: a baseline.
+/// A constant limit, as a baseline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FixedLimit {
     /// The limit, in slots.
@@ -33,47 +33,48 @@
     }
 }
 
-/// Halves on harm, and adds slots at a steady rate otherwise.
+/// Halves when live callers are slowed down, and otherwise adds slots at a steady rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdditiveLimit {
-    /// The most slots there can be.
-    pub most: f64,
+    /// The upper bound of the limit, in slots.
+    pub max_slots: f64,
     /// Slots added a second.
     pub per_second: f64,
     slots: f64,
-    ticked: Timestamp,
-    halved: Timestamp,
+    updated_at: Timestamp,
+    last_cut_at: Timestamp,
 }
 
-/// Harm within this time of a cut is the harm that the cut answers.
-const HARM_PAUSE: Duration = Duration::from_millis(250);
+/// For this long after a cut, further slowdowns count as the one that the cut responds
+/// to.
+const CUT_COOLDOWN: Duration = Duration::from_millis(250);
 
 impl AdditiveLimit {
-    /// A limit that starts with one slot.
-    pub fn new(most: f64, per_second: f64) -> Self {
+    /// Creates a limit that starts with one slot.
+    pub fn new(max_slots: f64, per_second: f64) -> Self {
         AdditiveLimit {
-            most,
+            max_slots,
             per_second,
-            slots: 1.0_f64.min(most),
-            ticked: Timestamp::ZERO,
-            halved: Timestamp::ZERO,
+            slots: 1.0_f64.min(max_slots),
+            updated_at: Timestamp::ZERO,
+            last_cut_at: Timestamp::ZERO,
         }
     }
 }
 
 impl SlotLimit for AdditiveLimit {
     fn harm(&mut self, now: Timestamp) {
-        if now.since(self.halved) < HARM_PAUSE {
+        if now.since(self.last_cut_at) < CUT_COOLDOWN {
             return;
         }
-        self.halved = now;
+        self.last_cut_at = now;
         self.slots /= 2.0;
     }
 
     fn tick(&mut self, now: Timestamp) {
-        let added = now.since(self.ticked).as_secs_f64() * self.per_second;
-        self.ticked = self.ticked.max(now);
-        self.slots = (self.slots + added).min(self.most);
+        let added = now.since(self.updated_at).as_secs_f64() * self.per_second;
+        self.updated_at = self.updated_at.max(now);
+        self.slots = (self.slots + added).min(self.max_slots);
     }
 
     fn limit(&self) -> f64 {
@@ -81,58 +82,58 @@
     }
 }
 
-/// Cuts by a fixed share on harm and grows by a factor each interval: the
-/// choke and creep of "Design of a DoS protection overlay for autonomous
-/// services across untrusted nodes", section 2.3, with a server's home daemon
-/// as the upstream node.
+/// Cuts the limit to a fixed fraction when live callers are slowed down, and multiplies
+/// it by a factor each interval: the choke and creep of "Design of a DoS protection
+/// overlay for autonomous services across untrusted nodes", section 2.3, with a
+/// server's home daemon as the upstream node.
 ///
 /// See `docs/DESIGN.md` for how it compares with [`AdditiveLimit`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChokeCreepLimit {
-    /// The most slots there can be.
-    pub most: f64,
-    /// The time between two steps up.
+    /// The upper bound of the limit, in slots.
+    pub max_slots: f64,
+    /// The time between two increases.
     pub interval: Duration,
     slots: f64,
-    crept: Timestamp,
-    choked: Timestamp,
+    last_growth_at: Timestamp,
+    last_cut_at: Timestamp,
 }
 
-/// The share that a choke leaves.
-const CHOKE_LEAVES: f64 = 0.5;
-/// The factor of a creep.
-const CREEP_FACTOR: f64 = 1.5;
-/// Growth by a factor never leaves zero.
-const LEAST_SLOTS: f64 = 0.5;
+/// The fraction of the limit that a cut leaves.
+const CUT_FACTOR: f64 = 0.5;
+/// The factor of one increase.
+const GROWTH_FACTOR: f64 = 1.5;
+/// The lower bound of the limit: multiplying zero would never raise it again.
+const MIN_SLOTS: f64 = 0.5;
 
 impl ChokeCreepLimit {
-    /// A limit that starts with one slot.
-    pub fn new(most: f64, interval: Duration) -> Self {
-        let slots = 1.0_f64.min(most);
+    /// Creates a limit that starts with one slot.
+    pub fn new(max_slots: f64, interval: Duration) -> Self {
+        let slots = 1.0_f64.min(max_slots);
         ChokeCreepLimit {
-            most,
+            max_slots,
             interval,
             slots,
-            crept: Timestamp::ZERO,
-            choked: Timestamp::ZERO,
+            last_growth_at: Timestamp::ZERO,
+            last_cut_at: Timestamp::ZERO,
         }
     }
 }
 
 impl SlotLimit for ChokeCreepLimit {
     fn harm(&mut self, now: Timestamp) {
-        if now.since(self.choked) < HARM_PAUSE {
+        if now.since(self.last_cut_at) < CUT_COOLDOWN {
             return;
         }
-        self.choked = now;
-        self.crept = now;
-        self.slots = (self.slots * CHOKE_LEAVES).max(LEAST_SLOTS);
+        self.last_cut_at = now;
+        self.last_growth_at = now;
+        self.slots = (self.slots * CUT_FACTOR).max(MIN_SLOTS);
     }
 
     fn tick(&mut self, now: Timestamp) {
-        while now.since(self.crept) >= self.interval {
-            self.crept = self.crept + self.interval;
-            self.slots = (self.slots * CREEP_FACTOR).min(self.most);
+        while now.since(self.last_growth_at) >= self.interval {
+            self.last_growth_at = self.last_growth_at + self.interval;
+            self.slots = (self.slots * GROWTH_FACTOR).min(self.max_slots);
         }
     }
 
--- a/crates/policy/src/lots/item_tries.rs
+++ b/crates/policy/src/lots/item_tries.rs
@@ -1,4 +1,4 @@
-//! What is tried again, and what is given up.
+//! Which items are retried, and which are given up.
 
 use std::time::Duration;
 
@@ -6,14 +6,15 @@
 
 use crate::Timestamp;
 
-/// How often an item was tried in vain.
+/// The failed attempts of an item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ItemTries {
     /// Runs that ended in a server's fault.
     pub faults: u32,
-    /// Those of them that speak against the item, since others went through.
+    /// Those of them that count against the item, since other items succeeded
+    /// meanwhile.
     pub own_faults: u32,
-    /// Whether a probe must tell whose fault the last one was.
+    /// Whether a probe must find out if the server or the item caused the last fault.
     pub needs_probe: bool,
     /// Backend servers that crashed while it ran.
     pub crashes: u8,
@@ -22,7 +23,7 @@
 /// Why an item is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// It failed time and again while other items went through.
+    /// It failed repeatedly while other items succeeded.
     FailsAlone,
     /// A second backend server crashed while it ran.
     CrashesServers,
@@ -31,109 +32,109 @@
 /// What to do with an item after a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryVerdict {
-    /// Run it again, not before this moment.
+    /// Run it again, at this time at the earliest.
     Retry(Timestamp),
-    /// Record an error.
+    /// Record an error as the item's result.
     GiveUp(GiveUpReason),
 }
 
-/// Tells an item that can never be done from a server's fault.
+/// Distinguishes an item that can never succeed from a server's fault.
 ///
-/// A fault speaks against the item only if other items went through in the
-/// meantime. Where there were none, as at the end of a lot, a probe is sent in
-/// place of the item's next run: without it, a lot whose last item can never be
-/// done would not end. While nothing goes through, the servers are at fault: the
-/// item waits, however long that takes, and isn't failed for it.
+/// A fault counts against the item only if other items succeeded in the meantime. Where
+/// there were none, as at the end of a lot, a probe is sent in place of the item's next
+/// run: without it, a lot whose last item can never succeed would not end. While
+/// nothing succeeds, the servers are at fault: the item waits, however long that takes,
+/// and isn't failed for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TryPolicy {
-    /// So many faults of its own end an item.
+    /// The number of faults of its own at which an item is given up.
     pub max_own_faults: u32,
-    /// So many other items must have gone through since the item's last fault
-    /// for the next one to count as its own.
-    pub witnesses: u64,
-    /// So many crashes end an item.
+    /// How many other items must have succeeded since the item's last fault for the
+    /// next one to count as its own.
+    pub min_other_successes: u64,
+    /// The number of crashes at which an item is given up.
     pub max_crashes: u8,
-    /// The pause after the first fault; it doubles with each.
-    pub pause: Duration,
-    /// The longest pause.
-    pub max_pause: Duration,
+    /// The backoff after the first fault; it doubles with each.
+    pub backoff: Duration,
+    /// The longest backoff.
+    pub max_backoff: Duration,
 }
 
 impl Default for TryPolicy {
     fn default() -> Self {
         TryPolicy {
             max_own_faults: 3,
-            witnesses: 2,
+            min_other_successes: 2,
             max_crashes: 2,
-            pause: Duration::from_millis(500),
-            max_pause: Duration::from_secs(30),
+            backoff: Duration::from_millis(500),
+            max_backoff: Duration::from_secs(30),
         }
     }
 }
 
 impl TryPolicy {
-    /// Judges a server's fault, with the number of other items of the same
-    /// model that went through since the item's run began.
+    /// Records a server's fault. `others_done` is the number of other items of the same
+    /// model that succeeded since the item's run began.
     pub fn fault(
         &self,
-        tries: &mut ItemTries,
+        attempts: &mut ItemTries,
         others_done: u64,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> TryVerdict {
-        tries.faults += 1;
-        tries.needs_probe = others_done < self.witnesses;
-        if !tries.needs_probe {
-            tries.own_faults += 1;
+        attempts.faults += 1;
+        attempts.needs_probe = others_done < self.min_other_successes;
+        if !attempts.needs_probe {
+            attempts.own_faults += 1;
         }
-        self.judge(tries, now + self.pause_after(tries.faults, random))
+        self.verdict(attempts, now + self.backoff_after(attempts.faults, random))
     }
 
-    /// Judges the last fault by whether a probe went through.
+    /// Decides on the last fault by whether a probe succeeded.
     pub fn probe(
         &self,
-        tries: &mut ItemTries,
+        attempts: &mut ItemTries,
         went_through: bool,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> TryVerdict {
-        tries.needs_probe = false;
+        attempts.needs_probe = false;
         if went_through {
-            tries.own_faults += 1;
-            return self.judge(tries, now);
+            attempts.own_faults += 1;
+            return self.verdict(attempts, now);
         }
-        TryVerdict::Retry(now + self.pause_after(tries.faults, random))
+        TryVerdict::Retry(now + self.backoff_after(attempts.faults, random))
     }
 
-    fn judge(&self, tries: &ItemTries, retry_at: Timestamp) -> TryVerdict {
-        match tries.own_faults >= self.max_own_faults {
+    fn verdict(&self, attempts: &ItemTries, retry_at: Timestamp) -> TryVerdict {
+        match attempts.own_faults >= self.max_own_faults {
             true => TryVerdict::GiveUp(GiveUpReason::FailsAlone),
             false => TryVerdict::Retry(retry_at),
         }
     }
 
-    /// Judges the loss of a backend server while the item ran on it.
+    /// Records that a backend server crashed while the item ran on it.
     pub fn crash(
         &self,
-        tries: &mut ItemTries,
+        attempts: &mut ItemTries,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> TryVerdict {
-        tries.crashes = tries.crashes.saturating_add(1);
-        if tries.crashes >= self.max_crashes {
+        attempts.crashes = attempts.crashes.saturating_add(1);
+        if attempts.crashes >= self.max_crashes {
             return TryVerdict::GiveUp(GiveUpReason::CrashesServers);
         }
-        TryVerdict::Retry(now + self.pause_after(1, random))
+        TryVerdict::Retry(now + self.backoff_after(1, random))
     }
 
-    /// A doubling pause, spread over its upper half so that the items of one
-    /// outage don't all come back at once.
-    fn pause_after(&self, faults: u32, random: &mut impl Rng) -> Duration {
+    /// Returns a doubling backoff, randomized over its upper half so that the items of
+    /// one outage don't all return at once.
+    fn backoff_after(&self, faults: u32, random: &mut impl Rng) -> Duration {
         let doubled = self
-            .pause
+            .backoff
             .saturating_mul(1 << faults.saturating_sub(1).min(16));
         doubled
-            .min(self.max_pause)
+            .min(self.max_backoff)
             .mul_f64(random.random_range(0.5..=1.0))
     }
 }
--- a/crates/policy/src/lots/segment_choice.rs
+++ b/crates/policy/src/lots/segment_choice.rs
@@ -1,36 +1,37 @@
-//! Which segment of a lot to claim next.
+//! The choice of the segment of a lot to claim next.
 
 use rand::Rng;
 
 /// Picks among the free segments of a lot.
 ///
-/// Segments that a lost owner had begun come first, since they are the oldest.
-/// Among the rest a random one is taken: daemons that all took the first free
-/// one would mostly fail to claim it, each failure costing a platform write.
+/// Segments that a lost owner had started come first, since they are the oldest. Among
+/// the others a random one is picked: if all daemons picked the first free one, most of
+/// them would fail to claim it, and each failure costs a write to the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SegmentChoice {
-    begun: Vec<usize>,
-    fresh: Vec<usize>,
+    started: Vec<usize>,
+    unstarted: Vec<usize>,
 }
 
 impl SegmentChoice {
-    /// Adds a segment that is neither done nor claimed.
-    pub fn add(&mut self, segment: usize, is_begun: bool) {
-        match is_begun {
-            true => self.begun.push(segment),
-            false => self.fresh.push(segment),
+    /// Adds a segment that is neither done nor claimed. `is_started` says whether a
+    /// lost owner had started it.
+    pub fn add(&mut self, segment: usize, is_started: bool) {
+        match is_started {
+            true => self.started.push(segment),
+            false => self.unstarted.push(segment),
         }
     }
 
-    /// The segment to claim, if there is any.
+    /// Returns the segment to claim, if there is any.
     pub fn pick(&self, random: &mut impl Rng) -> Option<usize> {
-        let from = match self.begun.is_empty() {
-            true => &self.fresh,
-            false => &self.begun,
+        let candidates = match self.started.is_empty() {
+            true => &self.unstarted,
+            false => &self.started,
         };
-        match from.len() {
+        match candidates.len() {
             0 => None,
-            len => Some(from[random.random_range(0..len)]),
+            len => Some(candidates[random.random_range(0..len)]),
         }
     }
 }
--- a/crates/policy/src/placement/placement_table.rs
+++ b/crates/policy/src/placement/placement_table.rs
@@ -1,4 +1,4 @@
-//! The servers as one daemon knows them, and where requests go.
+//! The servers as one daemon knows them, and the choice of a server for a request.
 
 use std::time::Duration;
 
@@ -7,22 +7,22 @@
 use super::{LoadShare, ServerOutcomeKind, SlotReport, WorkKind, server_load::ServerLoad};
 use crate::{ServerId, Timestamp, hash::name_key, usage::PeerId};
 
-/// How much an item of a lot weighs against a live request when a server is
-/// chosen for one: the item steps aside, which takes a moment.
+/// The weight of a lot item against a live request when a server is chosen for a live
+/// request: the item can be preempted, which takes a moment.
 const BULK_WEIGHT: f64 = 0.15;
-/// What another zone costs against the own one, in requests. Crossing takes a
-/// few milliseconds and bytes between zones are billed.
+/// The cost of a server in another zone, in requests. Crossing zones takes a few
+/// milliseconds, and bytes between zones are billed.
 const ZONE_PENALTY: f64 = 1.0;
-/// What a server costs that other daemons use first, in requests: about as much
-/// as a full one. What is known of it is old.
-const FOREIGN_PENALTY: f64 = 1.5;
-/// Slots of each server that items leave free for live requests that arrive
-/// while the daemons' counts are on their way to each other. Without them each such
-/// request has an item step aside.
-const BULK_MARGIN: u32 = 1;
-/// The shortest and the longest time after which a refused caller may come back.
-const SHORTEST_RETRY: Duration = Duration::from_millis(250);
-const LONGEST_RETRY: Duration = Duration::from_millis(1_500);
+/// The cost of a server of which this daemon isn't a home daemon, in requests: about as
+/// much as a full server, since its known load is out of date.
+const NON_HOME_PENALTY: f64 = 1.5;
+/// Slots of each server that items leave free for live requests that arrive before the
+/// daemons have reported their counts to each other. Without them each such request
+/// preempts an item.
+const BULK_RESERVED_SLOTS: u32 = 1;
+/// The shortest and the longest delay after which a rejected caller is asked to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 
 /// A server as the directory lists it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,37 +33,37 @@
     pub service: String,
     /// Its zone.
     pub zone: String,
-    /// Its `ip:port`.
+    /// Its address as `ip:port`.
     pub address: String,
     /// How many requests it runs at once.
     pub slots: u32,
     /// Whether it takes new requests.
     pub is_ready: bool,
-    /// A number that changes when the server starts anew under the same name.
+    /// A number that changes when the server restarts under the same name.
     pub start: u64,
 }
 
-/// What a request asks of the servers.
+/// What a request requires of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementQuery<'a> {
-    /// The service.
+    /// The service that has to answer the request.
     pub service: &'a str,
-    /// The zone that is asked from.
+    /// The zone of the daemon that places the request.
     pub zone: &'a str,
-    /// Servers that were tried already.
+    /// Servers that were attempted already.
     pub exclude: &'a [ServerId],
-    /// The longest wait at a server that still meets the objective.
+    /// The longest wait for a slot that still meets the request's objective.
     pub longest_wait: Duration,
 }
 
-/// A server that was chosen.
+/// A chosen server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// The server.
     pub server: ServerId,
     /// How long the request is expected to wait there.
     pub expected_wait: Duration,
-    /// What all daemons have there, this request left out.
+    /// The load of all daemons on the server, without this request.
     pub load: LoadShare,
 }
 
@@ -72,19 +72,19 @@
 pub enum PlacementRefusal {
     /// The service has no server that could take the request.
     NoServer,
-    /// All servers are full for longer than the request may wait.
+    /// No server is expected to start the request within its longest wait.
     Full {
-        /// When there should be room.
+        /// The delay after which there should be capacity.
         retry_after: Duration,
     },
 }
 
-/// How many items have to step aside at a server.
+/// How many lot items to preempt at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct YieldOrder {
     /// The server.
     pub server: ServerId,
-    /// How many of this daemon's items.
+    /// How many of this daemon's items to preempt.
     pub items: u32,
 }
 
@@ -94,7 +94,7 @@
     key: u64,
     load: ServerLoad,
     is_listed: bool,
-    /// Whether this daemon is one of those that use it first.
+    /// Whether this daemon is one of its home daemons, which use it first.
     is_home: bool,
 }
 
@@ -102,12 +102,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct PlacementTable {
     own: PeerId,
-    /// An arena: a server that left keeps its place for the requests on it.
+    /// Indexed by [`ServerId`]: a server that left the directory keeps its index for
+    /// the requests that still run on it.
     servers: Vec<ServerEntry>,
 }
 
 impl PlacementTable {
-    /// A table of the daemon with this id that knows no servers yet.
+    /// Creates the table of the daemon with this id, without servers.
     pub fn new(own: PeerId) -> Self {
         PlacementTable {
             own,
@@ -115,19 +116,19 @@
         }
     }
 
-    /// Takes over the directory's list. Servers that aren't on it any more get
-    /// no new requests.
+    /// Applies the directory's list. Servers that are no longer on it get no new
+    /// requests.
     pub fn set_listings(&mut self, listings: &[ServerListing]) {
         for entry in &mut self.servers {
             entry.is_listed = false;
         }
         for listing in listings {
-            let same = |it: &ServerEntry| {
+            let is_same_server = |it: &ServerEntry| {
                 it.listing.name == listing.name
                     && it.listing.start == listing.start
                     && it.listing.address == listing.address
             };
-            if let Some(entry) = self.servers.iter_mut().find(|it| same(it)) {
+            if let Some(entry) = self.servers.iter_mut().find(|it| is_same_server(it)) {
                 entry.is_listed = true;
                 if entry.listing.slots != listing.slots {
                     entry.load.slots = listing.slots;
@@ -142,35 +143,36 @@
                 is_listed: true,
                 is_home: true,
             };
-            // The place of a server that left, and on which nothing is open any
-            // more, is free: servers come and go for as long as a daemon runs.
-            let is_free = |it: &ServerEntry| !it.is_listed && it.load.own == LoadShare::default();
-            match self.servers.iter_mut().find(|it| is_free(it)) {
-                Some(free) => *free = entry,
+            // The entry of a server that left the directory and has no open requests is
+            // reused: servers come and go for as long as a daemon runs.
+            let is_unused = |it: &ServerEntry| !it.is_listed && it.load.own == LoadShare::default();
+            match self.servers.iter_mut().find(|it| is_unused(it)) {
+                Some(unused) => *unused = entry,
                 None => self.servers.push(entry),
             }
         }
     }
 
-    /// Sets which servers this daemon uses first, by the hashes of their names.
+    /// Sets the servers of which this daemon is a home daemon, by the hashes of their
+    /// names.
     pub fn set_homes(&mut self, is_home: impl Fn(u64) -> bool) {
         for entry in &mut self.servers {
             entry.is_home = is_home(entry.key);
         }
     }
 
-    /// The servers in use, by the hashes of their names.
+    /// Returns the servers on the directory's list, with the hashes of their names.
     pub fn listed(&self) -> Vec<(u64, &ServerListing)> {
         let listed = self.servers.iter().filter(|it| it.is_listed);
         listed.map(|it| (it.key, &it.listing)).collect()
     }
 
-    /// A server's listing.
+    /// Returns a server's listing.
     pub fn listing(&self, id: ServerId) -> &ServerListing {
         &self.servers[id.index()].listing
     }
 
-    /// Whether a service has a server that takes requests.
+    /// Returns whether a service has a server that takes new requests.
     pub fn has_server(&self, service: &str) -> bool {
         let usable = |it: &ServerEntry| it.is_usable(service);
         self.servers.iter().any(usable)
@@ -180,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses where no server would start the request in time.
+    /// Rejects the request if no server would start it in time.
     pub fn choose_live(
         &self,
         query: PlacementQuery<'_>,
@@ -188,10 +190,10 @@
         random: &mut impl Rng,
     ) -> Result<Placement, PlacementRefusal> {
         let mut best: Option<(f64, usize)> = None;
-        // Ejected servers are better than none: their pause may be mistaken.
+        // An ejected server is better than none: the ejection may be a mistake.
         for allow_ejected in [false, true] {
-            for (place, entry) in self.servers.iter().enumerate() {
-                let id = ServerId(place as u32);
+            for (index, entry) in self.servers.iter().enumerate() {
+                let id = ServerId(index as u32);
                 if !entry.is_usable(query.service) || query.exclude.contains(&id) {
                     continue;
                 }
@@ -200,99 +202,100 @@
                 }
                 let cost = entry.live_cost(query.zone, now) + random.random_range(0.0..0.3);
                 if best.is_none_or(|(least, _)| cost < least) {
-                    best = Some((cost, place));
+                    best = Some((cost, index));
                 }
             }
             if best.is_some() {
                 break;
             }
         }
-        let Some((_, place)) = best else {
+        let Some((_, index)) = best else {
             return Err(PlacementRefusal::NoServer);
         };
-        let entry = &self.servers[place];
+        let entry = &self.servers[index];
         let expected_wait = entry.load.expected_wait(now);
         if expected_wait > query.longest_wait {
-            let over = expected_wait - query.longest_wait;
-            let retry_after = (over * 2).clamp(SHORTEST_RETRY, LONGEST_RETRY);
+            let excess_wait = expected_wait - query.longest_wait;
+            let retry_after = (excess_wait * 2).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
             return Err(PlacementRefusal::Full { retry_after });
         }
         Ok(Placement {
-            server: ServerId(place as u32),
+            server: ServerId(index as u32),
             expected_wait,
             load: entry.load.total(now),
         })
     }
 
-    /// Chooses a server for an item of a lot, if one has slots left over.
+    /// Chooses a server for an item of a lot, if one has free slots for bulk work.
     pub fn choose_bulk(
         &self,
         query: PlacementQuery<'_>,
         now: Timestamp,
         random: &mut impl Rng,
     ) -> Option<Placement> {
-        // A zone without servers of its own still has lots to run.
+        // A daemon without home servers of this service still has lots to run.
         let has_home = self
             .servers
             .iter()
             .any(|it| it.is_home && it.is_usable(query.service));
         let mut best: Option<(f64, usize)> = None;
-        for (place, entry) in self.servers.iter().enumerate() {
-            let id = ServerId(place as u32);
-            let is_out = !entry.is_usable(query.service)
+        for (index, entry) in self.servers.iter().enumerate() {
+            let id = ServerId(index as u32);
+            let is_ineligible = !entry.is_usable(query.service)
                 || query.exclude.contains(&id)
                 || entry.load.is_ejected(now)
                 || (has_home && !entry.is_home)
                 || !entry.load.may_start_bulk(now);
-            if is_out || entry.free_for_bulk(now) < 1.0 {
+            if is_ineligible || entry.free_bulk_slots(now) < 1.0 {
                 continue;
             }
-            let away = if entry.listing.zone == query.zone {
+            let zone_penalty = if entry.listing.zone == query.zone {
                 0.0
             } else {
                 0.5
             };
-            let cost = away - entry.free_for_bulk(now) + random.random_range(0.0..0.5);
+            let cost = zone_penalty - entry.free_bulk_slots(now) + random.random_range(0.0..0.5);
             if best.is_none_or(|(least, _)| cost < least) {
-                best = Some((cost, place));
+                best = Some((cost, index));
             }
         }
-        let (_, place) = best?;
+        let (_, index) = best?;
         Some(Placement {
-            server: ServerId(place as u32),
+            server: ServerId(index as u32),
             expected_wait: Duration::ZERO,
-            load: self.servers[place].load.total(now),
+            load: self.servers[index].load.total(now),
         })
     }
 
-    /// Where this daemon's items have to step aside for live requests.
+    /// Returns where this daemon's items have to be preempted for live requests.
     ///
-    /// Each daemon gives up its part of the slots that are missing, so that all
-    /// of them together give up just enough.
+    /// Each daemon gives up its share of the missing slots, so that all of them
+    /// together give up just enough.
     pub fn yield_orders(&mut self, now: Timestamp) -> Vec<YieldOrder> {
         let mut orders = Vec::new();
-        for (place, entry) in self.servers.iter_mut().enumerate() {
-            let items = entry.load.own_missing(self.own, now);
+        for (index, entry) in self.servers.iter_mut().enumerate() {
+            let items = entry.load.own_preemptions(self.own, now);
             if items == 0 {
                 continue;
             }
-            entry.load.note_yield(now);
+            entry.load.record_preemption(now);
             orders.push(YieldOrder {
-                server: ServerId(place as u32),
+                server: ServerId(index as u32),
                 items,
             });
         }
         orders
     }
 
-    /// The other daemons whose items have to step aside at a server. They are told
-    /// at once: a live request waits for them.
+    /// Returns the other daemons whose items have to be preempted at a server. They
+    /// need a report at once, since a live request waits for these slots.
     pub fn yield_holders(&self, id: ServerId, now: Timestamp) -> Vec<PeerId> {
-        self.servers[id.index()].load.yield_holders(now)
+        self.servers[id.index()].load.preemption_holders(now)
     }
 
-    /// Counts a request in that is sent to a server. Returns whether it should
-    /// find a free slot there: only then does its span tell what the server takes.
+    /// Counts a request that is sent to a server. Returns whether it should find a free
+    /// slot there: only then does its duration tell how long the server holds a slot
+    /// for a request.
     pub fn begin(&mut self, id: ServerId, kind: WorkKind, now: Timestamp) -> bool {
         let load = &mut self.servers[id.index()].load;
         let has_slot = load.has_free_slot(now);
@@ -300,13 +303,13 @@
             WorkKind::Live => load.own.live += 1,
             WorkKind::Bulk => {
                 load.own.bulk += 1;
-                load.note_bulk_start(now);
+                load.record_bulk_start(now);
             }
         }
         has_slot
     }
 
-    /// Counts a request out.
+    /// Removes a request from a server's count.
     pub fn end(&mut self, id: ServerId, kind: WorkKind) {
         let own = &mut self.servers[id.index()].load.own;
         match kind {
@@ -315,34 +318,35 @@
         }
     }
 
-    /// Takes in how a request went.
+    /// Records how a request ended.
     pub fn note(&mut self, id: ServerId, outcome: ServerOutcomeKind, now: Timestamp) {
-        self.servers[id.index()].load.note(outcome, now);
+        self.servers[id.index()].load.record_outcome(outcome, now);
     }
 
-    /// Takes in how long a live request held its slot, if it found one free. What
-    /// waited in the server's queue would make the next ones look hopeless, and a
-    /// server that answers within 60 ms would be refused for a queue of three.
-    pub fn note_span(&mut self, id: ServerId, span: Duration) {
-        self.servers[id.index()].load.note_span(span);
+    /// Records how long a live request held its slot, if it found one free. With the
+    /// time in the server's queue included, later requests would seem to have no chance
+    /// to start in time, and a server that answers within 60 ms would be rejected for a
+    /// queue of three.
+    pub fn note_span(&mut self, id: ServerId, hold_time: Duration) {
+        self.servers[id.index()].load.record_hold_time(hold_time);
     }
 
-    /// Takes in a server's own report.
+    /// Applies a server's own report.
     pub fn report(&mut self, id: ServerId, report: SlotReport, now: Timestamp) {
         self.servers[id.index()].load.report(report, now);
     }
 
-    /// Takes in what another daemon has on servers, by the hash of their names.
-    /// Servers that it doesn't name have nothing of it.
+    /// Applies a report of another daemon: its load on servers, by the hashes of their
+    /// names. It has nothing on servers that the report doesn't name.
     pub fn hear(&mut self, peer: PeerId, shares: &[(u64, LoadShare)], now: Timestamp) {
         for entry in &mut self.servers {
             let named = shares.iter().find(|it| it.0 == entry.key);
             let share = named.map_or_else(LoadShare::default, |it| it.1);
-            entry.load.hear(peer, share, now);
+            entry.load.receive(peer, share, now);
         }
     }
 
-    /// What this daemon has on servers, by the hash of their names.
+    /// Returns this daemon's load on servers, by the hashes of their names.
     pub fn own_shares(&self) -> Vec<(u64, LoadShare)> {
         let used = self
             .servers
@@ -363,22 +367,22 @@
         let bulk = f64::from(total.bulk);
         let slots = f64::from(self.load.slots.max(1));
         let used = live + BULK_WEIGHT * bulk;
-        let away = if self.listing.zone == zone {
+        let zone_penalty = if self.listing.zone == zone {
             0.0
         } else {
             ZONE_PENALTY
         };
-        // A full server costs more than any other zone.
-        let over = (live + 1.0 - slots).max(0.0) * 4.0;
-        // Items have to step aside there first.
-        let yielding = if live + bulk + 1.0 > slots { 1.0 } else { 0.0 };
-        let foreign = if self.is_home { 0.0 } else { FOREIGN_PENALTY };
-        used / slots * 2.0 + away + foreign + over + yielding
+        // A full server costs more than any server in another zone.
+        let overload_penalty = (live + 1.0 - slots).max(0.0) * 4.0;
+        // Items have to be preempted there first.
+        let preemption_penalty = if live + bulk + 1.0 > slots { 1.0 } else { 0.0 };
+        let non_home_penalty = if self.is_home { 0.0 } else { NON_HOME_PENALTY };
+        used / slots * 2.0 + zone_penalty + non_home_penalty + overload_penalty + preemption_penalty
     }
 
-    fn free_for_bulk(&self, now: Timestamp) -> f64 {
+    fn free_bulk_slots(&self, now: Timestamp) -> f64 {
         let total = self.load.total(now);
         let used = f64::from(total.live) + f64::from(total.bulk) + self.load.surplus(now);
-        f64::from(self.load.slots) - f64::from(BULK_MARGIN) - used
+        f64::from(self.load.slots) - f64::from(BULK_RESERVED_SLOTS) - used
     }
 }
