--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,11 +1,11 @@
-//! Small `Copy` keys into arenas, so that hot tables hold no strings.
+//! Small `Copy` indices, so that frequently used tables hold no strings.
 
 use serde::{Deserialize, Serialize};
 
-/// One start of a daemon's process, drawn at random when it starts.
+/// Identifies one run of a daemon's process by a random number drawn at its start.
 ///
-/// A daemon that was restarted must not take the claims and trials of the
-/// process before it for its own: it doesn't know how far they went.
+/// A restarted daemon must not treat the claims and trials of its previous process
+/// as its own, because it doesn't know how far they got.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,7 +18,7 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// The position in the arena that this key names.
+            /// Returns the index of this key's entry in its table.
             pub fn index(self) -> usize {
                 self.0 as usize
             }
@@ -27,26 +27,26 @@
 }
 
 arena_key! {
-    /// A customer, as numbered by the settings snapshot in force.
+    /// Index of a customer in the current settings snapshot.
     CustomerId
 }
 arena_key! {
-    /// A daemon of the fleet, as numbered by the member table.
+    /// Index of a daemon of the fleet in the member table.
     DaemonId
 }
 arena_key! {
-    /// A group of VMs. A service names the group that serves it.
+    /// Index of a group of VMs. Each service names the group that serves it.
     GroupId
 }
 arena_key! {
-    /// A backend server, as numbered by the server table.
+    /// Index of a backend server in the server table.
     ServerId
 }
 arena_key! {
-    /// A service: a model or a plain service.
+    /// Index of a service: a model or a plain service.
     ServiceId
 }
 arena_key! {
-    /// An availability zone.
+    /// Index of an availability zone.
     ZoneId
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,28 +1,29 @@
-//! The decisions of the fleet, without I/O, clocks or global state.
+//! The decision logic of the fleet, without I/O, clocks or global state.
 //!
-//! Every deciding function takes the present time as a [`Timestamp`] and, where
-//! chance plays a part, a random source. The daemon, a test on virtual time and
-//! a replayed trace all drive this same code. See `docs/DESIGN.md`.
+//! Every decision function takes the current time as a [`Timestamp`] and, where it
+//! needs randomness, a random source. The daemon, tests on virtual time and
+//! replayed traces all run this same code. See `docs/DESIGN.md`.
 //!
-//! A tour, each with the type to start at:
+//! Overview, with the main type of each area:
 //!
-//! - [`rates`]: whether a customer's rate and burst let a request in
+//! - [`rates`]: whether a customer's rate and burst admit a request
 //!   ([`rates::ShareLedger`]).
-//! - Urgency and the queue: who goes first while servers are full
-//!   ([`UrgencyTable`], [`LiveQueue`]).
+//! - Urgency and the queue: the order in which requests start while all servers
+//!   are full ([`UrgencyTable`], [`LiveQueue`]).
 //! - Routing: which server gets a request ([`ServerTable`]).
-//! - Retries: what follows a failed attempt ([`decide_retry`], [`RetryBudget`]).
-//! - Suspects: what was running on a server that died ([`SuspectTable`]).
+//! - Retries: whether a failed attempt is retried ([`decide_retry`], [`RetryBudget`]).
+//! - Suspects: requests that were in flight on a server that died ([`SuspectTable`]).
 //! - Claims: calls that must not run twice ([`ClaimBook`]).
-//! - [`bulk`] and [`lots`]: how much lot work a server gets, and whose
+//! - [`bulk`] and [`lots`]: how much bulk work a server gets, and from which lots
 //!   ([`bulk::BulkGate`], [`lots::LotRanking`]).
 //! - [`placement`]: which server a request goes to, when it is refused instead,
-//!   and which lot items step aside ([`placement::PlacementTable`]).
-//! - [`usage`]: customers' rates by exchanged counts ([`usage::UsageBook`]).
-//! - Members and freshness: which daemons there are, and how old a view of the
-//!   settings is ([`MemberTable`], [`WatchPlan`]).
+//!   and which lot items are preempted ([`placement::PlacementTable`]).
+//! - [`usage`]: enforces customers' rates by usage counts that daemons exchange
+//!   ([`usage::UsageBook`]).
+//! - Members and freshness: which daemons belong to the fleet, and how old the
+//!   local view of the settings is ([`MemberTable`], [`WatchPlan`]).
 //!
-//! [`Timestamp`] and the ids are what all of them share.
+//! All of them share [`Timestamp`] and the id types.
 
 pub mod bulk;
 mod claims;
--- a/crates/policy/src/rates/freshness.rs
+++ b/crates/policy/src/rates/freshness.rs
@@ -1,10 +1,11 @@
-//! Whether this daemon may still trust its view of the roster.
+//! Decides whether this daemon's view of roster and settings is recent enough to spend
+//! tokens.
 
 use std::time::Duration;
 
 use crate::{DaemonId, Timestamp};
 
-/// What this daemon last heard of a peer in its zone.
+/// The last state received from a peer in this daemon's zone.
 #[derive(Clone, Copy, Debug)]
 struct PeerView {
     peer: DaemonId,
@@ -12,22 +13,23 @@
     fresh: Timestamp,
 }
 
-/// How current the roster and the settings known here are.
+/// Tracks how recently this daemon's view of roster and settings was confirmed.
 ///
-/// A daemon that was paused may have lost its slots to others meanwhile. Its own
-/// clock tells: its view is older than the limit, so it spends nothing until the
-/// platform, or a peer that asked the platform, has confirmed the view. The wait
-/// before slots of an expelled member are given on is much longer than the limit.
+/// A daemon whose process was paused may have lost its slots to others meanwhile. It
+/// detects this by its own clock: its view is older than the limit, so it spends nothing
+/// until the store, or a peer that queried the store, has confirmed the view. Slots
+/// of an expelled member are reassigned only after a much longer time than the limit.
 ///
-/// A zone cut off from the platform has no way to confirm, and nobody in it can
-/// expel a member either. So a daemon whose reachable zone peers are all as stale
-/// goes on, as does one that is alone on the roster. The hole that remains: when
-/// the zone itself is split and only one side reaches the platform, members on
-/// the other side take each other's staleness for a cut and spend on; if the
-/// split outlasts the wait, the first side gives their slots to others as well,
-/// and the zone's part of a customer's rate can be spent twice, nothing more.
-/// The same holds for a lone member whose zone gains a second one behind such a
-/// split.
+/// A zone cut off from the store can't confirm its views, but no daemon in it can expel
+/// a member either. So a daemon continues to spend if all zone peers that it can reach
+/// have stale views too, or if it is the only member on the roster.
+///
+/// One case stays unsafe: the zone itself is split and only one side reaches the store.
+/// The members on the other side see each other's stale views, assume that the whole zone
+/// is cut off, and continue to spend. If the split lasts longer than the expulsion delay,
+/// the first side reassigns their slots, and the zone's part of a customer's rate can be
+/// spent twice, but not more. The same holds for a single member whose zone gains a
+/// second one on the other side of such a split.
 #[derive(Clone, Debug)]
 pub(super) struct Freshness {
     confirmed: Option<Timestamp>,
@@ -65,13 +67,14 @@
         }
     }
 
-    /// Sets the zone's other members.
+    /// Sets the other members of the zone.
     pub(super) fn set_members(&mut self, members: &[DaemonId]) {
         self.alone = members.is_empty();
         self.peers.retain(|view| members.contains(&view.peer));
     }
 
-    /// Notes that this daemon runs; a long gap since the last time is a pause.
+    /// Records that this daemon is running. A gap longer than `limit` since the last call
+    /// means that the process was paused, so the view must be confirmed again.
     pub(super) fn tick(&mut self, now: Timestamp, limit: Duration) {
         if now.since(self.ticked) > limit {
             self.woken = Some(now);
--- a/crates/policy/src/rates/grant_book.rs
+++ b/crates/policy/src/rates/grant_book.rs
@@ -1,4 +1,4 @@
-//! Tokens given away that may still be spent.
+//! Tracks grants that this daemon issued and that may still be spent.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 
 use super::Tokens;
 
-/// A grant whose tokens may still be spent.
+/// A grant whose tokens the receiver may still spend.
 #[derive(Clone, Copy, Debug)]
 struct GivenGrant {
     id: u64,
@@ -14,21 +14,22 @@
     until: Timestamp,
 }
 
-/// Tokens given away that may still be spent, and the room they take.
+/// The grants that this daemon issued and that may still be spent, with the bucket
+/// capacity reserved for them.
 ///
-/// Numbers rise, and so do the ends within each list, so that a grant is found
-/// by binary search and the lapsed ones are in front.
+/// Grant numbers increase, and so do the expiry times within each list, so a grant
+/// is found by binary search and expired ones are at the front.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GrantBook {
-    /// Grants of one token, for a request that waits.
+    /// Grants of one token, each for a request that is waiting.
     single: VecDeque<GivenGrant>,
-    /// Grants of several, which last longer.
+    /// Grants of several tokens, which last longer.
     several: VecDeque<GivenGrant>,
     room: Tokens,
 }
 
 impl GrantBook {
-    /// The room that all grants take.
+    /// Returns the capacity reserved for all grants.
     pub(super) fn room(&self) -> Tokens {
         self.room
     }
@@ -44,7 +45,8 @@
         grants.push_back(GivenGrant { id, room, until });
     }
 
-    /// Frees the room of a grant and returns it, if the grant still counts.
+    /// Frees the capacity reserved for a grant and returns it. Returns `None` for a
+    /// grant that has been removed.
     pub(super) fn settle(&mut self, id: u64) -> Option<Tokens> {
         for grants in [&mut self.single, &mut self.several] {
             let Ok(position) = grants.binary_search_by_key(&id, |grant| grant.id) else {
@@ -57,7 +59,8 @@
         None
     }
 
-    /// Ends the grants whose time is over and tells whether there were any.
+    /// Removes grants from the front that have expired or were settled, and returns
+    /// whether there were any.
     pub(super) fn end(&mut self, now: Timestamp) -> bool {
         let mut changed = false;
         for grants in [&mut self.single, &mut self.several] {
--- a/crates/policy/src/rates/ledger_timing.rs
+++ b/crates/policy/src/rates/ledger_timing.rs
@@ -1,25 +1,28 @@
-//! The spans on which the ledger's safety rests.
+//! The time limits on which the safety of the ledger depends.
 
 use std::time::Duration;
 
-/// The spans on which the ledger's safety rests. All daemons use the same.
+/// The time limits on which the safety of the ledger depends. All daemons use the
+/// same values.
 ///
-/// Takers count on their own clock from before they asked. Givers count on
-/// theirs from when the ask arrived, longer by [`LedgerTiming::margin`].
+/// A receiver of tokens or slices counts on its own clock from the time before it sent
+/// its request. The sender counts on its own clock from the time the request arrived,
+/// and waits longer by [`LedgerTiming::margin`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LedgerTiming {
-    /// How old a daemon's knowledge of roster and settings may be while it
-    /// spends from its own slots.
+    /// The maximum age of a daemon's view of roster and settings while it spends from
+    /// its own slots.
     pub fresh: Duration,
     /// How long a slice is lent.
     pub slice: Duration,
-    /// How long tokens that were granted ahead may be spent; at least `answer`.
+    /// How long tokens that were granted in advance may be spent; at least as long as
+    /// the timeout of a request.
     pub grant: Duration,
-    /// How long a daemon waits for the answer to one ask.
+    /// The timeout of one request to another daemon.
     pub answer: Duration,
-    /// How long an unreachable daemon isn't asked again.
+    /// How long no request is sent to an unreachable daemon.
     pub down: Duration,
-    /// How long a member that is marked expelled keeps its slots.
+    /// How long a member that is marked as expelled keeps its slots.
     pub expulsion: Duration,
 }
 
@@ -37,31 +40,32 @@
 }
 
 impl LedgerTiming {
-    /// A span lengthened for clocks that differ by up to 0.1 %, and a little
-    /// for rounding.
-    pub fn margin(span: Duration) -> Duration {
-        span + span / 1_000 + Duration::from_millis(1)
+    /// Returns `duration` lengthened for clocks that differ by up to 0.1 %, plus a
+    /// millisecond for rounding.
+    pub fn margin(duration: Duration) -> Duration {
+        duration + duration / 1_000 + Duration::from_millis(1)
     }
 
-    /// How long `count` granted tokens may be spent. A single one is for a
-    /// request that waits, so it is of no use after the answer's time is over.
+    /// Returns how long `count` granted tokens may be spent. A single token is for a
+    /// request that is waiting, so it is useless after the request's timeout.
     pub fn grant_life(&self, count: u32) -> Duration {
         if count == 1 { self.answer } else { self.grant }
     }
 
-    /// How long a giver counts granted tokens as unspent.
+    /// Returns how long the holder reserves capacity for granted tokens.
     pub fn grant_hold(&self, count: u32) -> Duration {
         Self::margin(self.grant_life(count))
     }
 
-    /// How long a lender counts a slice as lent: until the borrower's right has
-    /// ended, and then the grants that it gave from the slice.
+    /// Returns how long a lender counts a slice as lent: until the loan has expired at
+    /// the borrower, and then the grants that the borrower issued from it.
     pub fn slice_hold(&self) -> Duration {
         Self::margin(self.slice + self.grant)
     }
 
-    /// After this, whatever a daemon gave that knew nothing newer is over. New
-    /// holders of a slot wait so long, and parts that gain by a new division.
+    /// Returns the time after which every grant and loan has ended that a daemon issued
+    /// by an outdated view. New holders of a slot wait this long before they use it, and
+    /// so do parts that grow when a customer's rate is divided differently.
     pub fn settle(&self) -> Duration {
         Self::margin(self.fresh) + self.slice_hold()
     }
--- a/crates/policy/src/rates/message_outbox.rs
+++ b/crates/policy/src/rates/message_outbox.rs
@@ -1,10 +1,10 @@
-//! Messages that wait to be sent.
+//! Requests that are queued for sending.
 
 use crate::DaemonId;
 
 use super::{Outgoing, RateAsk, SliceReturn, SliceWant, TokenSettlement};
 
-/// Messages that wait to be sent, one of each kind for a receiver.
+/// Requests that are queued for sending, at most one of each kind per receiver.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MessageOutbox {
     messages: Vec<Outgoing>,
--- a/crates/policy/src/rates/messages.rs
+++ b/crates/policy/src/rates/messages.rs
@@ -1,4 +1,4 @@
-//! What ledgers say to each other.
+//! The messages that the ledgers of different daemons exchange.
 
 use std::time::Duration;
 
@@ -8,50 +8,52 @@
 
 use super::{CustomerKey, Slice, Tokens};
 
-/// Asks a slot's holder for tokens.
+/// Requests tokens from a slot's holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenAsk {
     /// The customer.
     pub customer: CustomerKey,
     /// The roster slot.
     pub slot: u8,
-    /// The tokens that are of use within a second; the first is for a request
-    /// that waits.
+    /// The number of tokens that the sender can use within a second; the first is
+    /// for a request that is waiting.
     pub want: u32,
-    /// Whether the asker takes this holder for the slot's home.
+    /// Whether the sender considers this holder the slot's home.
     pub home: bool,
-    /// An earlier grant of this slot that is spent.
+    /// An earlier grant of this slot that is fully spent.
     pub spent: Option<u64>,
 }
 
 /// The answer to a [`TokenAsk`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TokenAnswer {
-    /// Tokens to spend within [`super::LedgerTiming::grant`] of the ask.
+    /// Tokens to spend within [`super::LedgerTiming::grant`] of the request.
     Granted {
         /// The holder's number for the grant.
         grant: u64,
-        /// Whole tokens, one at least.
+        /// Number of whole tokens, at least one.
         count: u32,
-        /// Whether the holder wants to hear at once when they are spent.
+        /// Whether the holder requests a [`TokenSettlement`] as soon as they are spent.
         settle: bool,
     },
-    /// No token is there.
+    /// The bucket holds no whole token.
     Empty {
-        /// When to ask again, at the earliest.
+        /// How long to wait at least before the next request.
         retry_after: Duration,
-        /// Whether the holder has gathered what other zones can lend, so that
-        /// asking them is of no use.
+        /// Whether the holder has already borrowed what other zones can lend, so
+        /// that requests to them would be useless.
         complete: bool,
     },
-    /// The daemon doesn't hold the slot: the asker's roster is older than its
-    /// own, or newer.
+    /// The daemon doesn't hold the slot: the sender's roster is older or newer than
+    /// the daemon's own.
     NotHolder,
-    /// The daemon's view is stale, so it may spend from none of its slots.
+    /// The daemon's view of roster and settings is too old, so it may not spend from
+    /// any of its slots.
     Stale,
 }
 
-/// Tells a holder that a grant is over, so that its room is free again.
+/// Reports to a holder that a grant has ended, so that the capacity reserved for it
+/// becomes free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenSettlement {
     /// The customer.
@@ -60,11 +62,12 @@
     pub slot: u8,
     /// The holder's number for the grant.
     pub grant: u64,
-    /// The tokens that come back.
+    /// The number of tokens returned unspent.
     pub unspent: u32,
 }
 
-/// Asks another zone's holder of the same slot for its part, or for more time.
+/// Requests a loan of its part from another zone's holder of the same slot, or
+/// renews that loan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SliceWant {
     /// The customer.
@@ -73,7 +76,8 @@
     pub slot: u8,
     /// The borrower's number for the loan; a higher one replaces lower ones.
     pub loan: u64,
-    /// When the borrower sent this, on its own clock; comes back in the offer.
+    /// When the borrower sent this, in microseconds on its own clock. The offer
+    /// echoes it.
     pub sent: u64,
 }
 
@@ -86,11 +90,11 @@
     pub slot: u8,
     /// The borrower's number for the loan.
     pub loan: u64,
-    /// The time that came with the ask.
+    /// The borrower's send time, copied from the [`SliceWant`].
     pub sent: u64,
-    /// The whole slice lent; nothing is lent if it is zero.
+    /// The total slice lent; nothing is lent if it is zero.
     pub slice: Slice,
-    /// Tokens that move with this answer.
+    /// Tokens transferred to the borrower with this answer.
     pub tokens: Tokens,
 }
 
@@ -103,45 +107,46 @@
     pub slot: u8,
     /// The borrower's number for the loan.
     pub loan: u64,
-    /// Tokens that come back with it.
+    /// Tokens transferred back to the lender.
     pub tokens: Tokens,
 }
 
-/// A message that a ledger wants sent; many customers share one.
+/// A request from one ledger to another. All variants but the first cover many
+/// customers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RateAsk {
-    /// Asks for tokens for a request that waits.
+    /// Requests tokens for a caller's request that is waiting.
     Tokens(TokenAsk),
-    /// Asks for slices.
+    /// Requests or renews loans of slices.
     Slices(Vec<SliceWant>),
-    /// Returns slices.
+    /// Returns slices to their lender.
     Return(Vec<SliceReturn>),
-    /// Settles grants.
+    /// Reports grants that have ended.
     Settle(Vec<TokenSettlement>),
 }
 
 /// The answer to a [`RateAsk`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RateAnswer {
-    /// To [`RateAsk::Tokens`].
+    /// Answers [`RateAsk::Tokens`].
     Tokens(TokenAnswer),
-    /// To [`RateAsk::Slices`].
+    /// Answers [`RateAsk::Slices`].
     Slices(Vec<SliceOffer>),
-    /// To the others.
+    /// Acknowledges the other requests.
     Done,
 }
 
-/// A message with its receiver.
+/// A request with its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The daemon to ask.
+    /// The receiver.
     pub to: DaemonId,
-    /// What to ask.
+    /// The request to send.
     pub ask: RateAsk,
 }
 
 impl SliceWant {
-    /// The time at which the borrower sent this, on its own clock.
+    /// Converts the `sent` field of a request or offer to a time on the borrower's clock.
     pub(super) fn sent_at(sent: u64) -> Timestamp {
         Timestamp::from_micros(sent)
     }
--- a/crates/policy/src/rates/mod.rs
+++ b/crates/policy/src/rates/mod.rs
@@ -1,27 +1,27 @@
-//! A customer's rate and burst, counted over all VMs without a coordinator.
+//! Enforces each customer's rate and burst over all VMs without a coordinator.
 //!
-//! The customer's right is divided into fixed parts: one for each zone, and
+//! A customer's rate and burst are divided into fixed parts: one for each zone, and
 //! within the zone one for each of the customer's *slots*. A roster record of
 //! the zone says which daemon holds which slot ([`ZoneRoster`]). The holder
-//! refills a [`TokenBucket`] for its part and needs nobody's leave to spend it,
-//! so a zone that is cut off goes on serving.
+//! refills a [`TokenBucket`] for its part and spends from it without asking any
+//! other daemon, so a zone that is cut off continues to admit requests.
 //!
-//! On top of the fixed parts two things move, both by direct messages:
+//! Daemons move two things between these fixed parts, both by direct messages:
 //!
-//! - *Slices*, a rate with a capacity, lent for seconds. For each slot one zone
-//!   is *home*, by hash; while demand lasts, the home's holder borrows the parts
-//!   of the other zones and so answers like one bucket for the whole fleet.
+//! - *Slices*, a rate with a capacity, lent for seconds. For each slot a hash
+//!   selects one zone as *home*; while demand lasts, the home's holder borrows the
+//!   parts of the other zones and so acts as one bucket for the whole fleet.
 //! - *Grants*, whole tokens for requests that wait or are expected within a
-//!   second, given by a holder to the daemon where the requests arrive.
+//!   second, sent by a holder to the daemon where the requests arrive.
 //!
-//! What moves stops counting at its giver before it starts at its taker, and
-//! counts again at the giver only after it has certainly stopped at the taker.
-//! A lost message loses tokens and never doubles them. Hence at each instant the
-//! tokens in all buckets and grants are at most the burst, they are created at
-//! no more than the rate, and no window of length `W` sees more than
+//! What is transferred stops counting at the sender before it starts counting at
+//! the receiver, and counts at the sender again only after it has certainly stopped
+//! at the receiver. A lost message loses tokens and never duplicates them. Therefore
+//! all buckets and grants together never hold more tokens than the burst, tokens are
+//! created at no more than the rate, and no window of length `W` sees more than
 //! `rate * W + burst` admissions.
 //!
-//! Start reading at [`ShareLedger`]. See `docs/RATES.md`.
+//! The main type is [`ShareLedger`]. See `docs/RATES.md`.
 
 mod demand_meter;
 mod freshness;
--- a/crates/policy/src/rates/rate_part.rs
+++ b/crates/policy/src/rates/rate_part.rs
@@ -1,4 +1,4 @@
-//! How a customer's rate and burst are divided.
+//! The division of a customer's rate and burst into parts.
 
 use std::time::Duration;
 
@@ -8,25 +8,26 @@
 
 use super::{SLOTS, Tokens};
 
-/// The most slots one customer uses.
+/// The maximum number of slots that one customer uses.
 pub const MAX_CUSTOMER_SLOTS: usize = 8;
 
-/// The most zones a fleet has.
+/// The maximum number of zones in a fleet.
 pub const MAX_ZONES: usize = 16;
 
-/// A slot is worth having only above this rate: below, one daemon a zone
-/// answers all asks for the customer with ease.
+/// The minimum rate of each slot when a customer's rate is split, in requests per
+/// second. Below it, one daemon per zone easily answers all token requests for the
+/// customer.
 const MIN_SLOT_RATE: f64 = 100.0;
 
-/// A slot of one zone holds at least so many tokens, else it admits too little
-/// while the zone is cut off.
+/// The minimum capacity of a slot in one zone, in tokens. With less it would admit too
+/// few requests while the zone is cut off.
 const MIN_SLOT_BURST: f64 = 4.0;
 
-/// The longest time for which a removed customer is remembered, in seconds.
-const LONGEST_FILL_SECS: f64 = 86_400.0;
+/// The maximum time for which a removed customer is remembered, in seconds.
+const MAX_FILL_SECS: f64 = 86_400.0;
 
-/// A customer's name as daemons tell it to each other: a hash, the same under
-/// each revision of the settings.
+/// Identifies a customer in messages between daemons: a hash of the name, which is the
+/// same under each revision of the settings.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -34,34 +35,34 @@
 pub struct CustomerKey(pub u64);
 
 impl CustomerKey {
-    /// The key of the customer called `name`.
+    /// Returns the key of the customer called `name`.
     pub fn of_name(name: &str) -> Self {
         CustomerKey(name_key(name))
     }
 }
 
-/// What operators allow a customer over the whole fleet.
+/// The rate and burst that the settings allow a customer over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CustomerRate {
     /// The customer.
     pub customer: CustomerKey,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests at once after a pause.
+    /// Requests that are admitted at once after an idle time.
     pub burst: u32,
 }
 
 /// A refill rate with a capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slice {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: Tokens,
-    /// The most tokens kept.
+    /// The maximum number of tokens kept.
     pub capacity: Tokens,
 }
 
 impl Slice {
-    /// The smaller of both in each respect.
+    /// Returns the smaller rate with the smaller capacity.
     pub fn min(self, other: Slice) -> Slice {
         Slice {
             rate: self.rate.min(other.rate),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The larger of both in each respect.
+    /// Returns the larger rate with the larger capacity.
     pub fn max(self, other: Slice) -> Slice {
         Slice {
             rate: self.rate.max(other.rate),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of both slices.
     pub fn plus(self, other: Slice) -> Slice {
         Slice {
             rate: self.rate + other.rate,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// What is left without `other`, not below zero.
+    /// Returns this slice less `other`, saturating at zero.
     pub fn minus(self, other: Slice) -> Slice {
         Slice {
             rate: self.rate - other.rate,
@@ -94,21 +95,22 @@
     }
 }
 
-/// A customer's division: what each of its slots in each zone is worth.
+/// The division of a customer's rate and burst into one part for each of its slots in
+/// each zone.
 ///
-/// Every daemon works it out alike from the settings.
+/// Every daemon computes the same division from the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RatePart {
-    /// How many slots the customer uses, a power of two.
+    /// The number of slots that the customer uses, a power of two.
     pub slots: u8,
-    /// The zones among which the whole is divided.
+    /// The number of zones.
     pub zones: u8,
-    /// The whole, over all slots and zones.
+    /// The sum over all slots and zones.
     pub whole: Slice,
 }
 
 impl RatePart {
-    /// Divides a customer's right among `zones`.
+    /// Divides a customer's rate and burst among `zones` zones.
     pub fn of_rate(rate: &CustomerRate, zones: usize) -> Self {
         let zones = zones.clamp(1, MAX_ZONES) as u8;
         let mut slots = 1_u8;
@@ -127,10 +129,10 @@
         }
     }
 
-    /// What the customer's `place`-th slot is worth in a zone.
+    /// Returns the part of the customer's slot number `place` in a zone.
     ///
-    /// The parts add up to exactly the whole: were each rounded down, the last
-    /// token of a burst would never be whole.
+    /// The parts add up to exactly the whole. If each part were rounded down, the last
+    /// token of a burst would never become a whole token.
     pub fn slice(&self, zone: usize, place: u8) -> Slice {
         let parts = u32::from(self.slots) * u32::from(self.zones);
         let index = zone as u32 * u32::from(self.slots) + u32::from(place);
@@ -140,13 +142,13 @@
         }
     }
 
-    /// How long an empty bucket of the whole takes to fill, a day at most.
+    /// Returns how long an empty bucket of the whole takes to fill, at most a day.
     pub fn fill_time(&self) -> Duration {
         let fill = self.whole.capacity.as_f64() / self.whole.rate.as_f64();
-        Duration::from_secs_f64(fill.clamp(0.0, LONGEST_FILL_SECS))
+        Duration::from_secs_f64(fill.clamp(0.0, MAX_FILL_SECS))
     }
 
-    /// Whether slots and zones are the same, whatever they are worth.
+    /// Whether both have the same number of slots and zones; rate and burst may differ.
     pub fn same_division(&self, other: &RatePart) -> bool {
         self.slots == other.slots && self.zones == other.zones
     }
@@ -157,15 +159,15 @@
         && f64::from(rate.burst) / (f64::from(slots) * f64::from(zones)) >= MIN_SLOT_BURST
 }
 
-/// The roster slot that a customer's `place`-th slot is.
+/// Returns the roster slot that serves as the customer's slot number `place`.
 pub(super) fn roster_slot(customer: CustomerKey, place: u8) -> u8 {
     let spread = SLOTS / MAX_CUSTOMER_SLOTS;
     let start = mix(customer.0) as usize;
     ((start + usize::from(place) * spread) % SLOTS) as u8
 }
 
-/// The zones in the order in which a daemon turns to them for one slot of a
-/// customer; the first is the slot's home.
+/// Returns the zones in the order in which a daemon sends token requests for one slot of
+/// a customer; the first is the slot's home.
 pub(super) fn zone_order(customer: CustomerKey, slot: u8, zones: u8) -> [u8; MAX_ZONES] {
     let mut scored = [(u64::MAX, 0_u8); MAX_ZONES];
     for zone in 0..zones {
--- a/crates/policy/src/rates/reach_table.rs
+++ b/crates/policy/src/rates/reach_table.rs
@@ -1,23 +1,23 @@
-//! Which daemons and zones answer.
+//! Tracks which daemons and zones are reachable.
 
 use crate::{DaemonId, Timestamp};
 
-/// Asks in a row without an answer after which a daemon counts as down.
-const DAEMON_STRIKES: u8 = 2;
+/// Number of consecutive unanswered requests after which a daemon counts as down.
+const MAX_DAEMON_FAILURES: u8 = 2;
 
-/// Asks in a row without an answer, to any of its daemons, after which a zone
-/// counts as down. Without this, each request in a zone that is cut off would
-/// find out about the far daemons one by one, waiting for each.
-const ZONE_STRIKES: u8 = 4;
+/// Number of consecutive unanswered requests to any daemons of a zone after which the
+/// zone counts as down. Without this limit, each caller's request in a zone that is cut
+/// off would wait for the remote daemons one after the other.
+const MAX_ZONE_FAILURES: u8 = 4;
 
-/// What is known of one daemon or zone.
+/// The reachability of one daemon or zone.
 #[derive(Clone, Copy, Debug, Default)]
 struct Reach {
     strikes: u8,
     down_until: Timestamp,
 }
 
-/// Which daemons and zones answer, as the asks so far have shown.
+/// The reachability of daemons and zones, as observed from earlier requests.
 #[derive(Clone, Debug)]
 pub(super) struct ReachTable {
     daemons: Vec<Reach>,
@@ -46,8 +46,9 @@
         self.zones[zone] = Reach::default();
     }
 
-    /// Notes that an ask got no answer, and tells whether its receiver, or its
-    /// zone unless that is this daemon's `own`, now counts as down.
+    /// Records that a request got no answer, and returns whether its receiver or the
+    /// receiver's zone now counts as down. With `own`, that zone is this daemon's own,
+    /// which never counts as down.
     pub(super) fn note_silence(
         &mut self,
         daemon: DaemonId,
@@ -66,8 +67,9 @@
         self.daemon(daemon).down_until = until;
     }
 
-    /// Notes that a daemon is about to be asked. If it counted as down, this one
-    /// ask finds out for all, until its answer is due.
+    /// Records that a request is about to be sent to a daemon. If the daemon or its zone
+    /// counted as down, it remains so until `until`, when the answer is due, so that only
+    /// this one request probes it.
     pub(super) fn probe(&mut self, daemon: DaemonId, zone: usize, until: Timestamp) {
         let reach = self.daemon(daemon);
         if reach.strikes >= DAEMON_STRIKES {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Bytes of heap.
+    /// Returns the size of the heap allocations in bytes.
     pub(super) fn footprint(&self) -> usize {
         (self.daemons.capacity() + self.zones.capacity()) * size_of::<Reach>()
     }
--- a/crates/policy/src/rates/share_ledger.rs
+++ b/crates/policy/src/rates/share_ledger.rs
@@ -1,4 +1,4 @@
-//! The rates of all customers at one daemon.
+//! One daemon's share of the rates of all customers.
 
 mod division;
 mod handover;
@@ -16,17 +16,17 @@
 
 pub use request_path::{Attempt, Decision};
 
-/// The rates of all customers at one daemon.
+/// One daemon's share of the rates of all customers.
 ///
 /// The request path calls [`ShareLedger::admit`]. On [`Decision::Borrow`] it
-/// sends the ask and hands the answer to [`ShareLedger::take`], or the lack of
-/// one to [`ShareLedger::fail`], until it is admitted or refused. A background
-/// task calls [`ShareLedger::tick`] several times a second and sends what
-/// [`ShareLedger::outgoing`] holds; the answers go to
+/// sends the token request and passes the answer to [`ShareLedger::take`], or a timeout
+/// to [`ShareLedger::fail`], until the caller's request is admitted or refused. A
+/// background task calls [`ShareLedger::tick`] several times a second and sends the
+/// messages returned by [`ShareLedger::outgoing`]; the answers go to
 /// [`ShareLedger::take_offers`].
 ///
-/// The driver keeps the view current: [`ShareLedger::set_rates`],
-/// [`ShareLedger::set_holders`], [`ShareLedger::confirm`].
+/// The owner keeps the ledger's view current by [`ShareLedger::set_rates`],
+/// [`ShareLedger::set_holders`] and [`ShareLedger::confirm`].
 #[derive(Clone, Debug)]
 pub struct ShareLedger {
     me: DaemonId,
@@ -35,11 +35,11 @@
     timing: LedgerTiming,
     next_id: u64,
     holders: Vec<[Option<DaemonId>; SLOTS]>,
-    /// The holders in this daemon's zone as its roster names them. Slots that this daemon
-    /// gave away a moment ago are still its own in `holders`.
+    /// The holders in this daemon's zone as its roster names them. In contrast, `holders`
+    /// still names this daemon for slots whose handover is open.
     recorded: [Option<DaemonId>; SLOTS],
     handovers: SlotHandovers,
-    /// From when the slots held here count.
+    /// From when this daemon may use the slots that it holds.
     held_from: [Timestamp; SLOTS],
     reach: ReachTable,
     freshness: Freshness,
@@ -47,23 +47,23 @@
     outgoing: MessageOutbox,
 }
 
-/// What one daemon holds of a customer's rate, for operators.
+/// One daemon's share of a customer's rate, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ShareLevel {
-    /// The customer's slots that it holds.
+    /// The number of the customer's slots that the daemon holds.
     pub slots: u32,
-    /// The requests that it could admit at once.
+    /// The tokens in its buckets: the number of requests that it could admit at once.
     pub tokens: f64,
-    /// The most that could be.
+    /// The capacity of its buckets, in tokens.
     pub capacity: f64,
 }
 
-/// One customer at this daemon.
+/// This daemon's share of one customer's rate.
 #[derive(Clone, Debug)]
 struct CustomerShare {
     customer: CustomerKey,
     part: RatePart,
-    /// Until when a removed customer is remembered.
+    /// Until when a removed customer is remembered; `None` while the settings name it.
     removed: Option<Timestamp>,
     demand: DemandMeter,
     pocket: TokenPocket,
@@ -74,10 +74,10 @@
 }
 
 impl ShareLedger {
-    /// A ledger that knows nothing yet and admits nothing.
+    /// Creates a ledger without customers and holders, which admits nothing yet.
     ///
-    /// `first_id` should be random: after a restart, messages that concern the
-    /// former process must not match numbers of the new one.
+    /// `first_id` should be random: after a restart, messages to the previous process must
+    /// not match grant and loan numbers of the new one.
     pub fn new(
         me: DaemonId,
         zone: usize,
@@ -109,8 +109,8 @@
         self.freshness.set_members(members);
     }
 
-    /// Confirms that roster and settings as known here were current at `at`,
-    /// the time before the platform, or a peer that vouches, was asked.
+    /// Records that this daemon's view of roster and settings was current at `at`: the time
+    /// just before the query to the store, or to a peer that confirmed the view.
     pub fn confirm(&mut self, at: Timestamp) {
         self.freshness.confirm(at);
     }
@@ -120,13 +120,13 @@
         self.freshness.may_spend(now, self.timing.fresh)
     }
 
-    /// Whether the rates that were set last name this customer.
+    /// Whether the current settings name this customer.
     pub fn knows(&self, customer: CustomerKey) -> bool {
         let index = self.find(customer);
         index.is_some_and(|index| self.shares[index].removed.is_none())
     }
 
-    /// What this daemon holds of a customer's rate, lent slices included.
+    /// Returns this daemon's current share of a customer's rate, borrowed slices included.
     pub fn level(&self, customer: CustomerKey) -> ShareLevel {
         let mut level = ShareLevel::default();
         let Some(index) = self.find(customer) else {
@@ -141,18 +141,20 @@
         level
     }
 
-    /// Notes that a peer of this zone answered at `heard`, and that its own view
-    /// was last confirmed at `fresh`.
+    /// Records that a peer of this zone answered at `received_at`, and that the peer's own
+    /// view was last confirmed at `confirmed_at`.
     pub fn note_peer(&mut self, peer: DaemonId, heard: Timestamp, fresh: Timestamp) {
         self.freshness.note_peer(peer, heard, fresh);
     }
 
-    /// Notes that a daemon can't be reached. It isn't asked for a while.
+    /// Records that a daemon is unreachable. No request is sent to it for
+    /// [`LedgerTiming::down`].
     pub fn note_down(&mut self, daemon: DaemonId, now: Timestamp) {
         self.reach.note_down(daemon, now + self.timing.down);
     }
 
-    /// Ends what has lapsed, renews and returns what is lent to this daemon.
+    /// Ends expired grants, loans and handovers, returns granted tokens that are about to
+    /// expire, and renews or returns borrowed slices.
     pub fn tick(&mut self, now: Timestamp) {
         self.end_handovers(now);
         self.freshness.tick(now, self.timing.fresh);
@@ -168,13 +170,13 @@
         }
     }
 
-    /// Takes the messages that are to be sent.
+    /// Removes and returns the messages that are queued for sending.
     pub fn outgoing(&mut self) -> Vec<Outgoing> {
         self.outgoing.take()
     }
 
-    /// Bytes of heap and struct that this ledger occupies, near enough to plan
-    /// memory with.
+    /// Returns the approximate size of this ledger in bytes, heap included, for planning
+    /// memory.
     pub fn footprint(&self) -> usize {
         let held = |share: &CustomerShare| share.held.capacity() * size_of::<SlotShare>();
         let held: usize = self.shares.iter().map(held).sum();
@@ -200,7 +202,7 @@
 }
 
 impl CustomerShare {
-    /// The roster slots that this customer uses.
+    /// Returns the roster slots that this customer uses.
     fn slots(&self) -> [Option<u8>; MAX_CUSTOMER_SLOTS] {
         let mut slots = [None; MAX_CUSTOMER_SLOTS];
         for place in 0..self.part.slots {
--- a/crates/policy/src/rates/share_ledger/division.rs
+++ b/crates/policy/src/rates/share_ledger/division.rs
@@ -1,4 +1,4 @@
-//! How rates and rosters become parts that this daemon may spend from.
+//! Computes from rates and rosters the parts that this daemon may spend from.
 
 use crate::{DaemonId, Timestamp};
 
@@ -11,12 +11,13 @@
 };
 
 impl ShareLedger {
-    /// Sets the rates of all customers, as the settings in force say.
+    /// Sets the rates of all customers from the current settings.
     ///
-    /// New worth counts at once if the division into slots stays the same: all
-    /// parts scale alike, and a mix of old and new is between both. If it
-    /// changes, parts shrink at once and grow only when every daemon has heard
-    /// or stopped, after [`LedgerTiming::settle`](super::super::LedgerTiming::settle).
+    /// A changed rate applies immediately if the numbers of slots and zones stay the same:
+    /// all parts scale by the same factor, so a mix of old and new parts adds up to between
+    /// the old and the new rate. Otherwise parts shrink immediately and grow only after
+    /// [`LedgerTiming::settle`](super::super::LedgerTiming::settle), when every daemon has
+    /// received the change or stopped spending.
     pub fn set_rates(&mut self, rates: &[CustomerRate], now: Timestamp) {
         let mut rates = rates.to_vec();
         rates.sort_unstable_by_key(|rate| rate.customer);
@@ -44,10 +45,10 @@
         self.shares = shares;
     }
 
-    /// Sets how many zones the fleet has; zones are only ever added at the end.
+    /// Sets the number of zones of the fleet; zones are only ever added at the end.
     ///
-    /// [`ShareLedger::set_rates`] must follow, so that all parts are divided
-    /// anew.
+    /// The caller must call [`ShareLedger::set_rates`] afterwards, which recomputes all
+    /// parts.
     pub fn set_zones(&mut self, zones: usize) {
         self.zones = zones.clamp(self.zones, MAX_ZONES);
         self.holders.resize(self.zones, [None; SLOTS]);
@@ -56,10 +57,11 @@
 
     /// Sets which daemon holds each slot of a zone.
     ///
-    /// In this daemon's own zone that decides which slots it may spend from. The
-    /// slots in `first`, a bit each, had no holder before and count at once;
-    /// others that are gained start empty and only after [`LedgerTiming::settle`](super::super::LedgerTiming::settle), when
-    /// what its former holder lent is certainly over.
+    /// In this daemon's own zone this decides which slots it may spend from. The
+    /// slots in `first`, one bit each, never had a holder and may be used immediately.
+    /// Other slots that this daemon gains start empty, and only after
+    /// [`LedgerTiming::settle`](super::super::LedgerTiming::settle), when everything that
+    /// their previous holder granted or lent has certainly ended.
     pub fn set_holders(
         &mut self,
         zone: usize,
@@ -92,8 +94,8 @@
         };
         let holders = self.holders[self.zone];
         let mine = |slot: u8| holders[usize::from(slot)] == Some(self.me);
-        // Nobody can hold anything of a customer that was unknown until now, but
-        // this daemon may be the one to whom it is new.
+        // For a new customer no daemon can hold grants or loans yet. But the customer may
+        // be new only to this daemon, so the wait for newly gained slots applies here too.
         share.hold_missing(mine, self.zone, &self.held_from, now);
         share
     }
@@ -128,9 +130,9 @@
         share
     }
 
-    /// Keeps a removed customer as one worth nothing, until whatever a daemon
-    /// still gives by the old settings is over and its burst would have filled
-    /// up again: created anew after that, it may start with a whole burst.
+    /// Keeps a removed customer with a zero rate until everything that daemons still issue
+    /// by the old settings has ended and its burst would have refilled. If the customer is
+    /// created again after that, it may start with its whole burst.
     fn removed_share(&self, share: CustomerShare, now: Timestamp) -> Option<CustomerShare> {
         match share.removed {
             Some(until) if until <= now => None,
--- a/crates/policy/src/rates/share_ledger/handover.rs
+++ b/crates/policy/src/rates/share_ledger/handover.rs
@@ -1,5 +1,5 @@
-//! Which slots of its zone this daemon uses: those that its roster names as its own, and
-//! those that it gave away to daemons that don't know yet.
+//! Determines the slots of its zone that this daemon uses: those that the roster assigns to
+//! it, and those that it hands over to daemons that may not have read the roster yet.
 
 use std::time::Duration;
 
@@ -8,32 +8,34 @@
 use super::{super::SLOTS, ShareLedger};
 
 impl ShareLedger {
-    /// Notes that a slot is given to a daemon of the own zone, by a write that is about to
-    /// be sent and changes the rosters of `revision`. Returns whether it wasn't given
-    /// before.
+    /// Starts the handover of a slot to a daemon of the same zone, by a write that is about
+    /// to be sent and replaces the roster of `revision`. Returns whether no handover of the
+    /// slot was open.
     ///
-    /// This daemon uses it until the taker has certainly read of it, as
-    /// [`ShareLedger::note_view`] tells, and for as long after that as it may act by an old
-    /// view, [`LedgerTiming::fresh`](super::super::LedgerTiming::fresh).
+    /// This daemon uses the slot for
+    /// [`LedgerTiming::fresh`](super::super::LedgerTiming::fresh), the maximum age of a
+    /// view. Each [`ShareLedger::note_view`] by which the new holder hasn't read the new
+    /// roster yet extends that time.
     pub fn give_slot(&mut self, slot: u8, taker: DaemonId, revision: i64, now: Timestamp) -> bool {
         let until = now + self.timing.fresh;
         self.handovers.give(slot, taker, revision, until)
     }
 
-    /// Notes that the write that would have given a slot away has certainly not run.
+    /// Cancels a slot's handover, because the write for it has certainly not run.
     pub fn take_slot_back(&mut self, slot: u8, now: Timestamp) {
         self.handovers.forget(slot);
         self.use_own_slots(0, now);
     }
 
-    /// Notes that a daemon, asked at `asked`, acts by the rosters of `revision`.
+    /// Records that a daemon, queried at `queried_at`, uses the rosters of `revision`.
     pub fn note_view(&mut self, daemon: DaemonId, revision: i64, asked: Timestamp) {
         let fresh = self.timing.fresh;
         self.handovers.note_view(daemon, revision, asked, fresh);
     }
 
-    /// Notes at which revision the own zone's roster was written. A write that would give
-    /// slots away and changes an older one can't take effect any more.
+    /// Records the revision at which the current roster of this daemon's zone was written.
+    /// Handovers by writes that replace an older roster are cancelled: those writes can no
+    /// longer take effect.
     pub fn note_roster(&mut self, revision: i64, now: Timestamp) {
         for slot in 0..SLOTS {
             if self.recorded[slot] == Some(self.me) && self.handovers.is_older(slot, revision) {
@@ -43,25 +45,25 @@
         self.use_own_slots(0, now);
     }
 
-    /// Whether slots are on their way whose takers may not know yet.
+    /// Whether this daemon still uses slots that it hands over.
     pub fn is_giving(&self, now: Timestamp) -> bool {
         self.handovers.is_open(now)
     }
 
-    /// Stops using slots that were given away: this daemon stops.
+    /// Ends all handovers, because this daemon is shutting down.
     pub fn end_giving(&mut self) {
         self.handovers = Default::default();
     }
 
-    /// Stops using slots whose takers may be about to use them.
+    /// Stops using slots whose handovers have reached their end.
     pub(super) fn end_handovers(&mut self, now: Timestamp) {
         if self.handovers.has_ended(now) {
             self.use_own_slots(0, now);
         }
     }
 
-    /// Uses the slots that are this daemon's, and no others. What it gains counts from when
-    /// its former holder has certainly stopped, but for slots in `first`.
+    /// Updates the slots that this daemon uses. It uses gained slots only after their
+    /// previous holder has certainly stopped, but those in `first` immediately.
     pub(super) fn use_own_slots(&mut self, first: u64, now: Timestamp) {
         for slot in 0..SLOTS {
             let holder = self.holder_now(slot, now);
@@ -85,14 +87,15 @@
         }
     }
 
-    /// The holder of a slot of the own zone, as this daemon has to act.
+    /// Returns the daemon that this daemon has to treat as the holder of a slot of its own
+    /// zone.
     fn holder_now(&mut self, slot: usize, now: Timestamp) -> Option<DaemonId> {
         let recorded = self.recorded[slot];
         let is_own = recorded == Some(self.me);
         let was_own = self.holders[self.zone][slot] == Some(self.me);
         if self.handovers.is_over(slot, now) {
-            // Where the write that gives it away may still take effect, its taker may come
-            // to use it at any moment.
+            // The write that hands the slot over may still take effect, so the new holder
+            // may start to use it at any time.
             if is_own {
                 return None;
             }
--- a/crates/policy/src/rates/share_ledger/lending.rs
+++ b/crates/policy/src/rates/share_ledger/lending.rs
@@ -1,4 +1,4 @@
-//! What daemons give each other.
+//! Grants and loans between daemons.
 
 use crate::{DaemonId, Timestamp};
 
@@ -14,7 +14,7 @@
 };
 
 impl ShareLedger {
-    /// Answers an ask of another daemon.
+    /// Answers a request of another daemon.
     pub fn handle(&mut self, from: DaemonId, ask: &RateAsk, now: Timestamp) -> RateAnswer {
         self.end_handovers(now);
         match ask {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Answers an ask for tokens, the most frequent one, without allocating.
+    /// Answers a token request, the most frequent kind, without allocating.
     pub fn handle_tokens(&mut self, ask: &TokenAsk, now: Timestamp) -> TokenAnswer {
         self.end_handovers(now);
         if !self.may_spend(now) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Takes over the slices that `from` offers.
+    /// Adds the slices that `from` offers to this daemon's slots.
     pub fn take_offers(&mut self, from: DaemonId, offers: &[SliceOffer], now: Timestamp) {
         let timing = self.timing;
         for offer in offers {
@@ -120,7 +120,8 @@
         offer
     }
 
-    /// Whether the zone of `from` comes before this one as the slot's home.
+    /// Whether the zone of `from` comes before this daemon's zone in the slot's order of
+    /// homes.
     fn yields_to(&self, from: DaemonId, want: &SliceWant) -> bool {
         let slot = usize::from(want.slot) % SLOTS;
         let order = zone_order(want.customer, want.slot, self.zones as u8);
@@ -194,7 +195,8 @@
     }
 }
 
-/// The holders of a slot in the zones other than `own`, without those down.
+/// Returns the holders of a slot in the zones other than `own`, without those that are
+/// down.
 fn other_holders(
     holders: &[[Option<DaemonId>; SLOTS]],
     reach: &ReachTable,
--- a/crates/policy/src/rates/share_ledger/request_path.rs
+++ b/crates/policy/src/rates/share_ledger/request_path.rs
@@ -1,4 +1,4 @@
-//! What becomes of one request.
+//! Admits or refuses one caller's request.
 
 use std::time::Duration;
 
@@ -13,43 +13,44 @@
     ShareLedger,
 };
 
-/// How many daemons one request may ask before it is refused.
-const MAX_ASKS: u8 = 20;
+/// The maximum number of token requests sent for one caller's request before it is refused.
+const MAX_TOKEN_REQUESTS: u8 = 20;
 
-/// How long one request may spend asking before it is refused.
-const MAX_ASKING: Duration = Duration::from_secs(1);
+/// How long token requests are sent for one caller's request before it is refused.
+const MAX_SEARCH_TIME: Duration = Duration::from_secs(1);
 
-/// Tokens are asked for ahead only above this demand, in requests a second.
-const AHEAD_DEMAND: f64 = 1.0;
+/// The minimum demand, in requests per second, at which tokens are requested in advance.
+const MIN_PREFETCH_DEMAND: f64 = 1.0;
 
-/// When a refused caller should come back if no holder could say.
-const DEFAULT_RETRY: Duration = Duration::from_secs(1);
+/// The `retry_after` of a refused request if no holder provided one.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Grants are returned this long before they lapse.
-const RETURN_AHEAD: Duration = Duration::from_millis(300);
+/// How long before their expiry grants are returned.
+const RETURN_LEAD_TIME: Duration = Duration::from_millis(300);
 
-/// What is to be done with a request.
+/// The decision on a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may run.
+    /// The request may run.
     Admitted,
-    /// Another daemon has to be asked first.
+    /// A token has to be requested from another daemon first.
     Borrow {
-        /// The daemon to ask.
+        /// The daemon to send the token request to.
         to: DaemonId,
-        /// What to ask it.
+        /// The token request.
         ask: TokenAsk,
-        /// Goes back into the ledger with the answer.
+        /// The state of the search, which the caller passes back with the answer.
         attempt: Attempt,
     },
-    /// It is over its customer's rate.
+    /// The request exceeds its customer's rate.
     Refused {
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
 }
 
-/// A request on its way from daemon to daemon in search of a token.
+/// The state of a search for a token, in which one daemon after another gets a token
+/// request for the same caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
     customer: CustomerKey,
@@ -61,12 +62,13 @@
     first: u8,
     step: u8,
     asks: u8,
-    /// A bit for each place whose home has gathered everything and is empty.
+    /// A bit for each of the customer's slots whose home has no token left and has
+    /// borrowed all that other zones can lend.
     done: u8,
 }
 
 impl ShareLedger {
-    /// Decides about a request that just arrived.
+    /// Decides whether a caller's request that just arrived is admitted.
     pub fn admit(&mut self, customer: CustomerKey, now: Timestamp) -> Decision {
         let Some(index) = self.find(customer) else {
             let retry_after = DEFAULT_RETRY;
@@ -94,9 +96,9 @@
         self.proceed(index, attempt, now)
     }
 
-    /// Goes on with a request after an answer.
+    /// Continues the search for a token after an answer.
     ///
-    /// Tokens that come later than their holder allows are dropped.
+    /// Tokens that arrive after their expiry are dropped.
     pub fn take(&mut self, mut attempt: Attempt, answer: TokenAnswer, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
             let retry_after = DEFAULT_RETRY;
@@ -133,16 +135,15 @@
                     self.shares[index].empty_until[usize::from(attempt.place)] = until;
                 }
             }
-            // A slot is on its way to another holder. The daemon's other slots
-            // can still be asked for; to count it as down would leave the
-            // customer without any of them.
+            // The slot is being handed over to another holder. The daemon's other slots
+            // are still usable; counting it as down would exclude all of them.
             TokenAnswer::NotHolder => {}
             TokenAnswer::Stale => return self.skip(index, attempt, now),
         }
         self.resume(index, attempt, now)
     }
 
-    /// Goes on with a request whose ask can't even be sent.
+    /// Continues the search after a token request that couldn't be sent.
     pub fn unreachable(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
             let retry_after = DEFAULT_RETRY;
@@ -151,14 +152,15 @@
         self.skip(index, attempt, now)
     }
 
-    /// Goes on with a request whose ask got no answer in time.
+    /// Continues the search after a token request that timed out.
     pub fn fail(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
             let retry_after = DEFAULT_RETRY;
             return Decision::Refused { retry_after };
         };
-        // One lost answer doesn't make a daemon unreachable, and the slot's home
-        // would change for nothing; the request just asks the next.
+        // One lost answer doesn't mean that a daemon is unreachable, and counting it as
+        // down would change the slot's home needlessly; the search just continues with
+        // the next daemon.
         let until = now + self.timing.down;
         let zone = usize::from(attempt.zone);
         let own = zone == self.zone;
@@ -168,7 +170,7 @@
         self.skip(index, attempt, now)
     }
 
-    /// Spends a token that is here: a granted one, or one of a slot held.
+    /// Spends a token of this daemon, from a received grant or from a slot that it holds.
     fn spend_here(&mut self, index: usize, now: Timestamp) -> bool {
         self.end_handovers(now);
         if let Some(used_up) = self.shares[index].pocket.spend(now) {
@@ -190,10 +192,10 @@
         false
     }
 
-    /// Goes on without the daemon that was asked.
+    /// Marks the daemon of the last token request as down and continues without it.
     fn skip(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
         self.note_down(attempt.to, now);
-        // The next daemon has moved up into the place of the one that is down.
+        // The next daemon now has the position of the one that is down.
         attempt.step = attempt.step.saturating_sub(1);
         self.resume(index, attempt, now)
     }
@@ -205,9 +207,10 @@
         self.proceed(index, attempt, now)
     }
 
-    /// Picks the next daemon to ask: first the home of each of the customer's
-    /// slots, then by turns the holders in another zone, who may have tokens on
-    /// their way to nobody, and the homes again, which may have gathered them.
+    /// Selects the next daemon to send a token request to: first the home of each of the
+    /// customer's slots, then alternately the holders in another zone, which may have
+    /// tokens that no home has borrowed, and the homes again, which may have borrowed them
+    /// meanwhile.
     fn proceed(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
         let slots = self.shares[index].part.slots.max(1);
         let steps = slots.saturating_mul(self.zones as u8 * 2);
@@ -275,8 +278,8 @@
         Decision::Borrow { to, ask, attempt }
     }
 
-    /// The holder to turn to in a round, and whether it is the slot's home: the
-    /// first one that is known and not down.
+    /// Returns the holder to send a token request to in a round, its zone, and whether it
+    /// is the slot's home: the first holder in zone order that is known and not down.
     fn holder_for(
         &self,
         customer: CustomerKey,
@@ -328,7 +331,7 @@
         self.outgoing.settle(grant.holder, settlement);
     }
 
-    /// Returns granted tokens that this daemon won't need before they lapse.
+    /// Returns granted tokens that are about to expire to their holders.
     pub(super) fn return_grants(&mut self, index: usize, now: Timestamp) {
         let share = &mut self.shares[index];
         if share.pocket.is_empty() {
--- a/crates/policy/src/rates/slot_handover.rs
+++ b/crates/policy/src/rates/slot_handover.rs
@@ -1,4 +1,4 @@
-//! Slots that this daemon gave to others, and uses until they know.
+//! Slots that this daemon hands over to other daemons of its zone.
 
 use std::time::Duration;
 
@@ -10,24 +10,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct GivenSlot {
     taker: DaemonId,
-    /// The revision of the rosters that the giver changed.
+    /// The store revision of the roster that the handover replaces.
     revision: i64,
-    /// Until when the giver may use the slot.
+    /// Until when the previous holder may use the slot.
     until: Timestamp,
 }
 
-/// Slots that this daemon gave to others, and uses until they know.
+/// The slots that this daemon is handing over and uses until their new holders may
+/// know of it.
 ///
-/// A record that hands a slot over is read by its taker up to a second later, or, if
-/// the platform is lost meanwhile, not before it is back. Until then nobody else would
-/// use the slot. Its taker waits for [`LedgerTiming::settle`](super::LedgerTiming::settle)
-/// from when it has read the record; so the giver may go on for as long after the last
-/// moment at which the taker hadn't read it as a daemon may act by an old view. See
+/// The new holder reads the roster record up to a second after it is written or, if the
+/// store becomes unavailable, only once the store is back; until then no other daemon
+/// would use the slot. The new holder waits for
+/// [`LedgerTiming::settle`](super::LedgerTiming::settle) after it has read the record.
+/// The previous holder may therefore use the slot until
+/// [`LedgerTiming::fresh`](super::LedgerTiming::fresh), the maximum age of a view, after
+/// the last time at which the new holder is known not to have read the record. See
 /// `docs/RATES.md`.
 #[derive(Clone, Debug)]
 pub(super) struct SlotHandovers {
     slots: [Option<GivenSlot>; SLOTS],
-    /// When the first of them ends; nothing while none is given.
+    /// When the first handover ends; `None` if there is none.
     first_end: Option<Timestamp>,
 }
 
@@ -41,11 +44,11 @@
 }
 
 impl SlotHandovers {
-    /// Notes that a slot is given by a write that is about to be sent. Returns whether it
-    /// wasn't given before.
+    /// Starts the handover of a slot by a write that is about to be sent. Returns whether
+    /// no handover of the slot was open.
     ///
-    /// A write that is repeated, since its answer was lost, gives no more time: the taker
-    /// may have read the first.
+    /// A write that is reissued because its answer was lost doesn't extend the handover:
+    /// the new holder may have read the first one.
     pub(super) fn give(
         &mut self,
         slot: u8,
@@ -66,13 +69,14 @@
         true
     }
 
-    /// Forgets that a slot was given: it stays here, or is another's for good.
+    /// Removes a slot's handover, because it was cancelled or is complete.
     pub(super) fn forget(&mut self, slot: u8) {
         self.slots[usize::from(slot) % SLOTS] = None;
         self.find_first_end();
     }
 
-    /// Notes that a daemon acted by the rosters of `revision` at `asked` or later.
+    /// Extends the handovers to a daemon that used the rosters of `revision` at `asked`
+    /// or later, if that revision doesn't contain them yet.
     pub(super) fn note_view(
         &mut self,
         taker: DaemonId,
@@ -88,32 +92,32 @@
         self.find_first_end();
     }
 
-    /// Whether this daemon may use a slot that it gave away.
+    /// Whether this daemon may still use a slot that it hands over.
     pub(super) fn is_usable(&self, slot: usize, now: Timestamp) -> bool {
         self.slots[slot].is_some_and(|given| now < given.until)
     }
 
-    /// Whether a slot was given and its time is over.
+    /// Whether a slot's handover has passed its end.
     pub(super) fn is_over(&self, slot: usize, now: Timestamp) -> bool {
         self.slots[slot].is_some_and(|given| given.until <= now)
     }
 
-    /// Whether a slot was given by a write that changes a roster older than this one.
+    /// Whether a slot's handover replaces a roster older than `revision`.
     pub(super) fn is_older(&self, slot: usize, revision: i64) -> bool {
         self.slots[slot].is_some_and(|given| given.revision < revision)
     }
 
-    /// Whether the time of any slot is over.
+    /// Whether the first end that is not yet processed has passed.
     pub(super) fn has_ended(&self, now: Timestamp) -> bool {
         self.first_end.is_some_and(|end| end <= now)
     }
 
-    /// Whether any slot is on its way and used here.
+    /// Whether this daemon still uses any slot that it hands over.
     pub(super) fn is_open(&self, now: Timestamp) -> bool {
         self.slots.iter().flatten().any(|given| now < given.until)
     }
 
-    /// Notes that the ends by `now` were acted on.
+    /// Marks the ends up to `now` as processed.
     pub(super) fn skip_ended(&mut self, now: Timestamp) {
         let ends = self.slots.iter().flatten().map(|given| given.until);
         self.first_end = ends.filter(|end| now < *end).min();
--- a/crates/policy/src/rates/slot_share.rs
+++ b/crates/policy/src/rates/slot_share.rs
@@ -1,4 +1,4 @@
-//! One customer's slot at the daemon that holds it.
+//! The state of one customer's slot at the daemon that holds it.
 
 use std::time::Duration;
 
@@ -10,21 +10,23 @@
     zone_link::{ZoneLink, renewal},
 };
 
-/// Failed asks a second that one holder answers without asking for patience.
-const CALM_FAILURES: f64 = 20.0;
+/// The rate of failed token requests per second up to which a holder doesn't raise
+/// `retry_after`.
+const MAX_UNTHROTTLED_FAILURES: f64 = 20.0;
 
-/// Failed asks a second above [`CALM_FAILURES`] that double the time after
-/// which an asker may come back; the time grows with the square, so that
-/// hundreds of daemons that all want more don't drown the holder.
-const PATIENCE_STEP: f64 = 10.0;
+/// Scale of the backoff, in failed token requests per second above
+/// [`MAX_UNTHROTTLED_FAILURES`]: `retry_after` is multiplied by the square of one plus
+/// excess / scale, so that hundreds of daemons that all request more don't overload the
+/// holder.
+const BACKOFF_SCALE: f64 = 10.0;
 
-/// The longest time for which a holder sends askers away.
-const MAX_PATIENCE: Duration = Duration::from_secs(2);
+/// The maximum `retry_after` that a holder sends.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// One in so many of the tokens that are left goes to an asker beyond the one
-/// that it needs at once. Small, so that few tokens lie idle at one daemon while
-/// another runs short.
-const SPARE_PARTS: u32 = 16;
+/// A grant contains at most one part in this many of the remaining tokens, beyond the one
+/// token that the requester needs immediately. The fraction is small so that few tokens
+/// are idle at one daemon while another has none.
+const SPARE_DIVISOR: u32 = 16;
 
 /// A slice that this holder lent.
 #[derive(Clone, Copy, Debug)]
@@ -35,10 +37,10 @@
     until: Timestamp,
 }
 
-/// The holder of the slot in each zone, as far as it is known and answers.
+/// The holder of the slot in each zone, `None` where it is unknown or down.
 pub(super) type ZoneHolders = [Option<DaemonId>; super::MAX_ZONES];
 
-/// A slot's bucket with all that was given from it and borrowed for it.
+/// A slot's bucket with the grants and loans issued from it and the slices borrowed for it.
 #[derive(Clone, Debug)]
 pub(super) struct SlotShare {
     pub(super) slot: u8,
@@ -54,15 +56,15 @@
 }
 
 impl SlotShare {
-    /// The tokens in the bucket as last counted, and its capacity.
+    /// Returns the tokens in the bucket as of the last refill, and its capacity.
     pub(super) fn level(&self) -> (Tokens, Tokens) {
         (self.bucket.level(), self.bucket.slice().capacity)
     }
 
-    /// A slot whose part is worth nothing until `from`, and starts empty then.
+    /// Creates a slot whose part is zero until `from` and whose bucket starts empty then.
     ///
-    /// One that counts at once never had another holder since the customer is
-    /// known, so nothing was spent from it and it starts full.
+    /// If `from` has passed, no other daemon has held the slot since the customer became
+    /// known, so no tokens were spent from it and its bucket starts full.
     pub(super) fn new(slot: u8, slice: Slice, from: Timestamp, now: Timestamp) -> Self {
         let at_once = from <= now;
         SlotShare {
@@ -83,9 +85,11 @@
         }
     }
 
-    /// Applies a new worth: at once, or what is gained only from `raise` on.
+    /// Sets a new base slice. Decreases apply immediately; with `raise`, increases apply
+    /// only from then on.
     ///
-    /// What was borrowed is dropped, since its lenders lent by the old worth.
+    /// Borrowed slices are dropped, since their lenders computed them from the old
+    /// settings.
     pub(super) fn set_base(&mut self, slice: Slice, raise: Option<Timestamp>, now: Timestamp) {
         self.advance(now);
         self.links.clear();
@@ -103,11 +107,11 @@
         self.reshape();
     }
 
-    /// Brings the bucket up to `now` and ends what has lapsed.
+    /// Refills the bucket up to `now` and ends expired loans and grants.
     pub(super) fn advance(&mut self, now: Timestamp) {
         while let Some(end) = self.first_lapse(now) {
-            // Refill counts the borrowed rate up to its end and not beyond,
-            // however late this runs, or the lender's refill would add to it.
+            // The refill includes the borrowed rate only up to the end of the loan,
+            // however late this runs; after that the lender refills at that rate again.
             self.bucket.settle(end);
             for link in &mut self.links {
                 if link.lapse(end).is_some() {
@@ -130,8 +134,8 @@
         }
     }
 
-    /// Takes one token for a request of this daemon's own. The bucket must have
-    /// been advanced.
+    /// Takes one token for a request that arrived at this daemon. The caller must have
+    /// called [`SlotShare::advance`] first.
     pub(super) fn spend(&mut self, now: Timestamp) -> bool {
         let spent = self.bucket.take(Tokens::ONE);
         if spent {
@@ -140,7 +144,8 @@
         spent
     }
 
-    /// Grants up to `want` whole tokens to an asker.
+    /// Grants up to `want` whole tokens to a requesting daemon and returns their number,
+    /// or `None` if the bucket holds no whole token.
     pub(super) fn grant(
         &mut self,
         want: u32,
@@ -162,13 +167,13 @@
         Some(count)
     }
 
-    /// Whether the room taken by unspent grants is scarce.
+    /// Whether open grants reserve so much capacity that they should be settled early.
     pub(super) fn wants_settlement(&self) -> bool {
         self.grants.room() > self.bucket.slice().capacity.divided(4)
     }
 
-    /// Frees the room of a grant and takes its unspent tokens back. Unknown
-    /// grants are ignored: they lapsed, or were settled by an earlier message.
+    /// Frees the capacity reserved for a grant and puts its unspent tokens back. Unknown
+    /// grants are ignored: they expired, or an earlier message settled them.
     pub(super) fn settle_grant(&mut self, id: u64, unspent: u32) {
         let Some(room) = self.grants.settle(id) else {
             return;
@@ -177,11 +182,12 @@
         self.bucket.put(Tokens::whole(unspent).min(room));
     }
 
-    /// Lends all that is there to `borrower`, or renews its loan.
+    /// Lends the whole available slice to `borrower`, or renews its loan. Returns the total
+    /// slice lent and the tokens that move with it.
     ///
-    /// Two daemons may both take themselves for the home, after a cut has healed
-    /// for one. The one whose zone comes later `yields` and stops gathering; the
-    /// other lends nothing, or slices would pass to and fro.
+    /// Two daemons may both act as the slot's home after a network partition has ended for
+    /// only one of them. The one whose zone is later in the slot's order sets `yields` and
+    /// stops borrowing; the other lends nothing, or slices would move back and forth.
     pub(super) fn lend(
         &mut self,
         borrower: DaemonId,
@@ -205,14 +211,15 @@
         let others = self.lent.iter().filter(|lent| lent.borrower != borrower);
         let most = others.fold(self.base, |left, lent| left.minus(lent.slice));
         let slice = match position {
-            // An ask that was overtaken by a newer one must not end the newer
-            // loan, which the borrower holds.
+            // A request that arrives after a newer one must not end the newer loan,
+            // which the borrower holds.
             Some(position) if self.lent[position].loan > want.loan => return nothing,
             Some(position) => {
                 let lent = &mut self.lent[position];
                 let grown = lent.slice.plus(more);
-                // The part was lowered since. A renewal would keep the old worth
-                // alive; under a new number the borrower holds nothing yet.
+                // This holder's part was reduced since the loan. A renewal would keep
+                // the old amount in use; under a new loan number the borrower holds
+                // nothing yet, so it gets the reduced slice.
                 if grown != grown.min(most) && lent.loan == want.loan {
                     return nothing;
                 }
@@ -239,7 +246,7 @@
         (slice, tokens)
     }
 
-    /// Takes back a slice that its borrower no longer uses.
+    /// Ends a loan whose borrower has returned it, and puts its tokens back.
     pub(super) fn take_back(&mut self, borrower: DaemonId, loan: u64, tokens: Tokens) {
         let matches = |lent: &LentSlice| lent.borrower == borrower && lent.loan == loan;
         let Some(position) = self.lent.iter().position(matches) else {
@@ -250,8 +257,8 @@
         self.bucket.put(tokens);
     }
 
-    /// Takes over the slice that `zone` offers, if it was asked for and the
-    /// right would not already have ended.
+    /// Adds the slice that `zone` offers, if it was requested and the loan hasn't already
+    /// expired.
     pub(super) fn take_offer(
         &mut self,
         zone: usize,
@@ -290,13 +297,14 @@
         self.bucket.put(offer.tokens);
     }
 
-    /// Notes that an asker takes this holder for the slot's home.
+    /// Records that a daemon uses this holder as the slot's home.
     pub(super) fn be_home(&mut self, now: Timestamp, timing: &LedgerTiming) {
         self.gathers_until = self.gathers_until.max(now + 2 * timing.slice);
     }
 
-    /// Asks the other zones for their slices where they are needed, renews
-    /// those that are, and reports whether nothing more can be had.
+    /// Requests slices from the other zones if this slot needs more, and returns whether
+    /// every zone has either lent its slice or refused. `ask` queues one request and
+    /// returns its loan number.
     pub(super) fn gather(
         &mut self,
         holders: &ZoneHolders,
@@ -331,15 +339,16 @@
         complete
     }
 
-    /// Renews the loans that are due, or returns them if they are no longer
-    /// needed and what is left covers all grants.
+    /// Renews the loans that are due, or returns those that are no longer needed, provided
+    /// that the bucket's remaining slice covers them.
     pub(super) fn renew(
         &mut self,
         now: Timestamp,
         timing: &LedgerTiming,
         mut send: impl FnMut(usize, LoanStep),
     ) {
-        // A home that others no longer turn to keeps the next one from gathering.
+        // Loans at a holder that other daemons no longer use as the slot's home would
+        // keep the new home from borrowing.
         let retired = self.gathers_until <= now;
         let done = retired || self.is_idle(now);
         for zone in 0..self.links.len() {
@@ -364,14 +373,15 @@
             }
             *renew = now + timing.answer;
             if retired {
-                // It lapses by itself if grants stand against it.
+                // The grants issued from the loan still reserve its capacity, so it is
+                // left to expire.
                 continue;
             }
             send(zone, LoanStep::Renew { loan });
         }
     }
 
-    /// When an asker that got nothing may come back.
+    /// Returns how long a daemon that got no token should wait before its next request.
     pub(super) fn retry_after(&self, now: Timestamp) -> Duration {
         let excess = (self.failed.rate_at(now) - CALM_FAILURES).max(0.0);
         let patience = (1.0 + excess / PATIENCE_STEP).powi(2);
@@ -385,7 +395,8 @@
         lapses.min()
     }
 
-    /// Ends grants, loans and waits whose time is over. Late is harmless here.
+    /// Ends expired grants and expired loans to other daemons, and returns whether there
+    /// were any. Ending them late is safe: until then this holder spends less.
     fn end_given(&mut self, now: Timestamp) -> bool {
         let mut changed = self.grants.end(now);
         let lent = self.lent.len();
@@ -394,7 +405,8 @@
         changed
     }
 
-    /// Fits the bucket to what is held: own and borrowed, less lent and granted.
+    /// Sets the bucket's slice: the base and borrowed slices, less the lent slices and the
+    /// capacity reserved for grants.
     fn reshape(&mut self) {
         let mut held = self.base;
         for link in &self.links {
@@ -407,7 +419,7 @@
         self.bucket.reshape(held);
     }
 
-    /// Stops gathering, and returns what was gathered with the next tick.
+    /// Stops borrowing, and makes all loans due, so that the next tick returns them.
     fn retire(&mut self, now: Timestamp) {
         self.gathers_until = self.gathers_until.min(now);
         for link in &mut self.links {
@@ -429,19 +441,19 @@
     }
 }
 
-/// What is to be done with a loan whose renewal is due.
+/// The action for a loan whose renewal is due.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum LoanStep {
-    /// Ask the lender for more time.
+    /// Request an extension from the lender.
     Renew {
-        /// The loan.
+        /// The borrower's number for the loan.
         loan: u64,
     },
-    /// Return it.
+    /// Return the slice to the lender.
     Return {
-        /// The loan.
+        /// The borrower's number for the loan.
         loan: u64,
-        /// Tokens that go back.
+        /// The tokens to transfer back.
         tokens: Tokens,
     },
 }
--- a/crates/policy/src/rates/token_bucket.rs
+++ b/crates/policy/src/rates/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket whose size may change.
+//! A token bucket whose rate and capacity may change.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 /// A token bucket that refills continuously up to its capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenBucket {
-    /// The tokens in it at `settled`.
+    /// The tokens in the bucket at `refilled_at`.
     level: Tokens,
-    /// Its refill rate a second and its capacity.
+    /// The refill rate per second and the capacity.
     slice: Slice,
-    /// The time up to which refill has been counted.
+    /// The time up to which the refill has been added.
     settled: Timestamp,
 }
 
 impl TokenBucket {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     pub fn empty(slice: Slice, now: Timestamp) -> Self {
         TokenBucket {
             level: Tokens::ZERO,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn full(slice: Slice, now: Timestamp) -> Self {
         TokenBucket {
             level: slice.capacity,
@@ -36,17 +36,17 @@
         }
     }
 
-    /// The tokens counted so far.
+    /// Returns the tokens in the bucket as of the last refill.
     pub fn level(&self) -> Tokens {
         self.level
     }
 
-    /// The rate and capacity in force.
+    /// Returns the current rate and capacity.
     pub fn slice(&self) -> Slice {
         self.slice
     }
 
-    /// Counts the refill up to `now`. An earlier `now` changes nothing.
+    /// Adds the refill up to `now`. A `now` before the last refill changes nothing.
     pub fn settle(&mut self, now: Timestamp) {
         if now <= self.settled {
             return;
@@ -57,14 +57,14 @@
         self.settled = now;
     }
 
-    /// Changes rate and capacity from the last settled time on; tokens beyond
-    /// the new capacity are dropped.
+    /// Changes rate and capacity as of the last refill; tokens beyond the new
+    /// capacity are dropped.
     pub fn reshape(&mut self, slice: Slice) {
         self.slice = slice;
         self.level = self.level.min(slice.capacity);
     }
 
-    /// Takes `amount` if it is there.
+    /// Removes `amount` and returns true, or returns false if the bucket holds less.
     pub fn take(&mut self, amount: Tokens) -> bool {
         if self.level < amount {
             return false;
@@ -78,7 +78,8 @@
         self.level = (self.level + amount).min(self.slice.capacity);
     }
 
-    /// The time until one whole token is there, if ever.
+    /// Returns the time until the bucket holds one whole token, at most an hour, or
+    /// `None` if its rate is zero or its capacity is below one token.
     pub fn next_token(&self) -> Option<Duration> {
         let missing = (Tokens::ONE - self.level).as_f64();
         let rate = self.slice.rate.as_f64();
--- a/crates/policy/src/rates/token_pocket.rs
+++ b/crates/policy/src/rates/token_pocket.rs
@@ -1,25 +1,25 @@
-//! Tokens granted to this daemon, to be spent soon.
+//! Tokens that holders granted to this daemon.
 
 use crate::{DaemonId, Timestamp};
 
-/// Tokens granted by one holder.
+/// One grant that this daemon received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PocketGrant {
-    /// Who granted them.
+    /// The daemon that granted the tokens.
     pub(super) holder: DaemonId,
     /// The roster slot they come from.
     pub(super) slot: u8,
     /// The holder's number for the grant.
     pub(super) grant: u64,
-    /// The tokens left.
+    /// The number of tokens left.
     pub(super) count: u32,
-    /// When they lapse, on this daemon's clock.
+    /// When they expire, on this daemon's clock.
     pub(super) until: Timestamp,
-    /// Whether the holder wants to hear at once when they are spent.
+    /// Whether the holder requests a settlement as soon as they are spent.
     pub(super) settle: bool,
 }
 
-/// The tokens of one customer that were granted to this daemon.
+/// The grants that this daemon received for one customer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct TokenPocket {
     grants: Vec<PocketGrant>,
@@ -30,10 +30,11 @@
         self.grants.push(grant);
     }
 
-    /// Spends one token and returns the grant that it used up, if it did.
+    /// Spends one token and returns the grant if that was its last token. Returns
+    /// `None` if there is no token to spend.
     ///
-    /// Grants past their time are never spent: their giver may already count
-    /// the room as free, and the customer would get the tokens twice.
+    /// Expired grants are never spent: the holder may already count their capacity
+    /// as free, and the customer would get the tokens twice.
     pub(super) fn spend(&mut self, now: Timestamp) -> Option<Option<PocketGrant>> {
         let position = self.grants.iter().position(|grant| grant.until > now)?;
         let grant = &mut self.grants[position];
@@ -44,7 +45,7 @@
         Some(Some(self.grants.swap_remove(position)))
     }
 
-    /// Removes one grant that lapses before `limit`, if there is any.
+    /// Removes and returns one grant that expires by `limit`, if there is any.
     pub(super) fn remove_lapsing(&mut self, limit: Timestamp) -> Option<PocketGrant> {
         let position = self.grants.iter().position(|grant| grant.until <= limit)?;
         Some(self.grants.swap_remove(position))
--- a/crates/policy/src/rates/tokens.rs
+++ b/crates/policy/src/rates/tokens.rs
@@ -1,4 +1,4 @@
-//! Amounts of tokens, exact.
+//! Exact token amounts.
 
 use std::ops::{Add, AddAssign, Sub, SubAssign};
 
@@ -6,8 +6,8 @@
 
 /// An amount of tokens, in trillionths of a token; one token admits one request.
 ///
-/// Integers, so that parts never add up to more than the whole. Subtraction
-/// stops at zero and addition at the greatest amount, 18 million tokens.
+/// An integer, so that parts never add up to more than the whole. Subtraction
+/// saturates at zero and addition at the maximum of 18 million tokens.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,53 +16,53 @@
 
 const TRILLION: u64 = 1_000_000_000_000;
 
-/// Clocks may run faster than true time by one part in so many; buckets refill
-/// slower by as much, so that a fast clock doesn't raise a customer's rate.
-const DRIFT_PARTS: u128 = 2_000;
+/// A clock may run fast by one part in this many. Buckets refill more slowly by the
+/// same fraction, so that a fast clock doesn't raise a customer's rate.
+const CLOCK_DRIFT_DIVISOR: u128 = 2_000;
 
 impl Tokens {
     /// No tokens.
     pub const ZERO: Tokens = Tokens(0);
-    /// The token of one request.
+    /// One whole token, which admits one request.
     pub const ONE: Tokens = Tokens(TRILLION);
 
-    /// The amount in trillionths, as sent between daemons.
+    /// Creates an amount from trillionths, the unit used between daemons.
     pub const fn from_trillionths(trillionths: u64) -> Self {
         Tokens(trillionths)
     }
 
-    /// Trillionths of a token.
+    /// Returns the amount in trillionths of a token.
     pub const fn as_trillionths(self) -> u64 {
         self.0
     }
 
-    /// So many whole tokens.
+    /// Returns the amount of `count` whole tokens.
     pub const fn whole(count: u32) -> Self {
         Tokens((count as u64).saturating_mul(TRILLION))
     }
 
-    /// The amount nearest below `count` tokens; negative counts give zero.
+    /// Converts `count` tokens, rounded down; negative counts give zero.
     pub fn from_f64(count: f64) -> Self {
         Tokens((count * TRILLION as f64) as u64)
     }
 
-    /// Tokens as a floating-point number, for reports.
+    /// Returns the number of tokens as a floating-point number, for reports.
     pub fn as_f64(self) -> f64 {
         self.0 as f64 / TRILLION as f64
     }
 
-    /// The whole tokens in this amount.
+    /// Returns the number of whole tokens in this amount.
     pub fn count(self) -> u32 {
         u32::try_from(self.0 / TRILLION).unwrap_or(u32::MAX)
     }
 
-    /// One of `parts` equal parts, rounded down.
+    /// Returns one of `parts` equal parts, rounded down.
     pub fn divided(self, parts: u32) -> Self {
         Tokens(self.0 / u64::from(parts.max(1)))
     }
 
-    /// The `index`-th of `parts` parts that differ by a trillionth at most and
-    /// add up to exactly this amount.
+    /// Returns the part at `index` when this amount is split into `parts` parts that
+    /// differ by at most a trillionth and add up to exactly this amount.
     pub fn part(self, index: u32, parts: u32) -> Self {
         if index >= parts {
             return Tokens::ZERO;
@@ -73,7 +73,7 @@
         Tokens(u64::try_from(end - start).unwrap_or(u64::MAX))
     }
 
-    /// This amount scaled by `part / whole`, rounded down.
+    /// Returns this amount scaled by `part / whole`, rounded down.
     pub fn scaled(self, part: Tokens, whole: Tokens) -> Self {
         if whole == Tokens::ZERO {
             return Tokens::ZERO;
@@ -82,11 +82,11 @@
         Tokens(u64::try_from(scaled).unwrap_or(u64::MAX))
     }
 
-    /// What a rate of this amount a second yields in `micros` microseconds on a
-    /// clock that may run a little fast.
+    /// Returns the tokens that a rate of this amount per second yields in `micros`
+    /// microseconds, reduced for a clock that may run fast.
     pub(super) fn refill(self, micros: u64) -> Self {
         let gain = u128::from(self.0) * u128::from(micros) / 1_000_000;
-        let gain = gain - gain.div_ceil(DRIFT_PARTS);
+        let gain = gain - gain.div_ceil(CLOCK_DRIFT_DIVISOR);
         Tokens(u64::try_from(gain).unwrap_or(u64::MAX))
     }
 }
--- a/crates/policy/src/rates/zone_link.rs
+++ b/crates/policy/src/rates/zone_link.rs
@@ -1,4 +1,4 @@
-//! What a slot's holder has from its like in another zone.
+//! The state of a loan between a slot's holders in two zones.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 use super::{LedgerTiming, Slice};
 
-/// How long a zone that lent nothing isn't asked again.
-const REFUSED_PAUSE: Duration = Duration::from_secs(1);
+/// How long no loan is requested from a zone that lent nothing.
+const REFUSED_BACKOFF: Duration = Duration::from_secs(1);
 
-/// What this holder has from the slot's holder in another zone.
+/// The state of a loan from the slot's holder in another zone to this holder.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) enum ZoneLink {
     #[default]
@@ -30,7 +30,8 @@
 }
 
 impl ZoneLink {
-    /// Ends waiting for an answer, or after a refusal.
+    /// Treats a request that has timed out as refused, and ends the backoff after a
+    /// refusal.
     pub(super) fn end_wait(&mut self, now: Timestamp) {
         match *self {
             ZoneLink::Asked { until, .. } if until <= now => {
@@ -41,14 +42,14 @@
         }
     }
 
-    /// The link after a refusal.
+    /// Returns the state after a refusal.
     pub(super) fn refused(now: Timestamp) -> Self {
         ZoneLink::Refused {
-            until: now + REFUSED_PAUSE,
+            until: now + REFUSED_BACKOFF,
         }
     }
 
-    /// The end of a slice that has ended by `now`.
+    /// Returns when the loan expired, if it has expired by `now`.
     pub(super) fn lapse(&self, now: Timestamp) -> Option<Timestamp> {
         match self {
             ZoneLink::Borrowed { until, .. } if *until <= now => Some(*until),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The slice that counts here.
+    /// Returns the slice currently on loan to this holder, zero if there is none.
     pub(super) fn slice(&self) -> Slice {
         match self {
             ZoneLink::Borrowed { slice, .. } => *slice,
@@ -65,8 +66,8 @@
     }
 }
 
-/// When to renew a loan: with half its time left or more, and for all loans at
-/// the same moments, so that many customers' renewals share a message.
+/// Returns when to renew a loan: with at least half its time left, and at times common
+/// to all loans, so that the renewals of many customers share a message.
 pub(super) fn renewal(until: Timestamp, timing: &LedgerTiming) -> Timestamp {
     let half = (timing.slice / 2).as_micros().max(1) as u64;
     let latest = (until - timing.slice / 2).as_micros();
--- a/crates/policy/src/rates/zone_roster.rs
+++ b/crates/policy/src/rates/zone_roster.rs
@@ -1,4 +1,4 @@
-//! Which daemon of a zone holds which slot.
+//! The roster record, which says which daemon of a zone holds which slot.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 
 use crate::{DaemonId, Timestamp};
 
-/// The slots into which each zone's part of all customers is divided.
+/// The number of slots on each zone's roster.
 pub const SLOTS: usize = 64;
 
 /// A daemon on the roster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RosterMember {
-    /// Its name.
+    /// The daemon's name.
     pub name: String,
-    /// Where its peers reach it, as `ip:port`.
+    /// The address for its peers, as `ip:port`.
     pub address: String,
-    /// A random number of its process; another one means that it restarted.
+    /// A random number drawn by its process; a different number means that it restarted.
     pub incarnation: u64,
     /// Whether it may use its slots.
     pub state: MemberState,
@@ -27,18 +27,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It may.
+    /// The member may use its slots.
     Active,
-    /// It is taken for lost: once it has certainly noticed, its slots are free.
+    /// The member is considered lost. Its slots become free after the expulsion delay,
+    /// when it has certainly detected that its view is stale.
     Expelled,
 }
 
-/// One zone's record in the platform: its members and who holds which slot.
+/// One zone's record in the store: its members and the holder of each slot.
 ///
-/// It is written by compare-and-swap, and only when members change. Each method
-/// returns the record to write, or `None` if nothing is to be written; a daemon
-/// acts on a record only after it has read it back or been told it was written.
-/// What is written comes from [`ZoneRoster::next_change`].
+/// The record is written by compare-and-swap, and only when members change. Most methods
+/// that change it return the new record, or `None` if nothing is to be written. A daemon
+/// acts on a record only after it has read it back or the store has acknowledged the
+/// write. [`ZoneRoster::next_change`] selects the change to write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZoneRoster {
@@ -46,8 +47,8 @@
     pub members: Vec<RosterMember>,
     /// The name of each slot's holder.
     pub slots: Vec<Option<String>>,
-    /// A bit for each slot that had a holder at any time. The first holder need
-    /// not wait, since nobody can have lent anything from the slot.
+    /// A bit for each slot that ever had a holder. The first holder of a slot need not
+    /// wait, since no daemon can have granted or lent anything from it.
     pub used: u64,
 }
 
@@ -56,7 +57,7 @@
 pub struct RosterChange {
     /// The record to write.
     pub roster: ZoneRoster,
-    /// The slots that the writer gives away by it, each with its taker's name.
+    /// The slots that the writer hands over by it, each with its new holder's name.
     pub given: Vec<(u8, String)>,
 }
 
@@ -71,11 +72,11 @@
 }
 
 impl ZoneRoster {
-    /// With the process `incarnation` of `name` as an active member.
+    /// Adds the process `incarnation` of `name` as an active member.
     ///
-    /// A restarted process takes over its predecessor's slots: it bound the same
-    /// address, so the predecessor is dead. A member that was marked expelled by
-    /// mistake clears the mark; it holds its slots as one that just got them.
+    /// A restarted process takes over its predecessor's slots: it has bound the same
+    /// address, so the predecessor is dead. A member that was marked as expelled by
+    /// mistake clears the mark; it then waits as a new holder of its slots does.
     pub fn with_member(&self, name: &str, address: &str, incarnation: u64) -> Option<ZoneRoster> {
         let member = RosterMember {
             name: name.to_owned(),
@@ -92,7 +93,7 @@
         Some(roster)
     }
 
-    /// With free slots given to `name`, up to its equal part.
+    /// Assigns free slots to `name`, up to its equal share.
     pub fn with_slots(&self, name: &str) -> Option<ZoneRoster> {
         let mut missing = self.equal_part().saturating_sub(self.count(name));
         if missing == 0 || !self.is_active(name) {
@@ -111,15 +112,15 @@
         (roster != *self).then_some(roster)
     }
 
-    /// The slots that `name` holds beyond its equal part.
+    /// Returns the slots that `name` holds beyond its equal share.
     pub fn excess(&self, name: &str) -> Vec<u8> {
         let excess = self.count(name).saturating_sub(self.equal_part());
         let held = (0..SLOTS as u8).filter(|slot| self.holder(*slot) == Some(name));
         held.take(excess).collect()
     }
 
-    /// Without the holder `name` of these slots. It uses them until their next holder
-    /// knows, and no longer.
+    /// Removes `name` as the holder of `slots`. It continues to use them only until their
+    /// next holder may have read the roster.
     pub fn without_slots(&self, name: &str, slots: &[u8]) -> Option<ZoneRoster> {
         let mut roster = self.clone();
         for slot in slots {
@@ -130,12 +131,11 @@
         (roster != *self).then_some(roster)
     }
 
-    /// With each slot that nobody holds given to a member that has less than its equal
-    /// part.
+    /// Assigns each slot without a holder to a member that has less than its equal share.
     ///
-    /// Each record that is written has to name a holder for every slot. Left to be taken
-    /// with a second write, slots would be nobody's for as long as the platform is away
-    /// if it is lost in between.
+    /// Each record that is written has to name a holder for every slot. If slots were
+    /// assigned by a second write and the store became unavailable in between, they would
+    /// have no holder until it is back.
     pub fn with_free_slots_given(&self) -> ZoneRoster {
         let mut roster = self.clone();
         for member in &self.members {
@@ -144,10 +144,10 @@
         roster
     }
 
-    /// The next change that `me` has to write, if any.
+    /// Returns the next change that `me` has to write, if any.
     ///
-    /// `expulsion` is how long a member that is marked keeps its slots; `gone` and
-    /// `silent` are as in [`ExpulsionWatch::marked`].
+    /// `expulsion` is how long a member that is marked as expelled keeps its slots; `gone`
+    /// and `silent` are as in [`ExpulsionWatch::marked`].
     pub fn next_change(
         &self,
         me: &RosterMember,
@@ -165,7 +165,7 @@
         Some(self.change_to(&me.name, &changed?))
     }
 
-    /// The change by which `me`, which has stopped using its slots, leaves.
+    /// Returns the change that removes `me`, which has stopped using its slots.
     pub fn leaving_change(&self, me: &str) -> Option<RosterChange> {
         let left = self.without_member(me)?;
         Some(self.change_to(me, &left))
@@ -185,7 +185,7 @@
         RosterChange { roster, given }
     }
 
-    /// Without a member that leaves by itself and has stopped using its slots.
+    /// Removes a member that has stopped using its slots, and frees them.
     pub fn without_member(&self, name: &str) -> Option<ZoneRoster> {
         let position = self.position(name).ok()?;
         let mut roster = self.clone();
@@ -198,7 +198,7 @@
         Some(roster)
     }
 
-    /// With a member marked as expelled.
+    /// Marks a member as expelled.
     pub fn with_expelled(&self, name: &str) -> Option<ZoneRoster> {
         let position = self.position(name).ok()?;
         if self.members[position].state == MemberState::Expelled {
@@ -209,8 +209,8 @@
         Some(roster)
     }
 
-    /// Whether this process of `name` is the one on the roster and may use its
-    /// slots.
+    /// Whether the process `incarnation` of `name` is the one on the roster and may use
+    /// its slots.
     pub fn is_current(&self, name: &str, incarnation: u64) -> bool {
         let member = self.member(name);
         member.is_some_and(|member| {
@@ -218,7 +218,7 @@
         })
     }
 
-    /// The holder of each slot as a key; slots of expelled members have none.
+    /// Returns the holder of each slot as an id; slots of expelled members have none.
     pub fn holders(&self, key_of: impl Fn(&str) -> Option<DaemonId>) -> [Option<DaemonId>; SLOTS] {
         let mut holders = [None; SLOTS];
         for (holder, slot) in holders.iter_mut().zip(&self.slots) {
@@ -228,7 +228,7 @@
         holders
     }
 
-    /// The member called `name`.
+    /// Returns the member called `name`.
     pub fn member(&self, name: &str) -> Option<&RosterMember> {
         let position = self.position(name).ok()?;
         Some(&self.members[position])
@@ -265,20 +265,20 @@
     }
 }
 
-/// Watches one zone's roster for members to expel, in two steps.
+/// Expels lost members from one zone's roster, in two steps.
 ///
-/// A member that is lost can't release its slots, and a part of each customer's
-/// rate is gone with it. But a member that is merely paused or cut off may spend
-/// from them until it notices. So it is first marked; only a daemon that has
-/// itself seen the mark for the whole wait frees the slots. The wait is much
-/// longer than the time in which a member notices that its view is stale.
+/// A lost member can't release its slots, so a part of each customer's rate is lost with
+/// it. But a member that is only paused or cut off may spend from its slots until it
+/// detects that. So it is first marked, and only a daemon that has itself seen the mark
+/// for the whole expulsion delay frees the slots. This delay is much longer than the time
+/// in which a member detects that its view is stale.
 #[derive(Clone, Debug, Default)]
 pub struct ExpulsionWatch {
     marked: Vec<(String, u64, Timestamp)>,
 }
 
 impl ExpulsionWatch {
-    /// Notes the record as read at `now`.
+    /// Updates the marked members from the record as read at `now`.
     pub fn note(&mut self, roster: &ZoneRoster, now: Timestamp) {
         let old = std::mem::take(&mut self.marked);
         for member in &roster.members {
@@ -294,7 +294,8 @@
         }
     }
 
-    /// The record without one member whose mark has stood for `wait`.
+    /// Returns the record without one member that has been marked for `wait`, if there is
+    /// such a member.
     pub fn freed(&self, roster: &ZoneRoster, wait: Duration, now: Timestamp) -> Option<ZoneRoster> {
         let due = self.marked.iter().find(|(name, incarnation, since)| {
             let member = roster.member(name);
@@ -306,11 +307,12 @@
         roster.without_member(&due?.0)
     }
 
-    /// The record with one lost member marked: its VM is gone from the list or
-    /// leaving, and it hasn't answered a peer for longer than `silence`.
+    /// Returns the record with one lost member marked as expelled, if there is one.
     ///
-    /// The list alone isn't enough, since it lags and may be empty by mistake,
-    /// and silence alone isn't, since a zone may be split.
+    /// A member is lost if it is both `gone` (its VM is no longer in the VM list, or is
+    /// leaving) and `silent` (it hasn't answered a peer for too long). The list alone isn't
+    /// enough, since it lags and may be empty by mistake, and silence alone isn't enough,
+    /// since a zone may be split.
     pub fn marked(
         &self,
         roster: &ZoneRoster,
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,15 +1,14 @@
-//! The present time, as an argument.
+//! The time type that callers pass to every decision function.
 
 use std::{
     ops::{Add, Sub},
     time::Duration,
 };
 
-/// A moment on one process's monotonic clock, in microseconds since an origin
-/// that only this process knows.
+/// A point in time on one process's monotonic clock, in microseconds since an
+/// origin that only this process knows.
 ///
-/// Timestamps of different processes can't be compared. What crosses the wire
-/// is always a duration.
+/// Timestamps of different processes can't be compared, so messages carry durations.
 ///
 /// ```
 /// use std::time::Duration;
@@ -25,22 +24,22 @@
     /// The origin of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// The moment `micros` microseconds after the origin.
+    /// Returns the time `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Timestamp(micros)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Seconds since the origin.
+    /// Returns the seconds since the origin.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The time passed since `earlier`, or zero when `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
