--- a/crates/policy/src/rates/freshness.rs
+++ b/crates/policy/src/rates/freshness.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Copy, Debug)]
 struct PeerView {
     peer: DaemonId,
-    heard: Timestamp,
-    fresh: Timestamp,
+    received_at: Timestamp,
+    peer_confirmed_at: Timestamp,
 }
 
 /// Tracks how recently this daemon's view of roster and settings was confirmed.
@@ -32,35 +32,47 @@
 /// second one on the other side of such a split.
 #[derive(Clone, Debug)]
 pub(super) struct Freshness {
-    confirmed: Option<Timestamp>,
-    ticked: Timestamp,
-    woken: Option<Timestamp>,
-    alone: bool,
+    confirmed_at: Option<Timestamp>,
+    ticked_at: Timestamp,
+    resumed_at: Option<Timestamp>,
+    is_only_member: bool,
     peers: Vec<PeerView>,
 }
 
 impl Freshness {
     pub(super) fn new(now: Timestamp) -> Self {
         Freshness {
-            confirmed: None,
-            ticked: now,
-            woken: None,
-            alone: false,
+            confirmed_at: None,
+            ticked_at: now,
+            resumed_at: None,
+            is_only_member: false,
             peers: Vec::new(),
         }
     }
 
     pub(super) fn confirm(&mut self, at: Timestamp) {
-        if self.confirmed.is_none_or(|confirmed| confirmed < at) {
-            self.confirmed = Some(at);
+        if self
+            .confirmed_at
+            .is_none_or(|confirmed_at| confirmed_at < at)
+        {
+            self.confirmed_at = Some(at);
         }
-        if self.woken.is_some_and(|woken| at >= woken) {
-            self.woken = None;
+        if self.resumed_at.is_some_and(|resumed_at| at >= resumed_at) {
+            self.resumed_at = None;
         }
     }
 
-    pub(super) fn note_peer(&mut self, peer: DaemonId, heard: Timestamp, fresh: Timestamp) {
-        let view = PeerView { peer, heard, fresh };
+    pub(super) fn note_peer(
+        &mut self,
+        peer: DaemonId,
+        received_at: Timestamp,
+        peer_confirmed_at: Timestamp,
+    ) {
+        let view = PeerView {
+            peer,
+            received_at,
+            peer_confirmed_at,
+        };
         match self.peers.binary_search_by_key(&peer, |view| view.peer) {
             Ok(position) => self.peers[position] = view,
             Err(position) => self.peers.insert(position, view),
@@ -69,35 +81,35 @@
 
     /// Sets the other members of the zone.
     pub(super) fn set_members(&mut self, members: &[DaemonId]) {
-        self.alone = members.is_empty();
+        self.is_only_member = members.is_empty();
         self.peers.retain(|view| members.contains(&view.peer));
     }
 
     /// Records that this daemon is running. A gap longer than `limit` since the last call
     /// means that the process was paused, so the view must be confirmed again.
     pub(super) fn tick(&mut self, now: Timestamp, limit: Duration) {
-        if now.since(self.ticked) > limit {
-            self.woken = Some(now);
+        if now.since(self.ticked_at) > limit {
+            self.resumed_at = Some(now);
         }
-        self.ticked = now;
+        self.ticked_at = now;
     }
 
     pub(super) fn may_spend(&self, now: Timestamp, limit: Duration) -> bool {
-        let Some(confirmed) = self.confirmed else {
+        let Some(confirmed_at) = self.confirmed_at else {
             return false;
         };
-        if self.woken.is_some() || now.since(self.ticked) > limit {
+        if self.resumed_at.is_some() || now.since(self.ticked_at) > limit {
             return false;
         }
-        if now.since(confirmed) <= limit || self.alone {
+        if now.since(confirmed_at) <= limit || self.is_only_member {
             return true;
         }
         let mut reachable = false;
         for view in &self.peers {
-            if now.since(view.heard) > limit {
+            if now.since(view.received_at) > limit {
                 continue;
             }
-            if now.since(view.fresh) <= limit {
+            if now.since(view.peer_confirmed_at) <= limit {
                 return false;
             }
             reachable = true;
--- a/crates/policy/src/rates/grant_book.rs
+++ b/crates/policy/src/rates/grant_tracker.rs
@@ -8,9 +8,9 @@
 
 /// A grant whose tokens the receiver may still spend.
 #[derive(Clone, Copy, Debug)]
-struct GivenGrant {
+struct IssuedGrant {
     id: u64,
-    room: Tokens,
+    reserved: Tokens,
     until: Timestamp,
 }
 
@@ -20,29 +20,33 @@
 /// Grant numbers increase, and so do the expiry times within each list, so a grant
 /// is found by binary search and expired ones are at the front.
 #[derive(Clone, Debug, Default)]
-pub(super) struct GrantBook {
+pub(super) struct GrantTracker {
     /// Grants of one token, each for a request that is waiting.
-    single: VecDeque<GivenGrant>,
+    single: VecDeque<IssuedGrant>,
     /// Grants of several tokens, which last longer.
-    several: VecDeque<GivenGrant>,
-    room: Tokens,
+    several: VecDeque<IssuedGrant>,
+    reserved: Tokens,
 }
 
-impl GrantBook {
+impl GrantTracker {
     /// Returns the capacity reserved for all grants.
-    pub(super) fn room(&self) -> Tokens {
-        self.room
+    pub(super) fn reserved(&self) -> Tokens {
+        self.reserved
     }
 
     pub(super) fn add(&mut self, id: u64, count: u32, until: Timestamp) {
-        let room = Tokens::whole(count);
-        self.room += room;
+        let reserved = Tokens::whole(count);
+        self.reserved += reserved;
         let grants = if count == 1 {
             &mut self.single
         } else {
             &mut self.several
         };
-        grants.push_back(GivenGrant { id, room, until });
+        grants.push_back(IssuedGrant {
+            id,
+            reserved,
+            until,
+        });
     }
 
     /// Frees the capacity reserved for a grant and returns it. Returns `None` for a
@@ -52,22 +56,22 @@
             let Ok(position) = grants.binary_search_by_key(&id, |grant| grant.id) else {
                 continue;
             };
-            let room = std::mem::take(&mut grants[position].room);
-            self.room -= room;
-            return Some(room);
+            let reserved = std::mem::take(&mut grants[position].reserved);
+            self.reserved -= reserved;
+            return Some(reserved);
         }
         None
     }
 
     /// Removes grants from the front that have expired or were settled, and returns
     /// whether there were any.
-    pub(super) fn end(&mut self, now: Timestamp) -> bool {
+    pub(super) fn remove_ended(&mut self, now: Timestamp) -> bool {
         let mut changed = false;
         for grants in [&mut self.single, &mut self.several] {
             while let Some(grant) = grants.front()
-                && (grant.until <= now || grant.room == Tokens::ZERO)
+                && (grant.until <= now || grant.reserved == Tokens::ZERO)
             {
-                self.room -= grant.room;
+                self.reserved -= grant.reserved;
                 grants.pop_front();
                 changed = true;
             }
--- a/crates/policy/src/rates/ledger_timing.rs
+++ b/crates/policy/src/rates/ledger_timing.rs
@@ -48,18 +48,18 @@
 
     /// Returns how long `count` granted tokens may be spent. A single token is for a
     /// request that is waiting, so it is useless after the request's timeout.
-    pub fn grant_life(&self, count: u32) -> Duration {
+    pub fn grant_duration(&self, count: u32) -> Duration {
         if count == 1 { self.answer } else { self.grant }
     }
 
     /// Returns how long the holder reserves capacity for granted tokens.
-    pub fn grant_hold(&self, count: u32) -> Duration {
-        Self::margin(self.grant_life(count))
+    pub fn grant_hold_duration(&self, count: u32) -> Duration {
+        Self::margin(self.grant_duration(count))
     }
 
     /// Returns how long a lender counts a slice as lent: until the loan has expired at
     /// the borrower, and then the grants that the borrower issued from it.
-    pub fn slice_hold(&self) -> Duration {
+    pub fn slice_hold_duration(&self) -> Duration {
         Self::margin(self.slice + self.grant)
     }
 
@@ -67,6 +67,6 @@
     /// by an outdated view. New holders of a slot wait this long before they use it, and
     /// so do parts that grow when a customer's rate is divided differently.
     pub fn settle(&self) -> Duration {
-        Self::margin(self.fresh) + self.slice_hold()
+        Self::margin(self.fresh) + self.slice_hold_duration()
     }
 }
--- a/crates/policy/src/rates/message_outbox.rs
+++ b/crates/policy/src/rates/message_outbox.rs
@@ -15,8 +15,8 @@
         std::mem::take(&mut self.messages)
     }
 
-    pub(super) fn want(&mut self, to: DaemonId, want: SliceWant) {
-        for ask in self.asks_to(to) {
+    pub(super) fn request_slice(&mut self, to: DaemonId, want: SliceWant) {
+        for ask in self.requests_to(to) {
             if let RateAsk::Slices(wants) = ask {
                 return wants.push(want);
             }
@@ -25,18 +25,18 @@
         self.messages.push(Outgoing { to, ask });
     }
 
-    pub(super) fn give_back(&mut self, to: DaemonId, back: SliceReturn) {
-        for ask in self.asks_to(to) {
+    pub(super) fn return_slice(&mut self, to: DaemonId, returned: SliceReturn) {
+        for ask in self.requests_to(to) {
             if let RateAsk::Return(returns) = ask {
-                return returns.push(back);
+                return returns.push(returned);
             }
         }
-        let ask = RateAsk::Return(vec![back]);
+        let ask = RateAsk::Return(vec![returned]);
         self.messages.push(Outgoing { to, ask });
     }
 
-    pub(super) fn settle(&mut self, to: DaemonId, settlement: TokenSettlement) {
-        for ask in self.asks_to(to) {
+    pub(super) fn settle_grant(&mut self, to: DaemonId, settlement: TokenSettlement) {
+        for ask in self.requests_to(to) {
             if let RateAsk::Settle(settlements) = ask {
                 return settlements.push(settlement);
             }
@@ -45,7 +45,7 @@
         self.messages.push(Outgoing { to, ask });
     }
 
-    fn asks_to(&mut self, to: DaemonId) -> impl Iterator<Item = &mut RateAsk> {
+    fn requests_to(&mut self, to: DaemonId) -> impl Iterator<Item = &mut RateAsk> {
         let messages = self.messages.iter_mut();
         let messages = messages.filter(move |message| message.to == to);
         messages.map(|message| &mut message.ask)
--- a/crates/policy/src/rates/mod.rs
+++ b/crates/policy/src/rates/mod.rs
@@ -25,19 +25,19 @@
 
 mod demand_meter;
 mod freshness;
-mod grant_book;
+mod grant_tracker;
 mod ledger_timing;
 mod message_outbox;
 mod messages;
-mod rate_part;
-mod reach_table;
+mod rate_division;
+mod reachability;
 mod share_ledger;
 mod slot_handover;
 mod slot_share;
 mod token_bucket;
-mod token_pocket;
+mod token_grants;
 mod tokens;
-mod zone_link;
+mod zone_loan;
 mod zone_roster;
 
 pub use demand_meter::DemandMeter;
@@ -46,7 +46,9 @@
     Outgoing, RateAnswer, RateAsk, SliceOffer, SliceReturn, SliceWant, TokenAnswer, TokenAsk,
     TokenSettlement,
 };
-pub use rate_part::{CustomerKey, CustomerRate, MAX_CUSTOMER_SLOTS, MAX_ZONES, RatePart, Slice};
+pub use rate_division::{
+    CustomerKey, CustomerRate, MAX_CUSTOMER_SLOTS, MAX_ZONES, RateDivision, Slice,
+};
 pub use share_ledger::{Attempt, Decision, ShareLedger, ShareLevel};
 pub use token_bucket::TokenBucket;
 pub use tokens::Tokens;
--- a/crates/policy/src/rates/rate_part.rs
+++ b/crates/policy/src/rates/rate_division.rs
@@ -100,7 +100,7 @@
 ///
 /// Every daemon computes the same division from the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RatePart {
+pub struct RateDivision {
     /// The number of slots that the customer uses, a power of two.
     pub slots: u8,
     /// The number of zones.
@@ -109,7 +109,7 @@
     pub whole: Slice,
 }
 
-impl RatePart {
+impl RateDivision {
     /// Divides a customer's rate and burst among `zones` zones.
     pub fn of_rate(rate: &CustomerRate, zones: usize) -> Self {
         let zones = zones.clamp(1, MAX_ZONES) as u8;
@@ -119,7 +119,7 @@
         }
         let rate_whole = Tokens::from_f64(rate.rate);
         let capacity = Tokens::whole(rate.burst);
-        RatePart {
+        RateDivision {
             slots,
             zones,
             whole: Slice {
@@ -129,13 +129,13 @@
         }
     }
 
-    /// Returns the part of the customer's slot number `place` in a zone.
+    /// Returns the part of the customer's slot at `slot_index` in a zone.
     ///
     /// The parts add up to exactly the whole. If each part were rounded down, the last
     /// token of a burst would never become a whole token.
-    pub fn slice(&self, zone: usize, place: u8) -> Slice {
+    pub fn slice(&self, zone: usize, slot_index: u8) -> Slice {
         let parts = u32::from(self.slots) * u32::from(self.zones);
-        let index = zone as u32 * u32::from(self.slots) + u32::from(place);
+        let index = zone as u32 * u32::from(self.slots) + u32::from(slot_index);
         Slice {
             rate: self.whole.rate.part(index, parts),
             capacity: self.whole.capacity.part(index, parts),
@@ -149,7 +149,7 @@
     }
 
     /// Whether both have the same number of slots and zones; rate and burst may differ.
-    pub fn same_division(&self, other: &RatePart) -> bool {
+    pub fn same_division(&self, other: &RateDivision) -> bool {
         self.slots == other.slots && self.zones == other.zones
     }
 }
@@ -159,11 +159,11 @@
         && f64::from(rate.burst) / (f64::from(slots) * f64::from(zones)) >= MIN_SLOT_BURST
 }
 
-/// Returns the roster slot that serves as the customer's slot number `place`.
-pub(super) fn roster_slot(customer: CustomerKey, place: u8) -> u8 {
+/// Returns the roster slot that serves as the customer's slot at `slot_index`.
+pub(super) fn roster_slot(customer: CustomerKey, slot_index: u8) -> u8 {
     let spread = SLOTS / MAX_CUSTOMER_SLOTS;
     let start = mix(customer.0) as usize;
-    ((start + usize::from(place) * spread) % SLOTS) as u8
+    ((start + usize::from(slot_index) * spread) % SLOTS) as u8
 }
 
 /// Returns the zones in the order in which a daemon sends token requests for one slot of
--- a/crates/policy/src/rates/reach_table.rs
+++ b/crates/policy/src/rates/reachability.rs
@@ -12,53 +12,56 @@
 
 /// The reachability of one daemon or zone.
 #[derive(Clone, Copy, Debug, Default)]
-struct Reach {
-    strikes: u8,
+struct Reachability {
+    failures: u8,
     down_until: Timestamp,
 }
 
 /// The reachability of daemons and zones, as observed from earlier requests.
 #[derive(Clone, Debug)]
-pub(super) struct ReachTable {
-    daemons: Vec<Reach>,
-    zones: Vec<Reach>,
+pub(super) struct ReachabilityTable {
+    daemons: Vec<Reachability>,
+    zones: Vec<Reachability>,
 }
 
-impl ReachTable {
+impl ReachabilityTable {
     pub(super) fn new(zones: usize) -> Self {
-        ReachTable {
+        ReachabilityTable {
             daemons: Vec::new(),
-            zones: vec![Reach::default(); zones],
+            zones: vec![Reachability::default(); zones],
         }
     }
 
     pub(super) fn set_zones(&mut self, zones: usize) {
-        self.zones.resize(zones, Reach::default());
+        self.zones.resize(zones, Reachability::default());
     }
 
     pub(super) fn is_up(&self, daemon: DaemonId, zone: usize, now: Timestamp) -> bool {
-        let up = |reach: &Reach| reach.down_until <= now;
-        self.zones.get(zone).is_none_or(up) && self.daemons.get(daemon.index()).is_none_or(up)
+        let is_up_now = |reachability: &Reachability| reachability.down_until <= now;
+        self.zones.get(zone).is_none_or(is_up_now)
+            && self.daemons.get(daemon.index()).is_none_or(is_up_now)
     }
 
     pub(super) fn note_answer(&mut self, daemon: DaemonId, zone: usize) {
-        *self.daemon(daemon) = Reach::default();
-        self.zones[zone] = Reach::default();
+        *self.daemon(daemon) = Reachability::default();
+        self.zones[zone] = Reachability::default();
     }
 
     /// Records that a request got no answer, and returns whether its receiver or the
     /// receiver's zone now counts as down. With `own`, that zone is this daemon's own,
     /// which never counts as down.
-    pub(super) fn note_silence(
+    pub(super) fn note_timeout(
         &mut self,
         daemon: DaemonId,
         zone: usize,
         own: bool,
         until: Timestamp,
     ) -> bool {
-        let mut down = self.daemon(daemon).strike(DAEMON_STRIKES, until);
+        let mut down = self
+            .daemon(daemon)
+            .record_failure(MAX_DAEMON_FAILURES, until);
         if !own {
-            down |= self.zones[zone].strike(ZONE_STRIKES, until);
+            down |= self.zones[zone].record_failure(MAX_ZONE_FAILURES, until);
         }
         down
     }
@@ -70,34 +73,35 @@
     /// Records that a request is about to be sent to a daemon. If the daemon or its zone
     /// counted as down, it remains so until `until`, when the answer is due, so that only
     /// this one request probes it.
-    pub(super) fn probe(&mut self, daemon: DaemonId, zone: usize, until: Timestamp) {
-        let reach = self.daemon(daemon);
-        if reach.strikes >= DAEMON_STRIKES {
-            reach.down_until = until;
+    pub(super) fn start_probe(&mut self, daemon: DaemonId, zone: usize, until: Timestamp) {
+        let reachability = self.daemon(daemon);
+        if reachability.failures >= MAX_DAEMON_FAILURES {
+            reachability.down_until = until;
         }
-        let reach = &mut self.zones[zone];
-        if reach.strikes >= ZONE_STRIKES {
-            reach.down_until = until;
+        let reachability = &mut self.zones[zone];
+        if reachability.failures >= MAX_ZONE_FAILURES {
+            reachability.down_until = until;
         }
     }
 
     /// Returns the size of the heap allocations in bytes.
-    pub(super) fn footprint(&self) -> usize {
-        (self.daemons.capacity() + self.zones.capacity()) * size_of::<Reach>()
+    pub(super) fn heap_size(&self) -> usize {
+        (self.daemons.capacity() + self.zones.capacity()) * size_of::<Reachability>()
     }
 
-    fn daemon(&mut self, daemon: DaemonId) -> &mut Reach {
+    fn daemon(&mut self, daemon: DaemonId) -> &mut Reachability {
         if self.daemons.len() <= daemon.index() {
-            self.daemons.resize(daemon.index() + 1, Reach::default());
+            self.daemons
+                .resize(daemon.index() + 1, Reachability::default());
         }
         &mut self.daemons[daemon.index()]
     }
 }
 
-impl Reach {
-    fn strike(&mut self, limit: u8, until: Timestamp) -> bool {
-        self.strikes = self.strikes.saturating_add(1);
-        if self.strikes < limit {
+impl Reachability {
+    fn record_failure(&mut self, limit: u8, until: Timestamp) -> bool {
+        self.failures = self.failures.saturating_add(1);
+        if self.failures < limit {
             return false;
         }
         self.down_until = until;
--- a/crates/policy/src/rates/share_ledger.rs
+++ b/crates/policy/src/rates/share_ledger.rs
@@ -8,10 +8,10 @@
 use crate::{DaemonId, Timestamp};
 
 use super::{
-    CustomerKey, DemandMeter, LedgerTiming, MAX_CUSTOMER_SLOTS, MAX_ZONES, Outgoing, RatePart,
-    SLOTS, freshness::Freshness, message_outbox::MessageOutbox, rate_part::roster_slot,
-    reach_table::ReachTable, slot_handover::SlotHandovers, slot_share::SlotShare,
-    token_pocket::TokenPocket,
+    CustomerKey, DemandMeter, LedgerTiming, MAX_CUSTOMER_SLOTS, MAX_ZONES, Outgoing, RateDivision,
+    SLOTS, freshness::Freshness, message_outbox::MessageOutbox, rate_division::roster_slot,
+    reachability::ReachabilityTable, slot_handover::SlotHandovers, slot_share::SlotShare,
+    token_grants::GrantedTokens,
 };
 
 pub use request_path::{Attempt, Decision};
@@ -29,7 +29,7 @@
 /// [`ShareLedger::set_holders`] and [`ShareLedger::confirm`].
 #[derive(Clone, Debug)]
 pub struct ShareLedger {
-    me: DaemonId,
+    own_id: DaemonId,
     zone: usize,
     zones: usize,
     timing: LedgerTiming,
@@ -37,11 +37,11 @@
     holders: Vec<[Option<DaemonId>; SLOTS]>,
     /// The holders in this daemon's zone as its roster names them. In contrast, `holders`
     /// still names this daemon for slots whose handover is open.
-    recorded: [Option<DaemonId>; SLOTS],
+    roster_holders: [Option<DaemonId>; SLOTS],
     handovers: SlotHandovers,
     /// From when this daemon may use the slots that it holds.
-    held_from: [Timestamp; SLOTS],
-    reach: ReachTable,
+    usable_from: [Timestamp; SLOTS],
+    reachability: ReachabilityTable,
     freshness: Freshness,
     shares: Vec<CustomerShare>,
     outgoing: MessageOutbox,
@@ -62,15 +62,15 @@
 #[derive(Clone, Debug)]
 struct CustomerShare {
     customer: CustomerKey,
-    part: RatePart,
+    division: RateDivision,
     /// Until when a removed customer is remembered; `None` while the settings name it.
     removed: Option<Timestamp>,
     demand: DemandMeter,
-    pocket: TokenPocket,
+    granted: GrantedTokens,
     empty_until: [Timestamp; MAX_CUSTOMER_SLOTS],
     held: Vec<SlotShare>,
     cursor: u8,
-    spent: Option<(DaemonId, u8, u64)>,
+    spent_grant: Option<(DaemonId, u8, u64)>,
 }
 
 impl ShareLedger {
@@ -79,7 +79,7 @@
     /// `first_id` should be random: after a restart, messages to the previous process must
     /// not match grant and loan numbers of the new one.
     pub fn new(
-        me: DaemonId,
+        own_id: DaemonId,
         zone: usize,
         zones: usize,
         timing: LedgerTiming,
@@ -88,16 +88,16 @@
     ) -> Self {
         let zones = zones.clamp(1, MAX_ZONES);
         ShareLedger {
-            me,
+            own_id,
             zone: zone.min(zones - 1),
             zones,
             timing,
             next_id: first_id >> 1,
             holders: vec![[None; SLOTS]; zones],
-            recorded: [None; SLOTS],
+            roster_holders: [None; SLOTS],
             handovers: SlotHandovers::default(),
-            held_from: [now; SLOTS],
-            reach: ReachTable::new(zones),
+            usable_from: [now; SLOTS],
+            reachability: ReachabilityTable::new(zones),
             freshness: Freshness::new(now),
             shares: Vec::new(),
             outgoing: MessageOutbox::default(),
@@ -143,24 +143,24 @@
 
     /// Records that a peer of this zone answered at `received_at`, and that the peer's own
     /// view was last confirmed at `confirmed_at`.
-    pub fn note_peer(&mut self, peer: DaemonId, heard: Timestamp, fresh: Timestamp) {
-        self.freshness.note_peer(peer, heard, fresh);
+    pub fn note_peer(&mut self, peer: DaemonId, received_at: Timestamp, confirmed_at: Timestamp) {
+        self.freshness.note_peer(peer, received_at, confirmed_at);
     }
 
     /// Records that a daemon is unreachable. No request is sent to it for
     /// [`LedgerTiming::down`].
     pub fn note_down(&mut self, daemon: DaemonId, now: Timestamp) {
-        self.reach.note_down(daemon, now + self.timing.down);
+        self.reachability.note_down(daemon, now + self.timing.down);
     }
 
     /// Ends expired grants, loans and handovers, returns granted tokens that are about to
     /// expire, and renews or returns borrowed slices.
     pub fn tick(&mut self, now: Timestamp) {
-        self.end_handovers(now);
+        self.end_due_handovers(now);
         self.freshness.tick(now, self.timing.fresh);
         let spending = self.freshness.may_spend(now, self.timing.fresh);
         for index in 0..self.shares.len() {
-            self.return_grants(index, now);
+            self.return_expiring_grants(index, now);
             for position in 0..self.shares[index].held.len() {
                 self.shares[index].held[position].advance(now);
                 if spending {
@@ -183,7 +183,7 @@
         size_of::<Self>()
             + self.shares.capacity() * size_of::<CustomerShare>()
             + self.holders.capacity() * size_of::<[Option<DaemonId>; SLOTS]>()
-            + self.reach.footprint()
+            + self.reachability.heap_size()
             + held
     }
 
@@ -205,8 +205,8 @@
     /// Returns the roster slots that this customer uses.
     fn slots(&self) -> [Option<u8>; MAX_CUSTOMER_SLOTS] {
         let mut slots = [None; MAX_CUSTOMER_SLOTS];
-        for place in 0..self.part.slots {
-            slots[usize::from(place)] = Some(roster_slot(self.customer, place));
+        for slot_index in 0..self.division.slots {
+            slots[usize::from(slot_index)] = Some(roster_slot(self.customer, slot_index));
         }
         slots
     }
@@ -215,17 +215,17 @@
         self.held.iter().position(|held| held.slot == slot)
     }
 
-    fn hold_missing(
+    fn add_missing_slots(
         &mut self,
-        mine: impl Fn(u8) -> bool,
+        is_own_slot: impl Fn(u8) -> bool,
         zone: usize,
         from: &[Timestamp; SLOTS],
         now: Timestamp,
     ) {
-        for place in 0..self.part.slots {
-            let slot = roster_slot(self.customer, place);
-            if mine(slot) && self.position(slot).is_none() {
-                let slice = self.part.slice(zone, place);
+        for slot_index in 0..self.division.slots {
+            let slot = roster_slot(self.customer, slot_index);
+            if is_own_slot(slot) && self.position(slot).is_none() {
+                let slice = self.division.slice(zone, slot_index);
                 let held = SlotShare::new(slot, slice, from[usize::from(slot)], now);
                 self.held.push(held);
             }
--- a/crates/policy/src/rates/share_ledger/division.rs
+++ b/crates/policy/src/rates/share_ledger/division.rs
@@ -4,8 +4,8 @@
 
 use super::{
     super::{
-        CustomerKey, CustomerRate, DemandMeter, MAX_CUSTOMER_SLOTS, MAX_ZONES, RatePart, SLOTS,
-        token_pocket::TokenPocket,
+        CustomerKey, CustomerRate, DemandMeter, MAX_CUSTOMER_SLOTS, MAX_ZONES, RateDivision, SLOTS,
+        token_grants::GrantedTokens,
     },
     CustomerShare, ShareLedger,
 };
@@ -26,21 +26,21 @@
         let mut old = old.into_iter().peekable();
         let mut shares = Vec::with_capacity(rates.len());
         for rate in &rates {
-            while let Some(gone) = old.next_if(|share| share.customer < rate.customer) {
-                shares.extend(self.removed_share(gone, now));
+            while let Some(removed) = old.next_if(|share| share.customer < rate.customer) {
+                shares.extend(self.removed_share(removed, now));
             }
-            let part = RatePart::of_rate(rate, self.zones);
+            let division = RateDivision::of_rate(rate, self.zones);
             let share = match old.next_if(|share| share.customer == rate.customer) {
                 Some(share) if share.removed.is_some_and(|until| until <= now) => {
-                    self.new_share(rate.customer, part, now)
+                    self.new_share(rate.customer, division, now)
                 }
-                Some(share) => self.changed_share(share, part, now),
-                None => self.new_share(rate.customer, part, now),
+                Some(share) => self.changed_share(share, division, now),
+                None => self.new_share(rate.customer, division, now),
             };
             shares.push(share);
         }
-        for gone in old {
-            shares.extend(self.removed_share(gone, now));
+        for removed in old {
+            shares.extend(self.removed_share(removed, now));
         }
         self.shares = shares;
     }
@@ -52,13 +52,13 @@
     pub fn set_zones(&mut self, zones: usize) {
         self.zones = zones.clamp(self.zones, MAX_ZONES);
         self.holders.resize(self.zones, [None; SLOTS]);
-        self.reach.set_zones(self.zones);
+        self.reachability.set_zones(self.zones);
     }
 
     /// Sets which daemon holds each slot of a zone.
     ///
     /// In this daemon's own zone this decides which slots it may spend from. The
-    /// slots in `first`, one bit each, never had a holder and may be used immediately.
+    /// slots in `never_held`, one bit each, never had a holder and may be used immediately.
     /// Other slots that this daemon gains start empty, and only after
     /// [`LedgerTiming::settle`](super::super::LedgerTiming::settle), when everything that
     /// their previous holder granted or lent has certainly ended.
@@ -66,7 +66,7 @@
         &mut self,
         zone: usize,
         holders: &[Option<DaemonId>; SLOTS],
-        first: u64,
+        never_held: u64,
         now: Timestamp,
     ) {
         if zone >= self.zones {
@@ -76,57 +76,62 @@
             self.holders[zone] = *holders;
             return;
         }
-        self.recorded = *holders;
-        self.use_own_slots(first, now);
+        self.roster_holders = *holders;
+        self.update_own_slots(never_held, now);
     }
 
-    fn new_share(&self, customer: CustomerKey, part: RatePart, now: Timestamp) -> CustomerShare {
+    fn new_share(
+        &self,
+        customer: CustomerKey,
+        division: RateDivision,
+        now: Timestamp,
+    ) -> CustomerShare {
         let mut share = CustomerShare {
             customer,
-            part,
+            division,
             removed: None,
             demand: DemandMeter::default(),
-            pocket: TokenPocket::default(),
+            granted: GrantedTokens::default(),
             empty_until: [Timestamp::ZERO; MAX_CUSTOMER_SLOTS],
             held: Vec::new(),
             cursor: customer.0 as u8,
-            spent: None,
+            spent_grant: None,
         };
         let holders = self.holders[self.zone];
-        let mine = |slot: u8| holders[usize::from(slot)] == Some(self.me);
+        let is_own_slot = |slot: u8| holders[usize::from(slot)] == Some(self.own_id);
         // For a new customer no daemon can hold grants or loans yet. But the customer may
         // be new only to this daemon, so the wait for newly gained slots applies here too.
-        share.hold_missing(mine, self.zone, &self.held_from, now);
+        share.add_missing_slots(is_own_slot, self.zone, &self.usable_from, now);
         share
     }
 
     fn changed_share(
         &self,
         mut share: CustomerShare,
-        part: RatePart,
+        division: RateDivision,
         now: Timestamp,
     ) -> CustomerShare {
         share.removed = None;
-        if share.part == part {
+        if share.division == division {
             return share;
         }
-        let raise = now + self.timing.settle();
-        let raise = (!share.part.same_division(&part)).then_some(raise);
-        share.part = part;
-        share.pocket.clear();
+        let raise_at = now + self.timing.settle();
+        let raise_at = (!share.division.same_division(&division)).then_some(raise_at);
+        share.division = division;
+        share.granted.clear();
         share.empty_until = [Timestamp::ZERO; MAX_CUSTOMER_SLOTS];
         let slots = share.slots();
         share.held.retain(|held| slots.contains(&Some(held.slot)));
         for held in &mut share.held {
-            let place = slots.iter().position(|slot| *slot == Some(held.slot));
-            let slice = part.slice(self.zone, place.unwrap_or(0) as u8);
-            held.set_base(slice, raise, now);
+            let slot_index = slots.iter().position(|slot| *slot == Some(held.slot));
+            let slice = division.slice(self.zone, slot_index.unwrap_or(0) as u8);
+            held.set_base(slice, raise_at, now);
         }
         let holders = self.holders[self.zone];
-        let mine = |slot: u8| holders[usize::from(slot)] == Some(self.me);
-        let raise = raise.unwrap_or(now);
-        let held_from = self.held_from.map(|from| from.max(raise));
-        share.hold_missing(mine, self.zone, &held_from, now);
+        let is_own_slot = |slot: u8| holders[usize::from(slot)] == Some(self.own_id);
+        let raise_at = raise_at.unwrap_or(now);
+        let usable_from = self.usable_from.map(|from| from.max(raise_at));
+        share.add_missing_slots(is_own_slot, self.zone, &usable_from, now);
         share
     }
 
@@ -138,8 +143,8 @@
             Some(until) if until <= now => None,
             Some(_) => Some(share),
             None => {
-                let filled = share.part.fill_time().max(self.timing.settle());
-                let mut share = self.changed_share(share, RatePart::default(), now);
+                let filled = share.division.fill_time().max(self.timing.settle());
+                let mut share = self.changed_share(share, RateDivision::default(), now);
                 share.removed = Some(now + filled);
                 Some(share)
             }
--- a/crates/policy/src/rates/share_ledger/handover.rs
+++ b/crates/policy/src/rates/share_ledger/handover.rs
@@ -16,21 +16,28 @@
     /// [`LedgerTiming::fresh`](super::super::LedgerTiming::fresh), the maximum age of a
     /// view. Each [`ShareLedger::note_view`] by which the new holder hasn't read the new
     /// roster yet extends that time.
-    pub fn give_slot(&mut self, slot: u8, taker: DaemonId, revision: i64, now: Timestamp) -> bool {
+    pub fn give_slot(
+        &mut self,
+        slot: u8,
+        new_holder: DaemonId,
+        revision: i64,
+        now: Timestamp,
+    ) -> bool {
         let until = now + self.timing.fresh;
-        self.handovers.give(slot, taker, revision, until)
+        self.handovers.start(slot, new_holder, revision, until)
     }
 
     /// Cancels a slot's handover, because the write for it has certainly not run.
     pub fn take_slot_back(&mut self, slot: u8, now: Timestamp) {
-        self.handovers.forget(slot);
-        self.use_own_slots(0, now);
+        self.handovers.remove(slot);
+        self.update_own_slots(0, now);
     }
 
     /// Records that a daemon, queried at `queried_at`, uses the rosters of `revision`.
-    pub fn note_view(&mut self, daemon: DaemonId, revision: i64, asked: Timestamp) {
-        let fresh = self.timing.fresh;
-        self.handovers.note_view(daemon, revision, asked, fresh);
+    pub fn note_view(&mut self, daemon: DaemonId, revision: i64, queried_at: Timestamp) {
+        let max_view_age = self.timing.fresh;
+        self.handovers
+            .extend(daemon, revision, queried_at, max_view_age);
     }
 
     /// Records the revision at which the current roster of this daemon's zone was written.
@@ -38,16 +45,18 @@
     /// longer take effect.
     pub fn note_roster(&mut self, revision: i64, now: Timestamp) {
         for slot in 0..SLOTS {
-            if self.recorded[slot] == Some(self.me) && self.handovers.is_older(slot, revision) {
-                self.handovers.forget(slot as u8);
+            if self.roster_holders[slot] == Some(self.own_id)
+                && self.handovers.replaces_older_than(slot, revision)
+            {
+                self.handovers.remove(slot as u8);
             }
         }
-        self.use_own_slots(0, now);
+        self.update_own_slots(0, now);
     }
 
     /// Whether this daemon still uses slots that it hands over.
     pub fn is_giving(&self, now: Timestamp) -> bool {
-        self.handovers.is_open(now)
+        self.handovers.has_open(now)
     }
 
     /// Ends all handovers, because this daemon is shutting down.
@@ -56,54 +65,54 @@
     }
 
     /// Stops using slots whose handovers have reached their end.
-    pub(super) fn end_handovers(&mut self, now: Timestamp) {
-        if self.handovers.has_ended(now) {
-            self.use_own_slots(0, now);
+    pub(super) fn end_due_handovers(&mut self, now: Timestamp) {
+        if self.handovers.is_end_due(now) {
+            self.update_own_slots(0, now);
         }
     }
 
     /// Updates the slots that this daemon uses. It uses gained slots only after their
-    /// previous holder has certainly stopped, but those in `first` immediately.
-    pub(super) fn use_own_slots(&mut self, first: u64, now: Timestamp) {
+    /// previous holder has certainly stopped, but those in `never_held` immediately.
+    pub(super) fn update_own_slots(&mut self, never_held: u64, now: Timestamp) {
         for slot in 0..SLOTS {
-            let holder = self.holder_now(slot, now);
+            let holder = self.effective_holder(slot, now);
             let before = std::mem::replace(&mut self.holders[self.zone][slot], holder);
-            if holder != Some(self.me) || before == holder {
+            if holder != Some(self.own_id) || before == holder {
                 continue;
             }
-            let is_unused = first & (1 << slot) != 0;
+            let is_unused = never_held & (1 << slot) != 0;
             let wait = match is_unused {
                 true => Duration::ZERO,
                 false => self.timing.settle(),
             };
-            self.held_from[slot] = now + wait;
+            self.usable_from[slot] = now + wait;
         }
-        self.handovers.skip_ended(now);
+        self.handovers.mark_ends_processed(now);
         let holders = self.holders[self.zone];
-        let mine = |slot: u8| holders[usize::from(slot)] == Some(self.me);
+        let is_own_slot = |slot: u8| holders[usize::from(slot)] == Some(self.own_id);
         for share in &mut self.shares {
-            share.held.retain(|held| mine(held.slot));
-            share.hold_missing(mine, self.zone, &self.held_from, now);
+            share.held.retain(|held| is_own_slot(held.slot));
+            share.add_missing_slots(is_own_slot, self.zone, &self.usable_from, now);
         }
     }
 
     /// Returns the daemon that this daemon has to treat as the holder of a slot of its own
     /// zone.
-    fn holder_now(&mut self, slot: usize, now: Timestamp) -> Option<DaemonId> {
-        let recorded = self.recorded[slot];
-        let is_own = recorded == Some(self.me);
-        let was_own = self.holders[self.zone][slot] == Some(self.me);
-        if self.handovers.is_over(slot, now) {
+    fn effective_holder(&mut self, slot: usize, now: Timestamp) -> Option<DaemonId> {
+        let roster_holder = self.roster_holders[slot];
+        let is_own = roster_holder == Some(self.own_id);
+        let was_own = self.holders[self.zone][slot] == Some(self.own_id);
+        if self.handovers.is_past_end(slot, now) {
             // The write that hands the slot over may still take effect, so the new holder
             // may start to use it at any time.
             if is_own {
                 return None;
             }
-            self.handovers.forget(slot as u8);
+            self.handovers.remove(slot as u8);
         }
         match was_own && self.handovers.is_usable(slot, now) {
-            true => Some(self.me),
-            false => recorded,
+            true => Some(self.own_id),
+            false => roster_holder,
         }
     }
 }
--- a/crates/policy/src/rates/share_ledger/lending.rs
+++ b/crates/policy/src/rates/share_ledger/lending.rs
@@ -6,9 +6,9 @@
     super::{
         RateAnswer, RateAsk, SLOTS, Slice, SliceOffer, SliceReturn, SliceWant, TokenAnswer,
         TokenAsk, Tokens,
-        rate_part::{roster_slot, zone_order},
-        reach_table::ReachTable,
-        slot_share::{LoanStep, ZoneHolders},
+        rate_division::{roster_slot, zone_order},
+        reachability::ReachabilityTable,
+        slot_share::{LoanAction, ZoneHolders},
     },
     ShareLedger,
 };
@@ -16,7 +16,7 @@
 impl ShareLedger {
     /// Answers a request of another daemon.
     pub fn handle(&mut self, from: DaemonId, ask: &RateAsk, now: Timestamp) -> RateAnswer {
-        self.end_handovers(now);
+        self.end_due_handovers(now);
         match ask {
             RateAsk::Tokens(ask) => RateAnswer::Tokens(self.handle_tokens(ask, now)),
             RateAsk::Slices(wants) => {
@@ -24,10 +24,10 @@
                 RateAnswer::Slices(offers.collect())
             }
             RateAsk::Return(returns) => {
-                for back in returns {
-                    if let Some(held) = self.held_slot(back.customer, back.slot) {
+                for returned in returns {
+                    if let Some(held) = self.held_slot(returned.customer, returned.slot) {
                         held.advance(now);
-                        held.take_back(from, back.loan, back.tokens);
+                        held.end_loan(from, returned.loan, returned.tokens);
                     }
                 }
                 RateAnswer::Done
@@ -46,7 +46,7 @@
 
     /// Answers a token request, the most frequent kind, without allocating.
     pub fn handle_tokens(&mut self, ask: &TokenAsk, now: Timestamp) -> TokenAnswer {
-        self.end_handovers(now);
+        self.end_due_handovers(now);
         if !self.may_spend(now) {
             return TokenAnswer::Stale;
         }
@@ -64,8 +64,8 @@
         }
         let mut complete = false;
         if ask.home {
-            held.be_home(now, &timing);
-            complete = self.gather(index, position, now);
+            held.mark_home(now, &timing);
+            complete = self.borrow_slices(index, position, now);
         }
         self.next_id += 1;
         let grant = self.next_id;
@@ -74,7 +74,7 @@
             Some(count) => TokenAnswer::Granted {
                 grant,
                 count,
-                settle: held.wants_settlement(),
+                settle: held.needs_settlement(),
             },
             None => TokenAnswer::Empty {
                 retry_after: held.retry_after(now),
@@ -94,7 +94,7 @@
             };
             if let Some(held) = self.held_slot(offer.customer, offer.slot) {
                 held.advance(now);
-                held.take_offer(zone, offer, now, &timing);
+                held.accept_offer(zone, offer, now, &timing);
             }
         }
     }
@@ -112,17 +112,17 @@
         if !self.freshness.may_spend(now, timing.fresh) {
             return offer;
         }
-        let yields = self.yields_to(from, want);
+        let borrower_precedes = self.is_preceded_by(from, want);
         if let Some(held) = self.held_slot(want.customer, want.slot) {
             held.advance(now);
-            (offer.slice, offer.tokens) = held.lend(from, want, yields, now, &timing);
+            (offer.slice, offer.tokens) = held.lend(from, want, borrower_precedes, now, &timing);
         }
         offer
     }
 
     /// Whether the zone of `from` comes before this daemon's zone in the slot's order of
     /// homes.
-    fn yields_to(&self, from: DaemonId, want: &SliceWant) -> bool {
+    fn is_preceded_by(&self, from: DaemonId, want: &SliceWant) -> bool {
         let slot = usize::from(want.slot) % SLOTS;
         let order = zone_order(want.customer, want.slot, self.zones as u8);
         let first = order[..self.zones].iter().map(|zone| usize::from(*zone));
@@ -131,23 +131,28 @@
         first.next() != Some(self.zone)
     }
 
-    pub(super) fn gather_for(&mut self, index: usize, place: u8, now: Timestamp) -> bool {
-        let slot = roster_slot(self.shares[index].customer, place);
+    pub(super) fn borrow_slices_for(
+        &mut self,
+        index: usize,
+        slot_index: u8,
+        now: Timestamp,
+    ) -> bool {
+        let slot = roster_slot(self.shares[index].customer, slot_index);
         let Some(position) = self.shares[index].position(slot) else {
             return false;
         };
-        self.shares[index].held[position].be_home(now, &self.timing);
-        self.gather(index, position, now)
+        self.shares[index].held[position].mark_home(now, &self.timing);
+        self.borrow_slices(index, position, now)
     }
 
-    fn gather(&mut self, index: usize, position: usize, now: Timestamp) -> bool {
+    fn borrow_slices(&mut self, index: usize, position: usize, now: Timestamp) -> bool {
         let share = &mut self.shares[index];
         let customer = share.customer;
         let slot = share.held[position].slot;
-        let holders = other_holders(&self.holders, &self.reach, self.zone, slot, now);
+        let holders = other_holders(&self.holders, &self.reachability, self.zone, slot, now);
         let (outgoing, next_id) = (&mut self.outgoing, &mut self.next_id);
         let sent = now.as_micros();
-        share.held[position].gather(&holders, now, &self.timing, |to| {
+        share.held[position].borrow_slices(&holders, now, &self.timing, |to| {
             *next_id += 1;
             let loan = *next_id;
             let want = SliceWant {
@@ -156,7 +161,7 @@
                 loan,
                 sent,
             };
-            outgoing.want(to, want);
+            outgoing.request_slice(to, want);
             loan
         })
     }
@@ -172,23 +177,23 @@
                 return;
             };
             match step {
-                LoanStep::Renew { loan } => {
+                LoanAction::Renew { loan } => {
                     let want = SliceWant {
                         customer,
                         slot,
                         loan,
                         sent,
                     };
-                    outgoing.want(to, want);
+                    outgoing.request_slice(to, want);
                 }
-                LoanStep::Return { loan, tokens } => {
-                    let back = SliceReturn {
+                LoanAction::Return { loan, tokens } => {
+                    let returned = SliceReturn {
                         customer,
                         slot,
                         loan,
                         tokens,
                     };
-                    outgoing.give_back(to, back);
+                    outgoing.return_slice(to, returned);
                 }
             }
         });
@@ -199,7 +204,7 @@
 /// down.
 fn other_holders(
     holders: &[[Option<DaemonId>; SLOTS]],
-    reach: &ReachTable,
+    reachability: &ReachabilityTable,
     own: usize,
     slot: u8,
     now: Timestamp,
@@ -207,7 +212,7 @@
     let mut others = ZoneHolders::default();
     for (zone, holders) in holders.iter().enumerate() {
         let holder = holders[usize::from(slot)];
-        let up = |daemon: &DaemonId| reach.is_up(*daemon, zone, now);
+        let up = |daemon: &DaemonId| reachability.is_up(*daemon, zone, now);
         others[zone] = holder.filter(up).filter(|_| zone != own);
     }
     others
--- a/crates/policy/src/rates/share_ledger/request_path.rs
+++ b/crates/policy/src/rates/share_ledger/request_path.rs
@@ -7,8 +7,8 @@
 use super::{
     super::{
         CustomerKey, TokenAnswer, TokenAsk, TokenSettlement,
-        rate_part::{roster_slot, zone_order},
-        token_pocket::PocketGrant,
+        rate_division::{roster_slot, zone_order},
+        token_grants::ReceivedGrant,
     },
     ShareLedger,
 };
@@ -55,28 +55,28 @@
 pub struct Attempt {
     customer: CustomerKey,
     started: Timestamp,
-    asked: Timestamp,
+    sent_at: Timestamp,
     to: DaemonId,
     zone: u8,
-    place: u8,
-    first: u8,
+    slot_index: u8,
+    first_slot_index: u8,
     step: u8,
-    asks: u8,
+    requests_sent: u8,
     /// A bit for each of the customer's slots whose home has no token left and has
     /// borrowed all that other zones can lend.
-    done: u8,
+    exhausted: u8,
 }
 
 impl ShareLedger {
     /// Decides whether a caller's request that just arrived is admitted.
     pub fn admit(&mut self, customer: CustomerKey, now: Timestamp) -> Decision {
         let Some(index) = self.find(customer) else {
-            let retry_after = DEFAULT_RETRY;
+            let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
         let share = &mut self.shares[index];
         share.demand.note(1, now);
-        if self.spend_here(index, now) {
+        if self.spend_local(index, now) {
             return Decision::Admitted;
         }
         let share = &mut self.shares[index];
@@ -84,16 +84,16 @@
         let attempt = Attempt {
             customer,
             started: now,
-            asked: now,
-            to: self.me,
+            sent_at: now,
+            to: self.own_id,
             zone: self.zone as u8,
-            place: 0,
-            first: share.cursor % share.part.slots.max(1),
+            slot_index: 0,
+            first_slot_index: share.cursor % share.division.slots.max(1),
             step: 0,
-            asks: 0,
-            done: 0,
+            requests_sent: 0,
+            exhausted: 0,
         };
-        self.proceed(index, attempt, now)
+        self.continue_search(index, attempt, now)
     }
 
     /// Continues the search for a token after an answer.
@@ -101,11 +101,11 @@
     /// Tokens that arrive after their expiry are dropped.
     pub fn take(&mut self, mut attempt: Attempt, answer: TokenAnswer, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
-            let retry_after = DEFAULT_RETRY;
+            let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
-        let slot = roster_slot(attempt.customer, attempt.place);
-        self.reach
+        let slot = roster_slot(attempt.customer, attempt.slot_index);
+        self.reachability
             .note_answer(attempt.to, usize::from(attempt.zone));
         match answer {
             TokenAnswer::Granted {
@@ -113,9 +113,9 @@
                 count,
                 settle,
             } => {
-                let until = attempt.asked + self.timing.grant_life(count);
+                let until = attempt.sent_at + self.timing.grant_duration(count);
                 if until > now && count > 0 {
-                    self.shares[index].pocket.add(PocketGrant {
+                    self.shares[index].granted.add(ReceivedGrant {
                         holder: attempt.to,
                         slot,
                         grant,
@@ -130,15 +130,15 @@
                 complete,
             } => {
                 if complete {
-                    attempt.done |= 1 << attempt.place;
+                    attempt.exhausted |= 1 << attempt.slot_index;
                     let until = now + retry_after;
-                    self.shares[index].empty_until[usize::from(attempt.place)] = until;
+                    self.shares[index].empty_until[usize::from(attempt.slot_index)] = until;
                 }
             }
             // The slot is being handed over to another holder. The daemon's other slots
             // are still usable; counting it as down would exclude all of them.
             TokenAnswer::NotHolder => {}
-            TokenAnswer::Stale => return self.skip(index, attempt, now),
+            TokenAnswer::Stale => return self.skip_daemon(index, attempt, now),
         }
         self.resume(index, attempt, now)
     }
@@ -146,16 +146,16 @@
     /// Continues the search after a token request that couldn't be sent.
     pub fn unreachable(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
-            let retry_after = DEFAULT_RETRY;
+            let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
-        self.skip(index, attempt, now)
+        self.skip_daemon(index, attempt, now)
     }
 
     /// Continues the search after a token request that timed out.
     pub fn fail(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
-            let retry_after = DEFAULT_RETRY;
+            let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
         // One lost answer doesn't mean that a daemon is unreachable, and counting it as
@@ -164,18 +164,18 @@
         let until = now + self.timing.down;
         let zone = usize::from(attempt.zone);
         let own = zone == self.zone;
-        if !self.reach.note_silence(attempt.to, zone, own, until) {
+        if !self.reachability.note_timeout(attempt.to, zone, own, until) {
             return self.resume(index, attempt, now);
         }
-        self.skip(index, attempt, now)
+        self.skip_daemon(index, attempt, now)
     }
 
     /// Spends a token of this daemon, from a received grant or from a slot that it holds.
-    fn spend_here(&mut self, index: usize, now: Timestamp) -> bool {
-        self.end_handovers(now);
-        if let Some(used_up) = self.shares[index].pocket.spend(now) {
+    fn spend_local(&mut self, index: usize, now: Timestamp) -> bool {
+        self.end_due_handovers(now);
+        if let Some(used_up) = self.shares[index].granted.spend(now) {
             if let Some(grant) = used_up {
-                self.settle_spent(index, &grant);
+                self.report_spent(index, &grant);
             }
             return true;
         }
@@ -193,7 +193,7 @@
     }
 
     /// Marks the daemon of the last token request as down and continues without it.
-    fn skip(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
+    fn skip_daemon(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
         self.note_down(attempt.to, now);
         // The next daemon now has the position of the one that is down.
         attempt.step = attempt.step.saturating_sub(1);
@@ -201,41 +201,41 @@
     }
 
     fn resume(&mut self, index: usize, attempt: Attempt, now: Timestamp) -> Decision {
-        if self.spend_here(index, now) {
+        if self.spend_local(index, now) {
             return Decision::Admitted;
         }
-        self.proceed(index, attempt, now)
+        self.continue_search(index, attempt, now)
     }
 
     /// Selects the next daemon to send a token request to: first the home of each of the
     /// customer's slots, then alternately the holders in another zone, which may have
     /// tokens that no home has borrowed, and the homes again, which may have borrowed them
     /// meanwhile.
-    fn proceed(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
-        let slots = self.shares[index].part.slots.max(1);
+    fn continue_search(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
+        let slots = self.shares[index].division.slots.max(1);
         let steps = slots.saturating_mul(self.zones as u8 * 2);
-        let in_time = now.since(attempt.started) < MAX_ASKING;
-        while attempt.step < steps && attempt.asks < MAX_ASKS && in_time {
-            let place = (attempt.first + attempt.step % slots) % slots;
+        let in_time = now.since(attempt.started) < MAX_SEARCH_TIME;
+        while attempt.step < steps && attempt.requests_sent < MAX_TOKEN_REQUESTS && in_time {
+            let slot_index = (attempt.first_slot_index + attempt.step % slots) % slots;
             let round = usize::from(attempt.step / slots);
             attempt.step += 1;
-            let known_empty = self.shares[index].empty_until[usize::from(place)] > now;
-            if known_empty || attempt.done & (1 << place) != 0 {
+            let known_empty = self.shares[index].empty_until[usize::from(slot_index)] > now;
+            if known_empty || attempt.exhausted & (1 << slot_index) != 0 {
                 continue;
             }
-            let Some((to, zone, home)) = self.holder_for(attempt.customer, place, round, now)
+            let Some((to, zone, home)) = self.holder_for(attempt.customer, slot_index, round, now)
             else {
                 continue;
             };
-            if to != self.me {
-                attempt.place = place;
+            if to != self.own_id {
+                attempt.slot_index = slot_index;
                 attempt.zone = zone;
-                return self.borrow_from(index, to, home, attempt, now);
+                return self.request_tokens_from(index, to, home, attempt, now);
             }
-            if home && self.gather_for(index, place, now) {
-                attempt.done |= 1 << place;
+            if home && self.borrow_slices_for(index, slot_index, now) {
+                attempt.exhausted |= 1 << slot_index;
             }
-            if home && self.spend_here(index, now) {
+            if home && self.spend_local(index, now) {
                 return Decision::Admitted;
             }
         }
@@ -244,7 +244,7 @@
         }
     }
 
-    fn borrow_from(
+    fn request_tokens_from(
         &mut self,
         index: usize,
         to: DaemonId,
@@ -252,26 +252,30 @@
         mut attempt: Attempt,
         now: Timestamp,
     ) -> Decision {
-        let slot = roster_slot(attempt.customer, attempt.place);
+        let slot = roster_slot(attempt.customer, attempt.slot_index);
         let share = &mut self.shares[index];
         let demand = share.demand.rate_at(now);
-        let ahead = if demand >= AHEAD_DEMAND { demand } else { 0.0 };
-        let spent = match share.spent {
+        let prefetch = if demand >= MIN_PREFETCH_DEMAND {
+            demand
+        } else {
+            0.0
+        };
+        let spent = match share.spent_grant {
             Some((holder, from, grant)) if holder == to && from == slot => Some(grant),
             _ => None,
         };
         if spent.is_some() {
-            share.spent = None;
+            share.spent_grant = None;
         }
-        self.reach
-            .probe(to, usize::from(attempt.zone), now + self.timing.answer);
+        self.reachability
+            .start_probe(to, usize::from(attempt.zone), now + self.timing.answer);
         attempt.to = to;
-        attempt.asked = now;
-        attempt.asks += 1;
+        attempt.sent_at = now;
+        attempt.requests_sent += 1;
         let ask = TokenAsk {
             customer: attempt.customer,
             slot,
-            want: 1 + ahead as u32,
+            want: 1 + prefetch as u32,
             home,
             spent,
         };
@@ -283,16 +287,16 @@
     fn holder_for(
         &self,
         customer: CustomerKey,
-        place: u8,
+        slot_index: u8,
         round: usize,
         now: Timestamp,
     ) -> Option<(DaemonId, u8, bool)> {
-        let slot = roster_slot(customer, place);
+        let slot = roster_slot(customer, slot_index);
         let order = zone_order(customer, slot, self.zones as u8);
         let order = &order[..self.zones];
         let holder = |zone: &u8| {
             let daemon = self.holders[usize::from(*zone)][usize::from(slot)]?;
-            let up = self.reach.is_up(daemon, usize::from(*zone), now);
+            let up = self.reachability.is_up(daemon, usize::from(*zone), now);
             up.then_some((daemon, *zone))
         };
         let mut reachable = order.iter().filter_map(holder);
@@ -307,19 +311,19 @@
 
     fn retry_after(&self, index: usize, now: Timestamp) -> Duration {
         let share = &self.shares[index];
-        let slots = usize::from(share.part.slots.max(1));
+        let slots = usize::from(share.division.slots.max(1));
         let waits = share.empty_until[..slots]
             .iter()
             .filter(|until| **until > now);
-        let first = waits.min().map(|until| until.since(now));
-        let here = share.held.iter().map(|held| held.retry_after(now)).min();
-        first.or(here).unwrap_or(DEFAULT_RETRY)
+        let shortest_wait = waits.min().map(|until| until.since(now));
+        let local_wait = share.held.iter().map(|held| held.retry_after(now)).min();
+        shortest_wait.or(local_wait).unwrap_or(DEFAULT_RETRY_AFTER)
     }
 
-    fn settle_spent(&mut self, index: usize, grant: &PocketGrant) {
+    fn report_spent(&mut self, index: usize, grant: &ReceivedGrant) {
         let share = &mut self.shares[index];
         if !grant.settle {
-            share.spent = Some((grant.holder, grant.slot, grant.grant));
+            share.spent_grant = Some((grant.holder, grant.slot, grant.grant));
             return;
         }
         let settlement = TokenSettlement {
@@ -328,23 +332,23 @@
             grant: grant.grant,
             unspent: 0,
         };
-        self.outgoing.settle(grant.holder, settlement);
+        self.outgoing.settle_grant(grant.holder, settlement);
     }
 
     /// Returns granted tokens that are about to expire to their holders.
-    pub(super) fn return_grants(&mut self, index: usize, now: Timestamp) {
+    pub(super) fn return_expiring_grants(&mut self, index: usize, now: Timestamp) {
         let share = &mut self.shares[index];
-        if share.pocket.is_empty() {
+        if share.granted.is_empty() {
             return;
         }
-        while let Some(grant) = share.pocket.remove_lapsing(now + RETURN_AHEAD) {
+        while let Some(grant) = share.granted.remove_expiring(now + RETURN_LEAD_TIME) {
             let settlement = TokenSettlement {
                 customer: share.customer,
                 slot: grant.slot,
                 grant: grant.grant,
                 unspent: grant.count,
             };
-            self.outgoing.settle(grant.holder, settlement);
+            self.outgoing.settle_grant(grant.holder, settlement);
         }
     }
 }
--- a/crates/policy/src/rates/slot_handover.rs
+++ b/crates/policy/src/rates/slot_handover.rs
@@ -8,8 +8,8 @@
 
 /// A slot on its way to another daemon of the zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct GivenSlot {
-    taker: DaemonId,
+struct OpenHandover {
+    new_holder: DaemonId,
     /// The store revision of the roster that the handover replaces.
     revision: i64,
     /// Until when the previous holder may use the slot.
@@ -29,7 +29,7 @@
 /// `docs/RATES.md`.
 #[derive(Clone, Debug)]
 pub(super) struct SlotHandovers {
-    slots: [Option<GivenSlot>; SLOTS],
+    slots: [Option<OpenHandover>; SLOTS],
     /// When the first handover ends; `None` if there is none.
     first_end: Option<Timestamp>,
 }
@@ -49,82 +49,85 @@
     ///
     /// A write that is reissued because its answer was lost doesn't extend the handover:
     /// the new holder may have read the first one.
-    pub(super) fn give(
+    pub(super) fn start(
         &mut self,
         slot: u8,
-        taker: DaemonId,
+        new_holder: DaemonId,
         revision: i64,
         until: Timestamp,
     ) -> bool {
-        let given = &mut self.slots[usize::from(slot) % SLOTS];
-        if given.is_some() {
+        let handover = &mut self.slots[usize::from(slot) % SLOTS];
+        if handover.is_some() {
             return false;
         }
-        *given = Some(GivenSlot {
-            taker,
+        *handover = Some(OpenHandover {
+            new_holder,
             revision,
             until,
         });
-        self.find_first_end();
+        self.update_first_end();
         true
     }
 
     /// Removes a slot's handover, because it was cancelled or is complete.
-    pub(super) fn forget(&mut self, slot: u8) {
+    pub(super) fn remove(&mut self, slot: u8) {
         self.slots[usize::from(slot) % SLOTS] = None;
-        self.find_first_end();
+        self.update_first_end();
     }
 
-    /// Extends the handovers to a daemon that used the rosters of `revision` at `asked`
+    /// Extends the handovers to a daemon that used the rosters of `revision` at `queried_at`
     /// or later, if that revision doesn't contain them yet.
-    pub(super) fn note_view(
+    pub(super) fn extend(
         &mut self,
-        taker: DaemonId,
+        new_holder: DaemonId,
         revision: i64,
-        asked: Timestamp,
-        span: Duration,
+        queried_at: Timestamp,
+        max_view_age: Duration,
     ) {
-        for given in self.slots.iter_mut().flatten() {
-            if given.taker == taker && revision <= given.revision {
-                given.until = given.until.max(asked + span);
+        for handover in self.slots.iter_mut().flatten() {
+            if handover.new_holder == new_holder && revision <= handover.revision {
+                handover.until = handover.until.max(queried_at + max_view_age);
             }
         }
-        self.find_first_end();
+        self.update_first_end();
     }
 
     /// Whether this daemon may still use a slot that it hands over.
     pub(super) fn is_usable(&self, slot: usize, now: Timestamp) -> bool {
-        self.slots[slot].is_some_and(|given| now < given.until)
+        self.slots[slot].is_some_and(|handover| now < handover.until)
     }
 
     /// Whether a slot's handover has passed its end.
-    pub(super) fn is_over(&self, slot: usize, now: Timestamp) -> bool {
-        self.slots[slot].is_some_and(|given| given.until <= now)
+    pub(super) fn is_past_end(&self, slot: usize, now: Timestamp) -> bool {
+        self.slots[slot].is_some_and(|handover| handover.until <= now)
     }
 
     /// Whether a slot's handover replaces a roster older than `revision`.
-    pub(super) fn is_older(&self, slot: usize, revision: i64) -> bool {
-        self.slots[slot].is_some_and(|given| given.revision < revision)
+    pub(super) fn replaces_older_than(&self, slot: usize, revision: i64) -> bool {
+        self.slots[slot].is_some_and(|handover| handover.revision < revision)
     }
 
     /// Whether the first end that is not yet processed has passed.
-    pub(super) fn has_ended(&self, now: Timestamp) -> bool {
+    pub(super) fn is_end_due(&self, now: Timestamp) -> bool {
         self.first_end.is_some_and(|end| end <= now)
     }
 
     /// Whether this daemon still uses any slot that it hands over.
-    pub(super) fn is_open(&self, now: Timestamp) -> bool {
-        self.slots.iter().flatten().any(|given| now < given.until)
+    pub(super) fn has_open(&self, now: Timestamp) -> bool {
+        self.slots
+            .iter()
+            .flatten()
+            .any(|handover| now < handover.until)
     }
 
     /// Marks the ends up to `now` as processed.
-    pub(super) fn skip_ended(&mut self, now: Timestamp) {
-        let ends = self.slots.iter().flatten().map(|given| given.until);
+    pub(super) fn mark_ends_processed(&mut self, now: Timestamp) {
+        let ends = self.slots.iter().flatten().map(|handover| handover.until);
         self.first_end = ends.filter(|end| now < *end).min();
     }
 
-    fn find_first_end(&mut self) {
-        let ends = self.slots.iter().flatten().map(|given| given.until);
+    fn update_first_end(&mut self) {
+        let ends = self.slots.iter().flatten().map(|handover| handover.until);
         self.first_end = ends.min();
     }
 }
--- a/crates/policy/src/rates/slot_share.rs
+++ b/crates/policy/src/rates/slot_share.rs
@@ -6,8 +6,8 @@
 
 use super::{
     DemandMeter, LedgerTiming, Slice, SliceOffer, SliceWant, TokenBucket, Tokens,
-    grant_book::GrantBook,
-    zone_link::{ZoneLink, renewal},
+    grant_tracker::GrantTracker,
+    zone_loan::{ZoneLoan, renewal_time},
 };
 
 /// The rate of failed token requests per second up to which a holder doesn't raise
@@ -47,12 +47,12 @@
     base: Slice,
     next_base: Option<(Timestamp, Slice)>,
     bucket: TokenBucket,
-    grants: GrantBook,
+    grants: GrantTracker,
     lent: Vec<LentSlice>,
-    links: Vec<ZoneLink>,
+    zone_loans: Vec<ZoneLoan>,
     served: DemandMeter,
     failed: DemandMeter,
-    gathers_until: Timestamp,
+    borrows_until: Timestamp,
 }
 
 impl SlotShare {
@@ -66,37 +66,37 @@
     /// If `from` has passed, no other daemon has held the slot since the customer became
     /// known, so no tokens were spent from it and its bucket starts full.
     pub(super) fn new(slot: u8, slice: Slice, from: Timestamp, now: Timestamp) -> Self {
-        let at_once = from <= now;
+        let immediate = from <= now;
         SlotShare {
             slot,
-            base: if at_once { slice } else { Slice::default() },
-            next_base: (!at_once).then_some((from, slice)),
-            bucket: if at_once {
+            base: if immediate { slice } else { Slice::default() },
+            next_base: (!immediate).then_some((from, slice)),
+            bucket: if immediate {
                 TokenBucket::full(slice, now)
             } else {
                 TokenBucket::empty(Slice::default(), now)
             },
-            grants: GrantBook::default(),
+            grants: GrantTracker::default(),
             lent: Vec::new(),
-            links: Vec::new(),
+            zone_loans: Vec::new(),
             served: DemandMeter::default(),
             failed: DemandMeter::default(),
-            gathers_until: Timestamp::ZERO,
+            borrows_until: Timestamp::ZERO,
         }
     }
 
-    /// Sets a new base slice. Decreases apply immediately; with `raise`, increases apply
+    /// Sets a new base slice. Decreases apply immediately; with `raise_at`, increases apply
     /// only from then on.
     ///
     /// Borrowed slices are dropped, since their lenders computed them from the old
     /// settings.
-    pub(super) fn set_base(&mut self, slice: Slice, raise: Option<Timestamp>, now: Timestamp) {
+    pub(super) fn set_base(&mut self, slice: Slice, raise_at: Option<Timestamp>, now: Timestamp) {
         self.advance(now);
-        self.links.clear();
-        match (raise, &mut self.next_base) {
-            (Some(raise), next) => {
+        self.zone_loans.clear();
+        match (raise_at, &mut self.next_base) {
+            (Some(raise_at), next) => {
                 self.base = self.base.min(slice);
-                *next = Some((raise, slice));
+                *next = Some((raise_at, slice));
             }
             (None, Some((_, next))) => {
                 self.base = self.base.min(slice);
@@ -104,33 +104,33 @@
             }
             (None, None) => self.base = slice,
         }
-        self.reshape();
+        self.update_bucket();
     }
 
     /// Refills the bucket up to `now` and ends expired loans and grants.
     pub(super) fn advance(&mut self, now: Timestamp) {
-        while let Some(end) = self.first_lapse(now) {
+        while let Some(end) = self.first_expiry(now) {
             // The refill includes the borrowed rate only up to the end of the loan,
             // however late this runs; after that the lender refills at that rate again.
-            self.bucket.settle(end);
-            for link in &mut self.links {
-                if link.lapse(end).is_some() {
-                    *link = ZoneLink::Idle;
+            self.bucket.refill(end);
+            for zone_loan in &mut self.zone_loans {
+                if zone_loan.expired_at(end).is_some() {
+                    *zone_loan = ZoneLoan::Idle;
                 }
             }
-            self.reshape();
+            self.update_bucket();
         }
         if let Some((from, slice)) = self.next_base
             && from <= now
         {
-            self.bucket.settle(from);
+            self.bucket.refill(from);
             self.base = slice;
             self.next_base = None;
-            self.reshape();
+            self.update_bucket();
         }
-        self.bucket.settle(now);
-        if self.end_given(now) {
-            self.reshape();
+        self.bucket.refill(now);
+        if self.remove_expired(now) {
+            self.update_bucket();
         }
     }
 
@@ -158,128 +158,133 @@
             self.failed.note(1, now);
             return None;
         }
-        let spare = level.divided(SPARE_PARTS).count();
+        let spare = level.divided(SPARE_DIVISOR).count();
         let count = 1 + want.saturating_sub(1).min(spare).min(level.count() - 1);
         self.bucket.take(Tokens::whole(count));
-        self.grants.add(id, count, now + timing.grant_hold(count));
+        self.grants
+            .add(id, count, now + timing.grant_hold_duration(count));
         self.served.note(count, now);
-        self.reshape();
+        self.update_bucket();
         Some(count)
     }
 
     /// Whether open grants reserve so much capacity that they should be settled early.
-    pub(super) fn wants_settlement(&self) -> bool {
-        self.grants.room() > self.bucket.slice().capacity.divided(4)
+    pub(super) fn needs_settlement(&self) -> bool {
+        self.grants.reserved() > self.bucket.slice().capacity.divided(4)
     }
 
     /// Frees the capacity reserved for a grant and puts its unspent tokens back. Unknown
     /// grants are ignored: they expired, or an earlier message settled them.
     pub(super) fn settle_grant(&mut self, id: u64, unspent: u32) {
-        let Some(room) = self.grants.settle(id) else {
+        let Some(reserved) = self.grants.settle(id) else {
             return;
         };
-        self.reshape();
-        self.bucket.put(Tokens::whole(unspent).min(room));
+        self.update_bucket();
+        self.bucket.add(Tokens::whole(unspent).min(reserved));
     }
 
     /// Lends the whole available slice to `borrower`, or renews its loan. Returns the total
     /// slice lent and the tokens that move with it.
     ///
     /// Two daemons may both act as the slot's home after a network partition has ended for
-    /// only one of them. The one whose zone is later in the slot's order sets `yields` and
-    /// stops borrowing; the other lends nothing, or slices would move back and forth.
+    /// only one of them. With `borrower_precedes`, the borrower's zone is earlier in the
+    /// slot's order, so this holder stops borrowing and lends. Otherwise it lends nothing
+    /// while it borrows itself, or slices would move back and forth.
     pub(super) fn lend(
         &mut self,
         borrower: DaemonId,
         want: &SliceWant,
-        yields: bool,
+        borrower_precedes: bool,
         now: Timestamp,
         timing: &LedgerTiming,
     ) -> (Slice, Tokens) {
         let nothing = (Slice::default(), Tokens::ZERO);
-        if self.gathers_until > now && !yields {
+        if self.borrows_until > now && !borrower_precedes {
             return nothing;
         }
-        self.retire(now);
+        self.stop_borrowing(now);
         let lent = self.lent.iter();
         let own = lent.fold(self.base, |left, lent| left.minus(lent.slice));
-        let there = self.bucket.slice();
-        let more = there.min(own);
-        let tokens = self.bucket.level().scaled(more.capacity, there.capacity);
-        let until = now + timing.slice_hold();
+        let available = self.bucket.slice();
+        let additional = available.min(own);
+        let tokens = self
+            .bucket
+            .level()
+            .scaled(additional.capacity, available.capacity);
+        let until = now + timing.slice_hold_duration();
         let position = self.lent.iter().position(|lent| lent.borrower == borrower);
         let others = self.lent.iter().filter(|lent| lent.borrower != borrower);
-        let most = others.fold(self.base, |left, lent| left.minus(lent.slice));
+        let limit = others.fold(self.base, |left, lent| left.minus(lent.slice));
         let slice = match position {
             // A request that arrives after a newer one must not end the newer loan,
             // which the borrower holds.
             Some(position) if self.lent[position].loan > want.loan => return nothing,
             Some(position) => {
                 let lent = &mut self.lent[position];
-                let grown = lent.slice.plus(more);
+                let grown = lent.slice.plus(additional);
                 // This holder's part was reduced since the loan. A renewal would keep
                 // the old amount in use; under a new loan number the borrower holds
                 // nothing yet, so it gets the reduced slice.
-                if grown != grown.min(most) && lent.loan == want.loan {
+                if grown != grown.min(limit) && lent.loan == want.loan {
                     return nothing;
                 }
                 lent.loan = want.loan;
-                lent.slice = grown.min(most);
+                lent.slice = grown.min(limit);
                 lent.until = until;
                 lent.slice
             }
-            None if more == Slice::default() => return nothing,
+            None if additional == Slice::default() => return nothing,
             None => {
                 let loan = want.loan;
-                let slice = more;
+                let slice = additional;
                 self.lent.push(LentSlice {
                     borrower,
                     loan,
                     slice,
                     until,
                 });
-                more
+                additional
             }
         };
         self.bucket.take(tokens);
-        self.reshape();
+        self.update_bucket();
         (slice, tokens)
     }
 
     /// Ends a loan whose borrower has returned it, and puts its tokens back.
-    pub(super) fn take_back(&mut self, borrower: DaemonId, loan: u64, tokens: Tokens) {
+    pub(super) fn end_loan(&mut self, borrower: DaemonId, loan: u64, tokens: Tokens) {
         let matches = |lent: &LentSlice| lent.borrower == borrower && lent.loan == loan;
         let Some(position) = self.lent.iter().position(matches) else {
             return;
         };
         self.lent.swap_remove(position);
-        self.reshape();
-        self.bucket.put(tokens);
+        self.update_bucket();
+        self.bucket.add(tokens);
     }
 
     /// Adds the slice that `zone` offers, if it was requested and the loan hasn't already
     /// expired.
-    pub(super) fn take_offer(
+    pub(super) fn accept_offer(
         &mut self,
         zone: usize,
         offer: &SliceOffer,
         now: Timestamp,
         timing: &LedgerTiming,
     ) {
-        let Some(link) = self.links.get(zone).copied() else {
+        let Some(zone_loan) = self.zone_loans.get(zone).copied() else {
             return;
         };
         let end = SliceWant::sent_at(offer.sent) + timing.slice;
         let empty = offer.slice == Slice::default();
-        let (slice, until) = match link {
-            ZoneLink::Asked { loan, .. } if loan == offer.loan => {
+        let (slice, until) = match zone_loan {
+            ZoneLoan::Requested { loan, .. } if loan == offer.loan => {
                 if empty || end <= now {
-                    self.links[zone] = ZoneLink::refused(now);
+                    self.zone_loans[zone] = ZoneLoan::refused(now);
                     return;
                 }
                 (offer.slice, end)
             }
-            ZoneLink::Borrowed {
+            ZoneLoan::Borrowed {
                 loan, slice, until, ..
             } if loan == offer.loan && until > now => (slice.max(offer.slice), until.max(end)),
             _ => return,
@@ -287,53 +292,53 @@
         if empty || end <= now {
             return;
         }
-        self.links[zone] = ZoneLink::Borrowed {
+        self.zone_loans[zone] = ZoneLoan::Borrowed {
             loan: offer.loan,
             slice,
             until,
-            renew: renewal(until, timing),
+            renew_at: renewal_time(until, timing),
         };
-        self.reshape();
-        self.bucket.put(offer.tokens);
+        self.update_bucket();
+        self.bucket.add(offer.tokens);
     }
 
     /// Records that a daemon uses this holder as the slot's home.
-    pub(super) fn be_home(&mut self, now: Timestamp, timing: &LedgerTiming) {
-        self.gathers_until = self.gathers_until.max(now + 2 * timing.slice);
+    pub(super) fn mark_home(&mut self, now: Timestamp, timing: &LedgerTiming) {
+        self.borrows_until = self.borrows_until.max(now + 2 * timing.slice);
     }
 
     /// Requests slices from the other zones if this slot needs more, and returns whether
-    /// every zone has either lent its slice or refused. `ask` queues one request and
+    /// every zone has either lent its slice or refused. `request_loan` queues one request and
     /// returns its loan number.
-    pub(super) fn gather(
+    pub(super) fn borrow_slices(
         &mut self,
         holders: &ZoneHolders,
         now: Timestamp,
         timing: &LedgerTiming,
-        mut ask: impl FnMut(DaemonId) -> u64,
+        mut request_loan: impl FnMut(DaemonId) -> u64,
     ) -> bool {
         let needed = self.needs_more(now);
-        if self.links.is_empty() {
+        if self.zone_loans.is_empty() {
             if !needed {
                 return false;
             }
-            self.links.resize(holders.len(), ZoneLink::Idle);
+            self.zone_loans.resize(holders.len(), ZoneLoan::Idle);
         }
         let mut complete = true;
-        for (link, holder) in self.links.iter_mut().zip(holders) {
-            link.end_wait(now);
+        for (zone_loan, holder) in self.zone_loans.iter_mut().zip(holders) {
+            zone_loan.end_waits(now);
             let Some(holder) = *holder else {
                 continue;
             };
-            match link {
-                ZoneLink::Idle if needed => {
-                    let loan = ask(holder);
+            match zone_loan {
+                ZoneLoan::Idle if needed => {
+                    let loan = request_loan(holder);
                     let until = now + timing.answer;
-                    *link = ZoneLink::Asked { loan, until };
+                    *zone_loan = ZoneLoan::Requested { loan, until };
                     complete = false;
                 }
-                ZoneLink::Idle | ZoneLink::Asked { .. } => complete = false,
-                ZoneLink::Refused { .. } | ZoneLink::Borrowed { .. } => {}
+                ZoneLoan::Idle | ZoneLoan::Requested { .. } => complete = false,
+                ZoneLoan::Refused { .. } | ZoneLoan::Borrowed { .. } => {}
             }
         }
         complete
@@ -345,60 +350,69 @@
         &mut self,
         now: Timestamp,
         timing: &LedgerTiming,
-        mut send: impl FnMut(usize, LoanStep),
+        mut send: impl FnMut(usize, LoanAction),
     ) {
         // Loans at a holder that other daemons no longer use as the slot's home would
         // keep the new home from borrowing.
-        let retired = self.gathers_until <= now;
-        let done = retired || self.is_idle(now);
-        for zone in 0..self.links.len() {
-            let ZoneLink::Borrowed {
-                loan, slice, renew, ..
-            } = &mut self.links[zone]
+        let is_former_home = self.borrows_until <= now;
+        let is_unneeded = is_former_home || self.is_idle(now);
+        for zone in 0..self.zone_loans.len() {
+            let ZoneLoan::Borrowed {
+                loan,
+                slice,
+                renew_at,
+                ..
+            } = &mut self.zone_loans[zone]
             else {
                 continue;
             };
-            if *renew > now {
+            if *renew_at > now {
                 continue;
             }
             let (loan, slice) = (*loan, *slice);
-            let left = self.bucket.slice();
-            if done && left.capacity >= slice.capacity && left.rate >= slice.rate {
-                let tokens = self.bucket.level().scaled(slice.capacity, left.capacity);
+            let remaining = self.bucket.slice();
+            if is_unneeded && remaining.capacity >= slice.capacity && remaining.rate >= slice.rate {
+                let tokens = self
+                    .bucket
+                    .level()
+                    .scaled(slice.capacity, remaining.capacity);
                 self.bucket.take(tokens);
-                self.links[zone] = ZoneLink::Idle;
-                self.reshape();
-                send(zone, LoanStep::Return { loan, tokens });
+                self.zone_loans[zone] = ZoneLoan::Idle;
+                self.update_bucket();
+                send(zone, LoanAction::Return { loan, tokens });
                 continue;
             }
-            *renew = now + timing.answer;
-            if retired {
+            *renew_at = now + timing.answer;
+            if is_former_home {
                 // The grants issued from the loan still reserve its capacity, so it is
                 // left to expire.
                 continue;
             }
-            send(zone, LoanStep::Renew { loan });
+            send(zone, LoanAction::Renew { loan });
         }
     }
 
     /// Returns how long a daemon that got no token should wait before its next request.
     pub(super) fn retry_after(&self, now: Timestamp) -> Duration {
-        let excess = (self.failed.rate_at(now) - CALM_FAILURES).max(0.0);
-        let patience = (1.0 + excess / PATIENCE_STEP).powi(2);
-        let token = self.bucket.next_token().unwrap_or(MAX_PATIENCE);
+        let excess = (self.failed.rate_at(now) - MAX_UNTHROTTLED_FAILURES).max(0.0);
+        let backoff = (1.0 + excess / BACKOFF_SCALE).powi(2);
+        let token = self.bucket.next_token().unwrap_or(MAX_RETRY_AFTER);
         let micros = Duration::from_micros(1);
-        (token.min(MAX_PATIENCE).mul_f64(patience) + micros).min(MAX_PATIENCE)
+        (token.min(MAX_RETRY_AFTER).mul_f64(backoff) + micros).min(MAX_RETRY_AFTER)
     }
 
-    fn first_lapse(&self, now: Timestamp) -> Option<Timestamp> {
-        let lapses = self.links.iter().filter_map(|link| link.lapse(now));
-        lapses.min()
+    fn first_expiry(&self, now: Timestamp) -> Option<Timestamp> {
+        let expiries = self
+            .zone_loans
+            .iter()
+            .filter_map(|zone_loan| zone_loan.expired_at(now));
+        expiries.min()
     }
 
     /// Ends expired grants and expired loans to other daemons, and returns whether there
     /// were any. Ending them late is safe: until then this holder spends less.
-    fn end_given(&mut self, now: Timestamp) -> bool {
-        let mut changed = self.grants.end(now);
+    fn remove_expired(&mut self, now: Timestamp) -> bool {
+        let mut changed = self.grants.remove_ended(now);
         let lent = self.lent.len();
         self.lent.retain(|lent| lent.until > now);
         changed |= lent != self.lent.len();
@@ -407,24 +421,24 @@
 
     /// Sets the bucket's slice: the base and borrowed slices, less the lent slices and the
     /// capacity reserved for grants.
-    fn reshape(&mut self) {
+    fn update_bucket(&mut self) {
         let mut held = self.base;
-        for link in &self.links {
-            held = held.plus(link.slice());
+        for zone_loan in &self.zone_loans {
+            held = held.plus(zone_loan.slice());
         }
         for lent in &self.lent {
             held = held.minus(lent.slice);
         }
-        held.capacity -= self.grants.room();
-        self.bucket.reshape(held);
+        held.capacity -= self.grants.reserved();
+        self.bucket.set_slice(held);
     }
 
     /// Stops borrowing, and makes all loans due, so that the next tick returns them.
-    fn retire(&mut self, now: Timestamp) {
-        self.gathers_until = self.gathers_until.min(now);
-        for link in &mut self.links {
-            if let ZoneLink::Borrowed { renew, .. } = link {
-                *renew = now;
+    fn stop_borrowing(&mut self, now: Timestamp) {
+        self.borrows_until = self.borrows_until.min(now);
+        for zone_loan in &mut self.zone_loans {
+            if let ZoneLoan::Borrowed { renew_at, .. } = zone_loan {
+                *renew_at = now;
             }
         }
     }
@@ -443,7 +457,7 @@
 
 /// The action for a loan whose renewal is due.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum LoanStep {
+pub(super) enum LoanAction {
     /// Request an extension from the lender.
     Renew {
         /// The borrower's number for the loan.
--- a/crates/policy/src/rates/token_bucket.rs
+++ b/crates/policy/src/rates/token_bucket.rs
@@ -14,7 +14,7 @@
     /// The refill rate per second and the capacity.
     slice: Slice,
     /// The time up to which the refill has been added.
-    settled: Timestamp,
+    refilled_at: Timestamp,
 }
 
 impl TokenBucket {
@@ -23,7 +23,7 @@
         TokenBucket {
             level: Tokens::ZERO,
             slice,
-            settled: now,
+            refilled_at: now,
         }
     }
 
@@ -32,7 +32,7 @@
         TokenBucket {
             level: slice.capacity,
             slice,
-            settled: now,
+            refilled_at: now,
         }
     }
 
@@ -47,19 +47,19 @@
     }
 
     /// Adds the refill up to `now`. A `now` before the last refill changes nothing.
-    pub fn settle(&mut self, now: Timestamp) {
-        if now <= self.settled {
+    pub fn refill(&mut self, now: Timestamp) {
+        if now <= self.refilled_at {
             return;
         }
-        let micros = now.as_micros() - self.settled.as_micros();
+        let micros = now.as_micros() - self.refilled_at.as_micros();
         let gain = self.slice.rate.refill(micros);
         self.level = (self.level + gain).min(self.slice.capacity);
-        self.settled = now;
+        self.refilled_at = now;
     }
 
     /// Changes rate and capacity as of the last refill; tokens beyond the new
     /// capacity are dropped.
-    pub fn reshape(&mut self, slice: Slice) {
+    pub fn set_slice(&mut self, slice: Slice) {
         self.slice = slice;
         self.level = self.level.min(slice.capacity);
     }
@@ -74,7 +74,7 @@
     }
 
     /// Adds tokens up to the capacity.
-    pub fn put(&mut self, amount: Tokens) {
+    pub fn add(&mut self, amount: Tokens) {
         self.level = (self.level + amount).min(self.slice.capacity);
     }
 
--- a/crates/policy/src/rates/token_pocket.rs
+++ b/crates/policy/src/rates/token_grants.rs
@@ -4,7 +4,7 @@
 
 /// One grant that this daemon received.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PocketGrant {
+pub(super) struct ReceivedGrant {
     /// The daemon that granted the tokens.
     pub(super) holder: DaemonId,
     /// The roster slot they come from.
@@ -21,12 +21,12 @@
 
 /// The grants that this daemon received for one customer.
 #[derive(Clone, Debug, Default)]
-pub(super) struct TokenPocket {
-    grants: Vec<PocketGrant>,
+pub(super) struct GrantedTokens {
+    grants: Vec<ReceivedGrant>,
 }
 
-impl TokenPocket {
-    pub(super) fn add(&mut self, grant: PocketGrant) {
+impl GrantedTokens {
+    pub(super) fn add(&mut self, grant: ReceivedGrant) {
         self.grants.push(grant);
     }
 
@@ -35,7 +35,7 @@
     ///
     /// Expired grants are never spent: the holder may already count their capacity
     /// as free, and the customer would get the tokens twice.
-    pub(super) fn spend(&mut self, now: Timestamp) -> Option<Option<PocketGrant>> {
+    pub(super) fn spend(&mut self, now: Timestamp) -> Option<Option<ReceivedGrant>> {
         let position = self.grants.iter().position(|grant| grant.until > now)?;
         let grant = &mut self.grants[position];
         grant.count -= 1;
@@ -46,7 +46,7 @@
     }
 
     /// Removes and returns one grant that expires by `limit`, if there is any.
-    pub(super) fn remove_lapsing(&mut self, limit: Timestamp) -> Option<PocketGrant> {
+    pub(super) fn remove_expiring(&mut self, limit: Timestamp) -> Option<ReceivedGrant> {
         let position = self.grants.iter().position(|grant| grant.until <= limit)?;
         Some(self.grants.swap_remove(position))
     }
--- a/crates/policy/src/rates/zone_link.rs
+++ b/crates/policy/src/rates/zone_loan.rs
@@ -11,10 +11,10 @@
 
 /// The state of a loan from the slot's holder in another zone to this holder.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) enum ZoneLink {
+pub(super) enum ZoneLoan {
     #[default]
     Idle,
-    Asked {
+    Requested {
         loan: u64,
         until: Timestamp,
     },
@@ -25,34 +25,34 @@
         loan: u64,
         slice: Slice,
         until: Timestamp,
-        renew: Timestamp,
+        renew_at: Timestamp,
     },
 }
 
-impl ZoneLink {
+impl ZoneLoan {
     /// Treats a request that has timed out as refused, and ends the backoff after a
     /// refusal.
-    pub(super) fn end_wait(&mut self, now: Timestamp) {
+    pub(super) fn end_waits(&mut self, now: Timestamp) {
         match *self {
-            ZoneLink::Asked { until, .. } if until <= now => {
-                *self = ZoneLink::refused(now);
+            ZoneLoan::Requested { until, .. } if until <= now => {
+                *self = ZoneLoan::refused(now);
             }
-            ZoneLink::Refused { until } if until <= now => *self = ZoneLink::Idle,
+            ZoneLoan::Refused { until } if until <= now => *self = ZoneLoan::Idle,
             _ => {}
         }
     }
 
     /// Returns the state after a refusal.
     pub(super) fn refused(now: Timestamp) -> Self {
-        ZoneLink::Refused {
+        ZoneLoan::Refused {
             until: now + REFUSED_BACKOFF,
         }
     }
 
     /// Returns when the loan expired, if it has expired by `now`.
-    pub(super) fn lapse(&self, now: Timestamp) -> Option<Timestamp> {
+    pub(super) fn expired_at(&self, now: Timestamp) -> Option<Timestamp> {
         match self {
-            ZoneLink::Borrowed { until, .. } if *until <= now => Some(*until),
+            ZoneLoan::Borrowed { until, .. } if *until <= now => Some(*until),
             _ => None,
         }
     }
@@ -60,7 +60,7 @@
     /// Returns the slice currently on loan to this holder, zero if there is none.
     pub(super) fn slice(&self) -> Slice {
         match self {
-            ZoneLink::Borrowed { slice, .. } => *slice,
+            ZoneLoan::Borrowed { slice, .. } => *slice,
             _ => Slice::default(),
         }
     }
@@ -68,7 +68,7 @@
 
 /// Returns when to renew a loan: with at least half its time left, and at times common
 /// to all loans, so that the renewals of many customers share a message.
-pub(super) fn renewal(until: Timestamp, timing: &LedgerTiming) -> Timestamp {
+pub(super) fn renewal_time(until: Timestamp, timing: &LedgerTiming) -> Timestamp {
     let half = (timing.slice / 2).as_micros().max(1) as u64;
     let latest = (until - timing.slice / 2).as_micros();
     Timestamp::from_micros(latest - latest % half)
--- a/crates/policy/src/rates/zone_roster.rs
+++ b/crates/policy/src/rates/zone_roster.rs
@@ -95,7 +95,7 @@
 
     /// Assigns free slots to `name`, up to its equal share.
     pub fn with_slots(&self, name: &str) -> Option<ZoneRoster> {
-        let mut missing = self.equal_part().saturating_sub(self.count(name));
+        let mut missing = self.equal_share().saturating_sub(self.slot_count(name));
         if missing == 0 || !self.is_active(name) {
             return None;
         }
@@ -114,7 +114,7 @@
 
     /// Returns the slots that `name` holds beyond its equal share.
     pub fn excess(&self, name: &str) -> Vec<u8> {
-        let excess = self.count(name).saturating_sub(self.equal_part());
+        let excess = self.slot_count(name).saturating_sub(self.equal_share());
         let held = (0..SLOTS as u8).filter(|slot| self.holder(*slot) == Some(name));
         held.take(excess).collect()
     }
@@ -144,42 +144,42 @@
         roster
     }
 
-    /// Returns the next change that `me` has to write, if any.
+    /// Returns the next change that `own` has to write, if any.
     ///
     /// `expulsion` is how long a member that is marked as expelled keeps its slots; `gone`
     /// and `silent` are as in [`ExpulsionWatch::marked`].
     pub fn next_change(
         &self,
-        me: &RosterMember,
+        own: &RosterMember,
         watch: &ExpulsionWatch,
         expulsion: Duration,
         gone: impl Fn(&str) -> bool,
         silent: impl Fn(&str) -> bool,
         now: Timestamp,
     ) -> Option<RosterChange> {
-        let joined = self.with_member(&me.name, &me.address, me.incarnation);
-        let changed = joined.or_else(|| self.with_slots(&me.name));
-        let changed = changed.or_else(|| self.without_slots(&me.name, &self.excess(&me.name)));
+        let joined = self.with_member(&own.name, &own.address, own.incarnation);
+        let changed = joined.or_else(|| self.with_slots(&own.name));
+        let changed = changed.or_else(|| self.without_slots(&own.name, &self.excess(&own.name)));
         let changed = changed.or_else(|| watch.freed(self, expulsion, now));
-        let changed = changed.or_else(|| watch.marked(self, &me.name, gone, silent));
-        Some(self.change_to(&me.name, &changed?))
+        let changed = changed.or_else(|| watch.marked(self, &own.name, gone, silent));
+        Some(self.change_to(&own.name, &changed?))
     }
 
-    /// Returns the change that removes `me`, which has stopped using its slots.
-    pub fn leaving_change(&self, me: &str) -> Option<RosterChange> {
-        let left = self.without_member(me)?;
-        Some(self.change_to(me, &left))
+    /// Returns the change that removes `own_name`, which has stopped using its slots.
+    pub fn leaving_change(&self, own_name: &str) -> Option<RosterChange> {
+        let left = self.without_member(own_name)?;
+        Some(self.change_to(own_name, &left))
     }
 
-    fn change_to(&self, me: &str, changed: &ZoneRoster) -> RosterChange {
+    fn change_to(&self, own_name: &str, changed: &ZoneRoster) -> RosterChange {
         let roster = changed.with_free_slots_given();
         let mut given = Vec::new();
-        for (slot, taker) in roster.slots.iter().enumerate() {
-            if let Some(taker) = taker
-                && taker != me
-                && self.holder(slot as u8) == Some(me)
+        for (slot, new_holder) in roster.slots.iter().enumerate() {
+            if let Some(new_holder) = new_holder
+                && new_holder != own_name
+                && self.holder(slot as u8) == Some(own_name)
             {
-                given.push((slot as u8, taker.clone()));
+                given.push((slot as u8, new_holder.clone()));
             }
         }
         RosterChange { roster, given }
@@ -248,7 +248,7 @@
         member.is_some_and(|member| member.state == MemberState::Active)
     }
 
-    fn count(&self, name: &str) -> usize {
+    fn slot_count(&self, name: &str) -> usize {
         let held = self
             .slots
             .iter()
@@ -256,7 +256,7 @@
         held.count()
     }
 
-    fn equal_part(&self) -> usize {
+    fn equal_share(&self) -> usize {
         let active = self
             .members
             .iter()
@@ -316,12 +316,12 @@
     pub fn marked(
         &self,
         roster: &ZoneRoster,
-        me: &str,
+        own_name: &str,
         gone: impl Fn(&str) -> bool,
         silent: impl Fn(&str) -> bool,
     ) -> Option<ZoneRoster> {
         let lost = roster.members.iter().find(|member| {
-            member.name != me
+            member.name != own_name
                 && member.state == MemberState::Active
                 && gone(&member.name)
                 && silent(&member.name)
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -48,8 +48,8 @@
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
 
-    fn add(self, span: Duration) -> Timestamp {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> Timestamp {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Timestamp(self.0.saturating_add(micros))
     }
 }
@@ -57,8 +57,8 @@
 impl Sub<Duration> for Timestamp {
     type Output = Timestamp;
 
-    fn sub(self, span: Duration) -> Timestamp {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    fn sub(self, duration: Duration) -> Timestamp {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Timestamp(self.0.saturating_sub(micros))
     }
 }
