--- a/crates/policy/src/rates/freshness.rs
+++ b/crates/policy/src/rates/freshness.rs
@@ -9,8 +9,10 @@
 #[derive(Clone, Copy, Debug)]
 struct PeerView {
     peer: DaemonId,
-    received_at: Timestamp,
-    peer_confirmed_at: Timestamp,
+    /// When the peer's last answer was received.
+    received: Timestamp,
+    /// When the peer's own view was last confirmed.
+    confirmed: Timestamp,
 }
 
 /// Tracks how recently this daemon's view of roster and settings was confirmed.
@@ -62,16 +64,11 @@
         }
     }
 
-    pub(super) fn note_peer(
-        &mut self,
-        peer: DaemonId,
-        received_at: Timestamp,
-        peer_confirmed_at: Timestamp,
-    ) {
+    pub(super) fn note_peer(&mut self, peer: DaemonId, received: Timestamp, confirmed: Timestamp) {
         let view = PeerView {
             peer,
-            received_at,
-            peer_confirmed_at,
+            received,
+            confirmed,
         };
         match self.peers.binary_search_by_key(&peer, |view| view.peer) {
             Ok(position) => self.peers[position] = view,
@@ -106,10 +103,10 @@
         }
         let mut reachable = false;
         for view in &self.peers {
-            if now.since(view.received_at) > limit {
+            if now.since(view.received) > limit {
                 continue;
             }
-            if now.since(view.peer_confirmed_at) <= limit {
+            if now.since(view.confirmed) <= limit {
                 return false;
             }
             reachable = true;
--- a/crates/policy/src/rates/mod.rs
+++ b/crates/policy/src/rates/mod.rs
@@ -29,7 +29,7 @@
 mod ledger_timing;
 mod message_outbox;
 mod messages;
-mod rate_division;
+mod rate_parts;
 mod reachability;
 mod share_ledger;
 mod slot_handover;
@@ -46,9 +46,7 @@
     Outgoing, RateAnswer, RateAsk, SliceOffer, SliceReturn, SliceWant, TokenAnswer, TokenAsk,
     TokenSettlement,
 };
-pub use rate_division::{
-    CustomerKey, CustomerRate, MAX_CUSTOMER_SLOTS, MAX_ZONES, RateDivision, Slice,
-};
+pub use rate_parts::{CustomerKey, CustomerRate, MAX_CUSTOMER_SLOTS, MAX_ZONES, RateParts, Slice};
 pub use share_ledger::{Attempt, Decision, ShareLedger, ShareLevel};
 pub use token_bucket::TokenBucket;
 pub use tokens::Tokens;
--- a/crates/policy/src/rates/rate_division.rs
+++ b/crates/policy/src/rates/rate_parts.rs
@@ -95,12 +95,11 @@
     }
 }
 
-/// The division of a customer's rate and burst into one part for each of its slots in
-/// each zone.
+/// The parts of a customer's rate and burst: one for each of its slots in each zone.
 ///
-/// Every daemon computes the same division from the settings.
+/// Every daemon computes the same parts from the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RateDivision {
+pub struct RateParts {
     /// The number of slots that the customer uses, a power of two.
     pub slots: u8,
     /// The number of zones.
@@ -109,7 +108,7 @@
     pub whole: Slice,
 }
 
-impl RateDivision {
+impl RateParts {
     /// Divides a customer's rate and burst among `zones` zones.
     pub fn of_rate(rate: &CustomerRate, zones: usize) -> Self {
         let zones = zones.clamp(1, MAX_ZONES) as u8;
@@ -119,7 +118,7 @@
         }
         let rate_whole = Tokens::from_f64(rate.rate);
         let capacity = Tokens::whole(rate.burst);
-        RateDivision {
+        RateParts {
             slots,
             zones,
             whole: Slice {
@@ -149,7 +148,7 @@
     }
 
     /// Whether both have the same number of slots and zones; rate and burst may differ.
-    pub fn same_division(&self, other: &RateDivision) -> bool {
+    pub fn same_division(&self, other: &RateParts) -> bool {
         self.slots == other.slots && self.zones == other.zones
     }
 }
--- a/crates/policy/src/rates/share_ledger.rs
+++ b/crates/policy/src/rates/share_ledger.rs
@@ -8,8 +8,8 @@
 use crate::{DaemonId, Timestamp};
 
 use super::{
-    CustomerKey, DemandMeter, LedgerTiming, MAX_CUSTOMER_SLOTS, MAX_ZONES, Outgoing, RateDivision,
-    SLOTS, freshness::Freshness, message_outbox::MessageOutbox, rate_division::roster_slot,
+    CustomerKey, DemandMeter, LedgerTiming, MAX_CUSTOMER_SLOTS, MAX_ZONES, Outgoing, RateParts,
+    SLOTS, freshness::Freshness, message_outbox::MessageOutbox, rate_parts::roster_slot,
     reachability::ReachabilityTable, slot_handover::SlotHandovers, slot_share::SlotShare,
     token_grants::GrantedTokens,
 };
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug)]
 struct CustomerShare {
     customer: CustomerKey,
-    division: RateDivision,
+    parts: RateParts,
     /// Until when a removed customer is remembered; `None` while the settings name it.
     removed: Option<Timestamp>,
     demand: DemandMeter,
@@ -205,7 +205,7 @@
     /// Returns the roster slots that this customer uses.
     fn slots(&self) -> [Option<u8>; MAX_CUSTOMER_SLOTS] {
         let mut slots = [None; MAX_CUSTOMER_SLOTS];
-        for slot_index in 0..self.division.slots {
+        for slot_index in 0..self.parts.slots {
             slots[usize::from(slot_index)] = Some(roster_slot(self.customer, slot_index));
         }
         slots
@@ -222,10 +222,10 @@
         from: &[Timestamp; SLOTS],
         now: Timestamp,
     ) {
-        for slot_index in 0..self.division.slots {
+        for slot_index in 0..self.parts.slots {
             let slot = roster_slot(self.customer, slot_index);
             if is_own_slot(slot) && self.position(slot).is_none() {
-                let slice = self.division.slice(zone, slot_index);
+                let slice = self.parts.slice(zone, slot_index);
                 let held = SlotShare::new(slot, slice, from[usize::from(slot)], now);
                 self.held.push(held);
             }
--- a/crates/policy/src/rates/share_ledger/division.rs
+++ b/crates/policy/src/rates/share_ledger/division.rs
@@ -4,7 +4,7 @@
 
 use super::{
     super::{
-        CustomerKey, CustomerRate, DemandMeter, MAX_CUSTOMER_SLOTS, MAX_ZONES, RateDivision, SLOTS,
+        CustomerKey, CustomerRate, DemandMeter, MAX_CUSTOMER_SLOTS, MAX_ZONES, RateParts, SLOTS,
         token_grants::GrantedTokens,
     },
     CustomerShare, ShareLedger,
@@ -29,13 +29,13 @@
             while let Some(removed) = old.next_if(|share| share.customer < rate.customer) {
                 shares.extend(self.removed_share(removed, now));
             }
-            let division = RateDivision::of_rate(rate, self.zones);
+            let parts = RateParts::of_rate(rate, self.zones);
             let share = match old.next_if(|share| share.customer == rate.customer) {
                 Some(share) if share.removed.is_some_and(|until| until <= now) => {
-                    self.new_share(rate.customer, division, now)
+                    self.new_share(rate.customer, parts, now)
                 }
-                Some(share) => self.changed_share(share, division, now),
-                None => self.new_share(rate.customer, division, now),
+                Some(share) => self.changed_share(share, parts, now),
+                None => self.new_share(rate.customer, parts, now),
             };
             shares.push(share);
         }
@@ -80,15 +80,10 @@
         self.update_own_slots(never_held, now);
     }
 
-    fn new_share(
-        &self,
-        customer: CustomerKey,
-        division: RateDivision,
-        now: Timestamp,
-    ) -> CustomerShare {
+    fn new_share(&self, customer: CustomerKey, parts: RateParts, now: Timestamp) -> CustomerShare {
         let mut share = CustomerShare {
             customer,
-            division,
+            parts,
             removed: None,
             demand: DemandMeter::default(),
             granted: GrantedTokens::default(),
@@ -108,23 +103,23 @@
     fn changed_share(
         &self,
         mut share: CustomerShare,
-        division: RateDivision,
+        parts: RateParts,
         now: Timestamp,
     ) -> CustomerShare {
         share.removed = None;
-        if share.division == division {
+        if share.parts == parts {
             return share;
         }
         let raise_at = now + self.timing.settle();
-        let raise_at = (!share.division.same_division(&division)).then_some(raise_at);
-        share.division = division;
+        let raise_at = (!share.parts.same_division(&parts)).then_some(raise_at);
+        share.parts = parts;
         share.granted.clear();
         share.empty_until = [Timestamp::ZERO; MAX_CUSTOMER_SLOTS];
         let slots = share.slots();
         share.held.retain(|held| slots.contains(&Some(held.slot)));
         for held in &mut share.held {
             let slot_index = slots.iter().position(|slot| *slot == Some(held.slot));
-            let slice = division.slice(self.zone, slot_index.unwrap_or(0) as u8);
+            let slice = parts.slice(self.zone, slot_index.unwrap_or(0) as u8);
             held.set_base(slice, raise_at, now);
         }
         let holders = self.holders[self.zone];
@@ -143,8 +138,8 @@
             Some(until) if until <= now => None,
             Some(_) => Some(share),
             None => {
-                let filled = share.division.fill_time().max(self.timing.settle());
-                let mut share = self.changed_share(share, RateDivision::default(), now);
+                let filled = share.parts.fill_time().max(self.timing.settle());
+                let mut share = self.changed_share(share, RateParts::default(), now);
                 share.removed = Some(now + filled);
                 Some(share)
             }
--- a/crates/policy/src/rates/share_ledger/handover.rs
+++ b/crates/policy/src/rates/share_ledger/handover.rs
@@ -16,15 +16,9 @@
     /// [`LedgerTiming::fresh`](super::super::LedgerTiming::fresh), the maximum age of a
     /// view. Each [`ShareLedger::note_view`] by which the new holder hasn't read the new
     /// roster yet extends that time.
-    pub fn give_slot(
-        &mut self,
-        slot: u8,
-        new_holder: DaemonId,
-        revision: i64,
-        now: Timestamp,
-    ) -> bool {
+    pub fn give_slot(&mut self, slot: u8, to: DaemonId, revision: i64, now: Timestamp) -> bool {
         let until = now + self.timing.fresh;
-        self.handovers.start(slot, new_holder, revision, until)
+        self.handovers.start(slot, to, revision, until)
     }
 
     /// Cancels a slot's handover, because the write for it has certainly not run.
--- a/crates/policy/src/rates/share_ledger/lending.rs
+++ b/crates/policy/src/rates/share_ledger/lending.rs
@@ -6,7 +6,7 @@
     super::{
         RateAnswer, RateAsk, SLOTS, Slice, SliceOffer, SliceReturn, SliceWant, TokenAnswer,
         TokenAsk, Tokens,
-        rate_division::{roster_slot, zone_order},
+        rate_parts::{roster_slot, zone_order},
         reachability::ReachabilityTable,
         slot_share::{LoanAction, ZoneHolders},
     },
@@ -131,12 +131,7 @@
         first.next() != Some(self.zone)
     }
 
-    pub(super) fn borrow_slices_for(
-        &mut self,
-        index: usize,
-        slot_index: u8,
-        now: Timestamp,
-    ) -> bool {
+    pub(super) fn borrow_for(&mut self, index: usize, slot_index: u8, now: Timestamp) -> bool {
         let slot = roster_slot(self.shares[index].customer, slot_index);
         let Some(position) = self.shares[index].position(slot) else {
             return false;
--- a/crates/policy/src/rates/share_ledger/request_path.rs
+++ b/crates/policy/src/rates/share_ledger/request_path.rs
@@ -7,7 +7,7 @@
 use super::{
     super::{
         CustomerKey, TokenAnswer, TokenAsk, TokenSettlement,
-        rate_division::{roster_slot, zone_order},
+        rate_parts::{roster_slot, zone_order},
         token_grants::ReceivedGrant,
     },
     ShareLedger,
@@ -88,7 +88,7 @@
             to: self.own_id,
             zone: self.zone as u8,
             slot_index: 0,
-            first_slot_index: share.cursor % share.division.slots.max(1),
+            first_slot_index: share.cursor % share.parts.slots.max(1),
             step: 0,
             requests_sent: 0,
             exhausted: 0,
@@ -212,7 +212,7 @@
     /// tokens that no home has borrowed, and the homes again, which may have borrowed them
     /// meanwhile.
     fn continue_search(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
-        let slots = self.shares[index].division.slots.max(1);
+        let slots = self.shares[index].parts.slots.max(1);
         let steps = slots.saturating_mul(self.zones as u8 * 2);
         let in_time = now.since(attempt.started) < MAX_SEARCH_TIME;
         while attempt.step < steps && attempt.requests_sent < MAX_TOKEN_REQUESTS && in_time {
@@ -232,7 +232,7 @@
                 attempt.zone = zone;
                 return self.request_tokens_from(index, to, home, attempt, now);
             }
-            if home && self.borrow_slices_for(index, slot_index, now) {
+            if home && self.borrow_for(index, slot_index, now) {
                 attempt.exhausted |= 1 << slot_index;
             }
             if home && self.spend_local(index, now) {
@@ -311,7 +311,7 @@
 
     fn retry_after(&self, index: usize, now: Timestamp) -> Duration {
         let share = &self.shares[index];
-        let slots = usize::from(share.division.slots.max(1));
+        let slots = usize::from(share.parts.slots.max(1));
         let waits = share.empty_until[..slots]
             .iter()
             .filter(|until| **until > now);
