--- a/crates/policy/src/rates/freshness.rs
+++ b/crates/policy/src/rates/freshness.rs
@@ -34,8 +34,11 @@
 /// second one on the other side of such a split.
 #[derive(Clone, Debug)]
 pub(super) struct Freshness {
+    /// When the view was last confirmed.
     confirmed_at: Option<Timestamp>,
+    /// When this daemon last called [`Freshness::tick`].
     ticked_at: Timestamp,
+    /// When the process resumed after a pause, until the view is confirmed again.
     resumed_at: Option<Timestamp>,
     is_only_member: bool,
     peers: Vec<PeerView>,
--- a/crates/policy/src/rates/ledger_timing.rs
+++ b/crates/policy/src/rates/ledger_timing.rs
@@ -48,13 +48,13 @@
 
     /// Returns how long `count` granted tokens may be spent. A single token is for a
     /// request that is waiting, so it is useless after the request's timeout.
-    pub fn grant_duration(&self, count: u32) -> Duration {
+    pub fn grant_lifetime(&self, count: u32) -> Duration {
         if count == 1 { self.answer } else { self.grant }
     }
 
     /// Returns how long the holder reserves capacity for granted tokens.
     pub fn grant_hold_duration(&self, count: u32) -> Duration {
-        Self::margin(self.grant_duration(count))
+        Self::margin(self.grant_lifetime(count))
     }
 
     /// Returns how long a lender counts a slice as lent: until the loan has expired at
--- a/crates/policy/src/rates/share_ledger.rs
+++ b/crates/policy/src/rates/share_ledger.rs
@@ -67,9 +67,13 @@
     removed: Option<Timestamp>,
     demand: DemandMeter,
     granted: GrantedTokens,
+    /// For each of the customer's slots, until when its home is known to have no token.
     empty_until: [Timestamp; MAX_CUSTOMER_SLOTS],
     held: Vec<SlotShare>,
+    /// Rotates the slot at which attempts to get a token start.
     cursor: u8,
+    /// A fully spent grant (holder, slot and number), which the next token request to its
+    /// holder reports.
     spent_grant: Option<(DaemonId, u8, u64)>,
 }
 
--- a/crates/policy/src/rates/share_ledger/request_path.rs
+++ b/crates/policy/src/rates/share_ledger/request_path.rs
@@ -39,7 +39,7 @@
         to: DaemonId,
         /// The token request.
         ask: TokenAsk,
-        /// The state of the search, which the caller passes back with the answer.
+        /// The state of the attempt, which the caller passes back with the answer.
         attempt: Attempt,
     },
     /// The request exceeds its customer's rate.
@@ -49,8 +49,8 @@
     },
 }
 
-/// The state of a search for a token, in which one daemon after another gets a token
-/// request for the same caller's request.
+/// The state of an attempt to get a token for one caller's request by token requests to
+/// one daemon after another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
     customer: CustomerKey,
@@ -93,10 +93,10 @@
             requests_sent: 0,
             exhausted: 0,
         };
-        self.continue_search(index, attempt, now)
+        self.try_holders(index, attempt, now)
     }
 
-    /// Continues the search for a token after an answer.
+    /// Continues the attempt to get a token after an answer.
     ///
     /// Tokens that arrive after their expiry are dropped.
     pub fn take(&mut self, mut attempt: Attempt, answer: TokenAnswer, now: Timestamp) -> Decision {
@@ -113,7 +113,7 @@
                 count,
                 settle,
             } => {
-                let until = attempt.sent_at + self.timing.grant_duration(count);
+                let until = attempt.sent_at + self.timing.grant_lifetime(count);
                 if until > now && count > 0 {
                     self.shares[index].granted.add(ReceivedGrant {
                         holder: attempt.to,
@@ -143,7 +143,7 @@
         self.resume(index, attempt, now)
     }
 
-    /// Continues the search after a token request that couldn't be sent.
+    /// Continues the attempt after a token request that couldn't be sent.
     pub fn unreachable(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
             let retry_after = DEFAULT_RETRY_AFTER;
@@ -152,14 +152,14 @@
         self.skip_daemon(index, attempt, now)
     }
 
-    /// Continues the search after a token request that timed out.
+    /// Continues the attempt after a token request that timed out.
     pub fn fail(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
             let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
         // One lost answer doesn't mean that a daemon is unreachable, and counting it as
-        // down would change the slot's home needlessly; the search just continues with
+        // down would change the slot's home needlessly; the attempt just continues with
         // the next daemon.
         let until = now + self.timing.down;
         let zone = usize::from(attempt.zone);
@@ -204,14 +204,14 @@
         if self.spend_local(index, now) {
             return Decision::Admitted;
         }
-        self.continue_search(index, attempt, now)
+        self.try_holders(index, attempt, now)
     }
 
     /// Selects the next daemon to send a token request to: first the home of each of the
     /// customer's slots, then alternately the holders in another zone, which may have
     /// tokens that no home has borrowed, and the homes again, which may have borrowed them
     /// meanwhile.
-    fn continue_search(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
+    fn try_holders(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
         let slots = self.shares[index].parts.slots.max(1);
         let steps = slots.saturating_mul(self.zones as u8 * 2);
         let in_time = now.since(attempt.started) < MAX_SEARCH_TIME;
--- a/crates/policy/src/rates/slot_share.rs
+++ b/crates/policy/src/rates/slot_share.rs
@@ -44,14 +44,21 @@
 #[derive(Clone, Debug)]
 pub(super) struct SlotShare {
     pub(super) slot: u8,
+    /// This holder's own part, without loans and grants.
     base: Slice,
+    /// A part that replaces `base` at the given time.
     next_base: Option<(Timestamp, Slice)>,
     bucket: TokenBucket,
     grants: GrantTracker,
+    /// Loans to the holders in other zones.
     lent: Vec<LentSlice>,
+    /// Loans from the holders in other zones, indexed by zone.
     zone_loans: Vec<ZoneLoan>,
+    /// The rate at which tokens are spent or granted.
     served: DemandMeter,
+    /// The rate at which token requests find no token.
     failed: DemandMeter,
+    /// Until when this holder acts as the slot's home and borrows slices.
     borrows_until: Timestamp,
 }
 
--- a/crates/policy/src/rates/zone_loan.rs
+++ b/crates/policy/src/rates/zone_loan.rs
@@ -12,15 +12,14 @@
 /// The state of a loan from the slot's holder in another zone to this holder.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) enum ZoneLoan {
+    /// There is no loan, and none was requested.
     #[default]
     Idle,
-    Requested {
-        loan: u64,
-        until: Timestamp,
-    },
-    Refused {
-        until: Timestamp,
-    },
+    /// A loan was requested; the request times out at `until`.
+    Requested { loan: u64, until: Timestamp },
+    /// The other zone lent nothing; no request is sent before `until`.
+    Refused { until: Timestamp },
+    /// `slice` is on loan until `until`, and the loan is due for renewal at `renew_at`.
     Borrowed {
         loan: u64,
         slice: Slice,
--- a/crates/policy/src/rates/zone_roster.rs
+++ b/crates/policy/src/rates/zone_roster.rs
@@ -136,7 +136,7 @@
     /// Each record that is written has to name a holder for every slot. If slots were
     /// assigned by a second write and the store became unavailable in between, they would
     /// have no holder until it is back.
-    pub fn with_free_slots_given(&self) -> ZoneRoster {
+    pub fn with_free_slots_assigned(&self) -> ZoneRoster {
         let mut roster = self.clone();
         for member in &self.members {
             roster = roster.with_slots(&member.name).unwrap_or(roster);
@@ -172,7 +172,7 @@
     }
 
     fn change_to(&self, own_name: &str, changed: &ZoneRoster) -> RosterChange {
-        let roster = changed.with_free_slots_given();
+        let roster = changed.with_free_slots_assigned();
         let mut given = Vec::new();
         for (slot, new_holder) in roster.slots.iter().enumerate() {
             if let Some(new_holder) = new_holder
@@ -274,13 +274,14 @@
 /// in which a member detects that its view is stale.
 #[derive(Clone, Debug, Default)]
 pub struct ExpulsionWatch {
-    marked: Vec<(String, u64, Timestamp)>,
+    /// The members marked as expelled: name, incarnation, and when the mark was first seen.
+    marked_since: Vec<(String, u64, Timestamp)>,
 }
 
 impl ExpulsionWatch {
     /// Updates the marked members from the record as read at `now`.
     pub fn note(&mut self, roster: &ZoneRoster, now: Timestamp) {
-        let old = std::mem::take(&mut self.marked);
+        let old = std::mem::take(&mut self.marked_since);
         for member in &roster.members {
             if member.state != MemberState::Expelled {
                 continue;
@@ -289,7 +290,7 @@
                 *name == member.name && *incarnation == member.incarnation
             });
             let since = seen.map_or(now, |(_, _, since)| *since);
-            self.marked
+            self.marked_since
                 .push((member.name.clone(), member.incarnation, since));
         }
     }
@@ -297,7 +298,7 @@
     /// Returns the record without one member that has been marked for `wait`, if there is
     /// such a member.
     pub fn freed(&self, roster: &ZoneRoster, wait: Duration, now: Timestamp) -> Option<ZoneRoster> {
-        let due = self.marked.iter().find(|(name, incarnation, since)| {
+        let due = self.marked_since.iter().find(|(name, incarnation, since)| {
             let member = roster.member(name);
             now.since(*since) >= wait
                 && member.is_some_and(|member| {
