--- a/crates/policy/src/rates/ledger_timing.rs
+++ b/crates/policy/src/rates/ledger_timing.rs
@@ -5,9 +5,9 @@
 /// The time limits on which the safety of the ledger depends. All daemons use the
 /// same values.
 ///
-/// A receiver of tokens or slices counts on its own clock from the time before it sent
-/// its request. The sender counts on its own clock from the time the request arrived,
-/// and waits longer by [`LedgerTiming::margin`].
+/// A daemon that requests tokens or slices counts their time on its own clock from before
+/// it sent the request. The daemon that provides them counts on its own clock from the
+/// arrival of the request, and for longer by [`LedgerTiming::margin`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LedgerTiming {
     /// The maximum age of a daemon's view of roster and settings while it spends from
--- a/crates/policy/src/rates/share_ledger/handover.rs
+++ b/crates/policy/src/rates/share_ledger/handover.rs
@@ -14,8 +14,8 @@
     ///
     /// This daemon uses the slot for
     /// [`LedgerTiming::fresh`](super::super::LedgerTiming::fresh), the maximum age of a
-    /// view. Each [`ShareLedger::note_view`] by which the new holder hasn't read the new
-    /// roster yet extends that time.
+    /// view, from `now` on. Each [`ShareLedger::note_view`] that shows that the new holder
+    /// hasn't read the new roster yet extends that time.
     pub fn give_slot(&mut self, slot: u8, to: DaemonId, revision: i64, now: Timestamp) -> bool {
         let until = now + self.timing.fresh;
         self.handovers.start(slot, to, revision, until)
--- a/crates/policy/src/rates/share_ledger/request_path.rs
+++ b/crates/policy/src/rates/share_ledger/request_path.rs
@@ -335,7 +335,7 @@
         self.outgoing.settle_grant(grant.holder, settlement);
     }
 
-    /// Returns granted tokens that are about to expire to their holders.
+    /// Returns to their holders the granted tokens that are about to expire.
     pub(super) fn return_expiring_grants(&mut self, index: usize, now: Timestamp) {
         let share = &mut self.shares[index];
         if share.granted.is_empty() {
