--- a/crates/policy/src/rates/share_ledger.rs
+++ b/crates/policy/src/rates/share_ledger.rs
@@ -1,4 +1,4 @@
-//! The rates of all customers at one daemon.
+//! One daemon's share of the rates of all customers.
 
 mod division;
 mod handover;
@@ -8,78 +8,82 @@
 use crate::{DaemonId, Timestamp};
 
 use super::{
-    CustomerKey, DemandMeter, LedgerTiming, MAX_CUSTOMER_SLOTS, MAX_ZONES, Outgoing, RatePart,
-    SLOTS, freshness::Freshness, message_outbox::MessageOutbox, rate_part::roster_slot,
-    reach_table::ReachTable, slot_handover::SlotHandovers, slot_share::SlotShare,
-    token_pocket::TokenPocket,
+    CustomerKey, DemandMeter, LedgerTiming, MAX_CUSTOMER_SLOTS, MAX_ZONES, Outgoing, RateParts,
+    SLOTS, freshness::Freshness, message_outbox::MessageOutbox, rate_parts::roster_slot,
+    reachability::ReachabilityTable, slot_handover::SlotHandovers, slot_share::SlotShare,
+    token_grants::GrantedTokens,
 };
 
 pub use request_path::{Attempt, Decision};
 
-/// The rates of all customers at one daemon.
+/// One daemon's share of the rates of all customers.
 ///
 /// The request path calls [`ShareLedger::admit`]. On [`Decision::Borrow`] it
-/// sends the ask and hands the answer to [`ShareLedger::take`], or the lack of
-/// one to [`ShareLedger::fail`], until it is admitted or refused. A background
-/// task calls [`ShareLedger::tick`] several times a second and sends what
-/// [`ShareLedger::outgoing`] holds; the answers go to
+/// sends the token request and passes the answer to [`ShareLedger::take`], or a timeout
+/// to [`ShareLedger::fail`], until the caller's request is admitted or refused. A
+/// background task calls [`ShareLedger::tick`] several times a second and sends the
+/// messages returned by [`ShareLedger::outgoing`]; the answers go to
 /// [`ShareLedger::take_offers`].
 ///
-/// The driver keeps the view current: [`ShareLedger::set_rates`],
-/// [`ShareLedger::set_holders`], [`ShareLedger::confirm`].
+/// The owner keeps the ledger's view current by [`ShareLedger::set_rates`],
+/// [`ShareLedger::set_holders`] and [`ShareLedger::confirm`].
 #[derive(Clone, Debug)]
 pub struct ShareLedger {
-    me: DaemonId,
+    own_id: DaemonId,
     zone: usize,
     zones: usize,
     timing: LedgerTiming,
     next_id: u64,
     holders: Vec<[Option<DaemonId>; SLOTS]>,
-    /// The holders in this daemon's zone as its roster names them. Slots that this daemon
-    /// gave away a moment ago are still its own in `holders`.
-    recorded: [Option<DaemonId>; SLOTS],
+    /// The holders in this daemon's zone as its roster names them. In contrast, `holders`
+    /// still names this daemon for slots whose handover is open.
+    roster_holders: [Option<DaemonId>; SLOTS],
     handovers: SlotHandovers,
-    /// From when the slots held here count.
-    held_from: [Timestamp; SLOTS],
-    reach: ReachTable,
+    /// From when this daemon may use the slots that it holds.
+    usable_from: [Timestamp; SLOTS],
+    reachability: ReachabilityTable,
     freshness: Freshness,
     shares: Vec<CustomerShare>,
     outgoing: MessageOutbox,
 }
 
-/// What one daemon holds of a customer's rate, for operators.
+/// One daemon's share of a customer's rate, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ShareLevel {
-    /// The customer's slots that it holds.
+    /// The number of the customer's slots that the daemon holds.
     pub slots: u32,
-    /// The requests that it could admit at once.
+    /// The tokens in its buckets: the number of requests that it could admit at once.
     pub tokens: f64,
-    /// The most that could be.
+    /// The capacity of its buckets, in tokens.
     pub capacity: f64,
 }
 
-/// One customer at this daemon.
+/// This daemon's share of one customer's rate.
 #[derive(Clone, Debug)]
 struct CustomerShare {
     customer: CustomerKey,
-    part: RatePart,
-    /// Until when a removed customer is remembered.
+    parts: RateParts,
+    /// Until when a removed customer is remembered; `None` while the settings name it.
     removed: Option<Timestamp>,
     demand: DemandMeter,
-    pocket: TokenPocket,
+    granted: GrantedTokens,
+    /// For each of the customer's slots, until when its home is known to have no token.
     empty_until: [Timestamp; MAX_CUSTOMER_SLOTS],
     held: Vec<SlotShare>,
+    /// Rotates the slot at which attempts to get a token start.
     cursor: u8,
-    spent: Option<(DaemonId, u8, u64)>,
+    /// A fully spent grant (holder, slot and number), which the next token request to its
+    /// holder reports.
+    spent_grant: Option<(DaemonId, u8, u64)>,
 }
 
 impl ShareLedger {
-    /// A ledger that knows nothing yet and admits nothing.
+    /// Creates a ledger without customers and holders, which admits nothing yet.
     ///
-    /// `first_id` should be random: after a restart, messages that concern the
-    /// former process must not match numbers of the new one.
+    /// `first_id` should be random: after a restart, messages to the previous process must
+    /// not match grant and loan numbers of the new one.
     pub fn new(
-        me: DaemonId,
+        own_id: DaemonId,
         zone: usize,
         zones: usize,
         timing: LedgerTiming,
@@ -88,16 +92,16 @@
     ) -> Self {
         let zones = zones.clamp(1, MAX_ZONES);
         ShareLedger {
-            me,
+            own_id,
             zone: zone.min(zones - 1),
             zones,
             timing,
             next_id: first_id >> 1,
             holders: vec![[None; SLOTS]; zones],
-            recorded: [None; SLOTS],
+            roster_holders: [None; SLOTS],
             handovers: SlotHandovers::default(),
-            held_from: [now; SLOTS],
-            reach: ReachTable::new(zones),
+            usable_from: [now; SLOTS],
+            reachability: ReachabilityTable::new(zones),
             freshness: Freshness::new(now),
             shares: Vec::new(),
             outgoing: MessageOutbox::default(),
@@ -109,8 +113,8 @@
         self.freshness.set_members(members);
     }
 
-    /// Confirms that roster and settings as known here were current at `at`,
-    /// the time before the platform, or a peer that vouches, was asked.
+    /// Records that this daemon's view of roster and settings was current at `at`: the time
+    /// just before the query to the store, or to a peer that confirmed the view.
     pub fn confirm(&mut self, at: Timestamp) {
         self.freshness.confirm(at);
     }
@@ -120,13 +124,13 @@
         self.freshness.may_spend(now, self.timing.fresh)
     }
 
-    /// Whether the rates that were set last name this customer.
+    /// Whether the current settings name this customer.
     pub fn knows(&self, customer: CustomerKey) -> bool {
         let index = self.find(customer);
         index.is_some_and(|index| self.shares[index].removed.is_none())
     }
 
-    /// What this daemon holds of a customer's rate, lent slices included.
+    /// Returns this daemon's current share of a customer's rate, borrowed slices included.
     pub fn level(&self, customer: CustomerKey) -> ShareLevel {
         let mut level = ShareLevel::default();
         let Some(index) = self.find(customer) else {
@@ -141,24 +145,26 @@
         level
     }
 
-    /// Notes that a peer of this zone answered at `heard`, and that its own view
-    /// was last confirmed at `fresh`.
-    pub fn note_peer(&mut self, peer: DaemonId, heard: Timestamp, fresh: Timestamp) {
-        self.freshness.note_peer(peer, heard, fresh);
+    /// Records that a peer of this zone answered at `received_at`, and that the peer's own
+    /// view was last confirmed at `confirmed_at`.
+    pub fn note_peer(&mut self, peer: DaemonId, received_at: Timestamp, confirmed_at: Timestamp) {
+        self.freshness.note_peer(peer, received_at, confirmed_at);
     }
 
-    /// Notes that a daemon can't be reached. It isn't asked for a while.
+    /// Records that a daemon is unreachable. No request is sent to it for
+    /// [`LedgerTiming::down`].
     pub fn note_down(&mut self, daemon: DaemonId, now: Timestamp) {
-        self.reach.note_down(daemon, now + self.timing.down);
+        self.reachability.note_down(daemon, now + self.timing.down);
     }
 
-    /// Ends what has lapsed, renews and returns what is lent to this daemon.
+    /// Ends expired grants, loans and handovers, returns granted tokens that are about to
+    /// expire, and renews or returns borrowed slices.
     pub fn tick(&mut self, now: Timestamp) {
-        self.end_handovers(now);
+        self.end_due_handovers(now);
         self.freshness.tick(now, self.timing.fresh);
         let spending = self.freshness.may_spend(now, self.timing.fresh);
         for index in 0..self.shares.len() {
-            self.return_grants(index, now);
+            self.return_expiring_grants(index, now);
             for position in 0..self.shares[index].held.len() {
                 self.shares[index].held[position].advance(now);
                 if spending {
@@ -168,20 +174,20 @@
         }
     }
 
-    /// Takes the messages that are to be sent.
+    /// Removes and returns the messages that are queued for sending.
     pub fn outgoing(&mut self) -> Vec<Outgoing> {
         self.outgoing.take()
     }
 
-    /// Bytes of heap and struct that this ledger occupies, near enough to plan
-    /// memory with.
+    /// Returns the approximate size of this ledger in bytes, heap included, for planning
+    /// memory.
     pub fn footprint(&self) -> usize {
         let held = |share: &CustomerShare| share.held.capacity() * size_of::<SlotShare>();
         let held: usize = self.shares.iter().map(held).sum();
         size_of::<Self>()
             + self.shares.capacity() * size_of::<CustomerShare>()
             + self.holders.capacity() * size_of::<[Option<DaemonId>; SLOTS]>()
-            + self.reach.footprint()
+            + self.reachability.heap_size()
             + held
     }
 
@@ -200,11 +206,11 @@
 }
 
 impl CustomerShare {
-    /// The roster slots that this customer uses.
+    /// Returns the roster slots that this customer uses.
     fn slots(&self) -> [Option<u8>; MAX_CUSTOMER_SLOTS] {
         let mut slots = [None; MAX_CUSTOMER_SLOTS];
-        for place in 0..self.part.slots {
-            slots[usize::from(place)] = Some(roster_slot(self.customer, place));
+        for slot_index in 0..self.parts.slots {
+            slots[usize::from(slot_index)] = Some(roster_slot(self.customer, slot_index));
         }
         slots
     }
@@ -213,17 +219,17 @@
         self.held.iter().position(|held| held.slot == slot)
     }
 
-    fn hold_missing(
+    fn add_missing_slots(
         &mut self,
-        mine: impl Fn(u8) -> bool,
+        is_own_slot: impl Fn(u8) -> bool,
         zone: usize,
         from: &[Timestamp; SLOTS],
         now: Timestamp,
     ) {
-        for place in 0..self.part.slots {
-            let slot = roster_slot(self.customer, place);
-            if mine(slot) && self.position(slot).is_none() {
-                let slice = self.part.slice(zone, place);
+        for slot_index in 0..self.parts.slots {
+            let slot = roster_slot(self.customer, slot_index);
+            if is_own_slot(slot) && self.position(slot).is_none() {
+                let slice = self.parts.slice(zone, slot_index);
                 let held = SlotShare::new(slot, slice, from[usize::from(slot)], now);
                 self.held.push(held);
             }
--- a/crates/policy/src/rates/share_ledger/request_path.rs
+++ b/crates/policy/src/rates/share_ledger/request_path.rs
@@ -1,4 +1,4 @@
-//! What becomes of one request.
+//! Admits or refuses one caller's request.
 
 use std::time::Duration;
 
@@ -7,74 +7,76 @@
 use super::{
     super::{
         CustomerKey, TokenAnswer, TokenAsk, TokenSettlement,
-        rate_part::{roster_slot, zone_order},
-        token_pocket::PocketGrant,
+        rate_parts::{roster_slot, zone_order},
+        token_grants::ReceivedGrant,
     },
     ShareLedger,
 };
 
-/// How many daemons one request may ask before it is refused.
-const MAX_ASKS: u8 = 20;
+/// The maximum number of token requests sent for one caller's request before it is refused.
+const MAX_TOKEN_REQUESTS: u8 = 20;
 
-/// How long one request may spend asking before it is refused.
-const MAX_ASKING: Duration = Duration::from_secs(1);
+/// How long token requests are sent for one caller's request before it is refused.
+const MAX_SEARCH_TIME: Duration = Duration::from_secs(1);
 
-/// Tokens are asked for ahead only above this demand, in requests a second.
-const AHEAD_DEMAND: f64 = 1.0;
+/// The minimum demand, in requests per second, at which tokens are requested in advance.
+const MIN_PREFETCH_DEMAND: f64 = 1.0;
 
-/// When a refused caller should come back if no holder could say.
-const DEFAULT_RETRY: Duration = Duration::from_secs(1);
+/// The `retry_after` of a refused request if no holder provided one.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Grants are returned this long before they lapse.
-const RETURN_AHEAD: Duration = Duration::from_millis(300);
+/// How long before their expiry grants are returned.
+const RETURN_LEAD_TIME: Duration = Duration::from_millis(300);
 
-/// What is to be done with a request.
+/// The decision on a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may run.
+    /// The request may run.
     Admitted,
-    /// Another daemon has to be asked first.
+    /// A token has to be requested from another daemon first.
     Borrow {
-        /// The daemon to ask.
+        /// The daemon to send the token request to.
         to: DaemonId,
-        /// What to ask it.
+        /// The token request.
         ask: TokenAsk,
-        /// Goes back into the ledger with the answer.
+        /// The state of the attempt, which the caller passes back with the answer.
         attempt: Attempt,
     },
-    /// It is over its customer's rate.
+    /// The request exceeds its customer's rate.
     Refused {
-        /// When to come back.
+        /// How long the caller should wait before it retries.
         retry_after: Duration,
     },
 }
 
-/// A request on its way from daemon to daemon in search of a token.
+/// The state of an attempt to get a token for one caller's request by token requests to
+/// one daemon after another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
     customer: CustomerKey,
     started: Timestamp,
-    asked: Timestamp,
+    sent_at: Timestamp,
     to: DaemonId,
     zone: u8,
-    place: u8,
-    first: u8,
+    slot_index: u8,
+    first_slot_index: u8,
     step: u8,
-    asks: u8,
-    /// A bit for each place whose home has gathered everything and is empty.
-    done: u8,
+    requests_sent: u8,
+    /// A bit for each of the customer's slots whose home has no token left and has
+    /// borrowed all that other zones can lend.
+    exhausted: u8,
 }
 
 impl ShareLedger {
-    /// Decides about a request that just arrived.
+    /// Decides whether a caller's request that just arrived is admitted.
     pub fn admit(&mut self, customer: CustomerKey, now: Timestamp) -> Decision {
         let Some(index) = self.find(customer) else {
-            let retry_after = DEFAULT_RETRY;
+            let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
         let share = &mut self.shares[index];
         share.demand.note(1, now);
-        if self.spend_here(index, now) {
+        if self.spend_local(index, now) {
             return Decision::Admitted;
         }
         let share = &mut self.shares[index];
@@ -82,28 +84,28 @@
         let attempt = Attempt {
             customer,
             started: now,
-            asked: now,
-            to: self.me,
+            sent_at: now,
+            to: self.own_id,
             zone: self.zone as u8,
-            place: 0,
-            first: share.cursor % share.part.slots.max(1),
+            slot_index: 0,
+            first_slot_index: share.cursor % share.parts.slots.max(1),
             step: 0,
-            asks: 0,
-            done: 0,
+            requests_sent: 0,
+            exhausted: 0,
         };
-        self.proceed(index, attempt, now)
+        self.try_holders(index, attempt, now)
     }
 
-    /// Goes on with a request after an answer.
+    /// Continues the attempt to get a token after an answer.
     ///
-    /// Tokens that come later than their holder allows are dropped.
+    /// Tokens that arrive after their expiry are dropped.
     pub fn take(&mut self, mut attempt: Attempt, answer: TokenAnswer, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
-            let retry_after = DEFAULT_RETRY;
+            let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
-        let slot = roster_slot(attempt.customer, attempt.place);
-        self.reach
+        let slot = roster_slot(attempt.customer, attempt.slot_index);
+        self.reachability
             .note_answer(attempt.to, usize::from(attempt.zone));
         match answer {
             TokenAnswer::Granted {
@@ -111,9 +113,9 @@
                 count,
                 settle,
             } => {
-                let until = attempt.asked + self.timing.grant_life(count);
+                let until = attempt.sent_at + self.timing.grant_lifetime(count);
                 if until > now && count > 0 {
-                    self.shares[index].pocket.add(PocketGrant {
+                    self.shares[index].granted.add(ReceivedGrant {
                         holder: attempt.to,
                         slot,
                         grant,
@@ -128,52 +130,52 @@
                 complete,
             } => {
                 if complete {
-                    attempt.done |= 1 << attempt.place;
+                    attempt.exhausted |= 1 << attempt.slot_index;
                     let until = now + retry_after;
-                    self.shares[index].empty_until[usize::from(attempt.place)] = until;
+                    self.shares[index].empty_until[usize::from(attempt.slot_index)] = until;
                 }
             }
-            // A slot is on its way to another holder. The daemon's other slots
-            // can still be asked for; to count it as down would leave the
-            // customer without any of them.
+            // The slot is being handed over to another holder. The daemon's other slots
+            // are still usable; counting it as down would exclude all of them.
             TokenAnswer::NotHolder => {}
-            TokenAnswer::Stale => return self.skip(index, attempt, now),
+            TokenAnswer::Stale => return self.skip_daemon(index, attempt, now),
         }
         self.resume(index, attempt, now)
     }
 
-    /// Goes on with a request whose ask can't even be sent.
+    /// Continues the attempt after a token request that couldn't be sent.
     pub fn unreachable(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
-            let retry_after = DEFAULT_RETRY;
+            let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
-        self.skip(index, attempt, now)
+        self.skip_daemon(index, attempt, now)
     }
 
-    /// Goes on with a request whose ask got no answer in time.
+    /// Continues the attempt after a token request that timed out.
     pub fn fail(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
-            let retry_after = DEFAULT_RETRY;
+            let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
-        // One lost answer doesn't make a daemon unreachable, and the slot's home
-        // would change for nothing; the request just asks the next.
+        // One lost answer doesn't mean that a daemon is unreachable, and counting it as
+        // down would change the slot's home needlessly; the attempt just continues with
+        // the next daemon.
         let until = now + self.timing.down;
         let zone = usize::from(attempt.zone);
         let own = zone == self.zone;
-        if !self.reach.note_silence(attempt.to, zone, own, until) {
+        if !self.reachability.note_timeout(attempt.to, zone, own, until) {
             return self.resume(index, attempt, now);
         }
-        self.skip(index, attempt, now)
+        self.skip_daemon(index, attempt, now)
     }
 
-    /// Spends a token that is here: a granted one, or one of a slot held.
-    fn spend_here(&mut self, index: usize, now: Timestamp) -> bool {
-        self.end_handovers(now);
-        if let Some(used_up) = self.shares[index].pocket.spend(now) {
+    /// Spends a token of this daemon, from a received grant or from a slot that it holds.
+    fn spend_local(&mut self, index: usize, now: Timestamp) -> bool {
+        self.end_due_handovers(now);
+        if let Some(used_up) = self.shares[index].granted.spend(now) {
             if let Some(grant) = used_up {
-                self.settle_spent(index, &grant);
+                self.report_spent(index, &grant);
             }
             return true;
         }
@@ -190,49 +192,50 @@
         false
     }
 
-    /// Goes on without the daemon that was asked.
-    fn skip(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
+    /// Marks the daemon of the last token request as down and continues without it.
+    fn skip_daemon(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
         self.note_down(attempt.to, now);
-        // The next daemon has moved up into the place of the one that is down.
+        // The next daemon now has the position of the one that is down.
         attempt.step = attempt.step.saturating_sub(1);
         self.resume(index, attempt, now)
     }
 
     fn resume(&mut self, index: usize, attempt: Attempt, now: Timestamp) -> Decision {
-        if self.spend_here(index, now) {
+        if self.spend_local(index, now) {
             return Decision::Admitted;
         }
-        self.proceed(index, attempt, now)
+        self.try_holders(index, attempt, now)
     }
 
-    /// Picks the next daemon to ask: first the home of each of the customer's
-    /// slots, then by turns the holders in another zone, who may have tokens on
-    /// their way to nobody, and the homes again, which may have gathered them.
-    fn proceed(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
-        let slots = self.shares[index].part.slots.max(1);
+    /// Selects the next daemon to send a token request to: first the home of each of the
+    /// customer's slots, then alternately the holders in another zone, which may have
+    /// tokens that no home has borrowed, and the homes again, which may have borrowed them
+    /// meanwhile.
+    fn try_holders(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
+        let slots = self.shares[index].parts.slots.max(1);
         let steps = slots.saturating_mul(self.zones as u8 * 2);
-        let in_time = now.since(attempt.started) < MAX_ASKING;
-        while attempt.step < steps && attempt.asks < MAX_ASKS && in_time {
-            let place = (attempt.first + attempt.step % slots) % slots;
+        let in_time = now.since(attempt.started) < MAX_SEARCH_TIME;
+        while attempt.step < steps && attempt.requests_sent < MAX_TOKEN_REQUESTS && in_time {
+            let slot_index = (attempt.first_slot_index + attempt.step % slots) % slots;
             let round = usize::from(attempt.step / slots);
             attempt.step += 1;
-            let known_empty = self.shares[index].empty_until[usize::from(place)] > now;
-            if known_empty || attempt.done & (1 << place) != 0 {
+            let known_empty = self.shares[index].empty_until[usize::from(slot_index)] > now;
+            if known_empty || attempt.exhausted & (1 << slot_index) != 0 {
                 continue;
             }
-            let Some((to, zone, home)) = self.holder_for(attempt.customer, place, round, now)
+            let Some((to, zone, home)) = self.holder_for(attempt.customer, slot_index, round, now)
             else {
                 continue;
             };
-            if to != self.me {
-                attempt.place = place;
+            if to != self.own_id {
+                attempt.slot_index = slot_index;
                 attempt.zone = zone;
-                return self.borrow_from(index, to, home, attempt, now);
+                return self.request_tokens_from(index, to, home, attempt, now);
             }
-            if home && self.gather_for(index, place, now) {
-                attempt.done |= 1 << place;
+            if home && self.borrow_for(index, slot_index, now) {
+                attempt.exhausted |= 1 << slot_index;
             }
-            if home && self.spend_here(index, now) {
+            if home && self.spend_local(index, now) {
                 return Decision::Admitted;
             }
         }
@@ -241,7 +244,7 @@
         }
     }
 
-    fn borrow_from(
+    fn request_tokens_from(
         &mut self,
         index: usize,
         to: DaemonId,
@@ -249,47 +252,51 @@
         mut attempt: Attempt,
         now: Timestamp,
     ) -> Decision {
-        let slot = roster_slot(attempt.customer, attempt.place);
+        let slot = roster_slot(attempt.customer, attempt.slot_index);
         let share = &mut self.shares[index];
         let demand = share.demand.rate_at(now);
-        let ahead = if demand >= AHEAD_DEMAND { demand } else { 0.0 };
-        let spent = match share.spent {
+        let prefetch = if demand >= MIN_PREFETCH_DEMAND {
+            demand
+        } else {
+            0.0
+        };
+        let spent = match share.spent_grant {
             Some((holder, from, grant)) if holder == to && from == slot => Some(grant),
             _ => None,
         };
         if spent.is_some() {
-            share.spent = None;
+            share.spent_grant = None;
         }
-        self.reach
-            .probe(to, usize::from(attempt.zone), now + self.timing.answer);
+        self.reachability
+            .start_probe(to, usize::from(attempt.zone), now + self.timing.answer);
         attempt.to = to;
-        attempt.asked = now;
-        attempt.asks += 1;
+        attempt.sent_at = now;
+        attempt.requests_sent += 1;
         let ask = TokenAsk {
             customer: attempt.customer,
             slot,
-            want: 1 + ahead as u32,
+            want: 1 + prefetch as u32,
             home,
             spent,
         };
         Decision::Borrow { to, ask, attempt }
     }
 
-    /// The holder to turn to in a round, and whether it is the slot's home: the
-    /// first one that is known and not down.
+    /// Returns the holder to send a token request to in a round, its zone, and whether it
+    /// is the slot's home: the first holder in zone order that is known and not down.
     fn holder_for(
         &self,
         customer: CustomerKey,
-        place: u8,
+        slot_index: u8,
         round: usize,
         now: Timestamp,
     ) -> Option<(DaemonId, u8, bool)> {
-        let slot = roster_slot(customer, place);
+        let slot = roster_slot(customer, slot_index);
         let order = zone_order(customer, slot, self.zones as u8);
         let order = &order[..self.zones];
         let holder = |zone: &u8| {
             let daemon = self.holders[usize::from(*zone)][usize::from(slot)]?;
-            let up = self.reach.is_up(daemon, usize::from(*zone), now);
+            let up = self.reachability.is_up(daemon, usize::from(*zone), now);
             up.then_some((daemon, *zone))
         };
         let mut reachable = order.iter().filter_map(holder);
@@ -304,19 +311,19 @@
 
     fn retry_after(&self, index: usize, now: Timestamp) -> Duration {
         let share = &self.shares[index];
-        let slots = usize::from(share.part.slots.max(1));
+        let slots = usize::from(share.parts.slots.max(1));
         let waits = share.empty_until[..slots]
             .iter()
             .filter(|until| **until > now);
-        let first = waits.min().map(|until| until.since(now));
-        let here = share.held.iter().map(|held| held.retry_after(now)).min();
-        first.or(here).unwrap_or(DEFAULT_RETRY)
+        let shortest_wait = waits.min().map(|until| until.since(now));
+        let local_wait = share.held.iter().map(|held| held.retry_after(now)).min();
+        shortest_wait.or(local_wait).unwrap_or(DEFAULT_RETRY_AFTER)
     }
 
-    fn settle_spent(&mut self, index: usize, grant: &PocketGrant) {
+    fn report_spent(&mut self, index: usize, grant: &ReceivedGrant) {
         let share = &mut self.shares[index];
         if !grant.settle {
-            share.spent = Some((grant.holder, grant.slot, grant.grant));
+            share.spent_grant = Some((grant.holder, grant.slot, grant.grant));
             return;
         }
         let settlement = TokenSettlement {
@@ -325,23 +332,23 @@
             grant: grant.grant,
             unspent: 0,
         };
-        self.outgoing.settle(grant.holder, settlement);
+        self.outgoing.settle_grant(grant.holder, settlement);
     }
 
-    /// Returns granted tokens that this daemon won't need before they lapse.
-    pub(super) fn return_grants(&mut self, index: usize, now: Timestamp) {
+    /// Returns to their holders the granted tokens that are about to expire.
+    pub(super) fn return_expiring_grants(&mut self, index: usize, now: Timestamp) {
         let share = &mut self.shares[index];
-        if share.pocket.is_empty() {
+        if share.granted.is_empty() {
             return;
         }
-        while let Some(grant) = share.pocket.remove_lapsing(now + RETURN_AHEAD) {
+        while let Some(grant) = share.granted.remove_expiring(now + RETURN_LEAD_TIME) {
             let settlement = TokenSettlement {
                 customer: share.customer,
                 slot: grant.slot,
                 grant: grant.grant,
                 unspent: grant.count,
             };
-            self.outgoing.settle(grant.holder, settlement);
+            self.outgoing.settle_grant(grant.holder, settlement);
         }
     }
 }
--- a/crates/policy/src/rates/slot_share.rs
+++ b/crates/policy/src/rates/slot_share.rs
@@ -1,4 +1,4 @@
-//! One customer's slot at the daemon that holds it.
+//! The state of one customer's slot at the daemon that holds it.
 
 use std::time::Duration;
 
@@ -6,25 +6,27 @@
 
 use super::{
     DemandMeter, LedgerTiming, Slice, SliceOffer, SliceWant, TokenBucket, Tokens,
-    grant_book::GrantBook,
-    zone_link::{ZoneLink, renewal},
+    grant_tracker::GrantTracker,
+    zone_loan::{ZoneLoan, renewal_time},
 };
 
-/// Failed asks a second that one holder answers without asking for patience.
-const CALM_FAILURES: f64 = 20.0;
+/// The rate of failed token requests per second up to which a holder doesn't raise
+/// `retry_after`.
+const MAX_UNTHROTTLED_FAILURES: f64 = 20.0;
 
-/// Failed asks a second above [`CALM_FAILURES`] that double the time after
-/// which an asker may come back; the time grows with the square, so that
-/// hundreds of daemons that all want more don't drown the holder.
-const PATIENCE_STEP: f64 = 10.0;
+/// Scale of the backoff, in failed token requests per second above
+/// [`MAX_UNTHROTTLED_FAILURES`]: `retry_after` is multiplied by the square of one plus
+/// excess / scale, so that hundreds of daemons that all request more don't overload the
+/// holder.
+const BACKOFF_SCALE: f64 = 10.0;
 
-/// The longest time for which a holder sends askers away.
-const MAX_PATIENCE: Duration = Duration::from_secs(2);
+/// The maximum `retry_after` that a holder sends.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// One in so many of the tokens that are left goes to an asker beyond the one
-/// that it needs at once. Small, so that few tokens lie idle at one daemon while
-/// another runs short.
-const SPARE_PARTS: u32 = 16;
+/// A grant contains at most one part in this many of the remaining tokens, beyond the one
+/// token that the requester needs immediately. The fraction is small so that few tokens
+/// are idle at one daemon while another has none.
+const SPARE_DIVISOR: u32 = 16;
 
 /// A slice that this holder lent.
 #[derive(Clone, Copy, Debug)]
@@ -35,64 +37,73 @@
     until: Timestamp,
 }
 
-/// The holder of the slot in each zone, as far as it is known and answers.
+/// The holder of the slot in each zone, `None` where it is unknown or down.
 pub(super) type ZoneHolders = [Option<DaemonId>; super::MAX_ZONES];
 
-/// A slot's bucket with all that was given from it and borrowed for it.
+/// A slot's bucket with the grants and loans issued from it and the slices borrowed for it.
 #[derive(Clone, Debug)]
 pub(super) struct SlotShare {
     pub(super) slot: u8,
+    /// This holder's own part, without loans and grants.
     base: Slice,
+    /// A part that replaces `base` at the given time.
     next_base: Option<(Timestamp, Slice)>,
     bucket: TokenBucket,
-    grants: GrantBook,
+    grants: GrantTracker,
+    /// Loans to the holders in other zones.
     lent: Vec<LentSlice>,
-    links: Vec<ZoneLink>,
+    /// Loans from the holders in other zones, indexed by zone.
+    zone_loans: Vec<ZoneLoan>,
+    /// The rate at which tokens are spent or granted.
     served: DemandMeter,
+    /// The rate at which token requests find no token.
     failed: DemandMeter,
-    gathers_until: Timestamp,
+    /// Until when this holder acts as the slot's home and borrows slices.
+    borrows_until: Timestamp,
 }
 
 impl SlotShare {
-    /// The tokens in the bucket as last counted, and its capacity.
+    /// Returns the tokens in the bucket as of the last refill, and its capacity.
     pub(super) fn level(&self) -> (Tokens, Tokens) {
         (self.bucket.level(), self.bucket.slice().capacity)
     }
 
-    /// A slot whose part is worth nothing until `from`, and starts empty then.
+    /// Creates a slot whose part is zero until `from` and whose bucket starts empty then.
     ///
-    /// One that counts at once never had another holder since the customer is
-    /// known, so nothing was spent from it and it starts full.
+    /// If `from` has passed, no other daemon has held the slot since the customer became
+    /// known, so no tokens were spent from it and its bucket starts full.
     pub(super) fn new(slot: u8, slice: Slice, from: Timestamp, now: Timestamp) -> Self {
-        let at_once = from <= now;
+        let immediate = from <= now;
         SlotShare {
             slot,
-            base: if at_once { slice } else { Slice::default() },
-            next_base: (!at_once).then_some((from, slice)),
-            bucket: if at_once {
+            base: if immediate { slice } else { Slice::default() },
+            next_base: (!immediate).then_some((from, slice)),
+            bucket: if immediate {
                 TokenBucket::full(slice, now)
             } else {
                 TokenBucket::empty(Slice::default(), now)
             },
-            grants: GrantBook::default(),
+            grants: GrantTracker::default(),
             lent: Vec::new(),
-            links: Vec::new(),
+            zone_loans: Vec::new(),
             served: DemandMeter::default(),
             failed: DemandMeter::default(),
-            gathers_until: Timestamp::ZERO,
+            borrows_until: Timestamp::ZERO,
         }
     }
 
-    /// Applies a new worth: at once, or what is gained only from `raise` on.
+    /// Sets a new base slice. Decreases apply immediately; with `raise_at`, increases apply
+    /// only from then on.
     ///
-    /// What was borrowed is dropped, since its lenders lent by the old worth.
-    pub(super) fn set_base(&mut self, slice: Slice, raise: Option<Timestamp>, now: Timestamp) {
+    /// Borrowed slices are dropped, since their lenders computed them from the old
+    /// settings.
+    pub(super) fn set_base(&mut self, slice: Slice, raise_at: Option<Timestamp>, now: Timestamp) {
         self.advance(now);
-        self.links.clear();
-        match (raise, &mut self.next_base) {
-            (Some(raise), next) => {
+        self.zone_loans.clear();
+        match (raise_at, &mut self.next_base) {
+            (Some(raise_at), next) => {
                 self.base = self.base.min(slice);
-                *next = Some((raise, slice));
+                *next = Some((raise_at, slice));
             }
             (None, Some((_, next))) => {
                 self.base = self.base.min(slice);
@@ -100,38 +111,38 @@
             }
             (None, None) => self.base = slice,
         }
-        self.reshape();
+        self.update_bucket();
     }
 
-    /// Brings the bucket up to `now` and ends what has lapsed.
+    /// Refills the bucket up to `now` and ends expired loans and grants.
     pub(super) fn advance(&mut self, now: Timestamp) {
-        while let Some(end) = self.first_lapse(now) {
-            // Refill counts the borrowed rate up to its end and not beyond,
-            // however late this runs, or the lender's refill would add to it.
-            self.bucket.settle(end);
-            for link in &mut self.links {
-                if link.lapse(end).is_some() {
-                    *link = ZoneLink::Idle;
+        while let Some(end) = self.first_expiry(now) {
+            // The refill includes the borrowed rate only up to the end of the loan,
+            // however late this runs; after that the lender refills at that rate again.
+            self.bucket.refill(end);
+            for zone_loan in &mut self.zone_loans {
+                if zone_loan.expired_at(end).is_some() {
+                    *zone_loan = ZoneLoan::Idle;
                 }
             }
-            self.reshape();
+            self.update_bucket();
         }
         if let Some((from, slice)) = self.next_base
             && from <= now
         {
-            self.bucket.settle(from);
+            self.bucket.refill(from);
             self.base = slice;
             self.next_base = None;
-            self.reshape();
+            self.update_bucket();
         }
-        self.bucket.settle(now);
-        if self.end_given(now) {
-            self.reshape();
+        self.bucket.refill(now);
+        if self.remove_expired(now) {
+            self.update_bucket();
         }
     }
 
-    /// Takes one token for a request of this daemon's own. The bucket must have
-    /// been advanced.
+    /// Takes one token for a request that arrived at this daemon. The caller must have
+    /// called [`SlotShare::advance`] first.
     pub(super) fn spend(&mut self, now: Timestamp) -> bool {
         let spent = self.bucket.take(Tokens::ONE);
         if spent {
@@ -140,7 +151,8 @@
         spent
     }
 
-    /// Grants up to `want` whole tokens to an asker.
+    /// Grants up to `want` whole tokens to a requesting daemon and returns their number,
+    /// or `None` if the bucket holds no whole token.
     pub(super) fn grant(
         &mut self,
         want: u32,
@@ -153,126 +165,133 @@
             self.failed.note(1, now);
             return None;
         }
-        let spare = level.divided(SPARE_PARTS).count();
+        let spare = level.divided(SPARE_DIVISOR).count();
         let count = 1 + want.saturating_sub(1).min(spare).min(level.count() - 1);
         self.bucket.take(Tokens::whole(count));
-        self.grants.add(id, count, now + timing.grant_hold(count));
+        self.grants
+            .add(id, count, now + timing.grant_hold_duration(count));
         self.served.note(count, now);
-        self.reshape();
+        self.update_bucket();
         Some(count)
     }
 
-    /// Whether the room taken by unspent grants is scarce.
-    pub(super) fn wants_settlement(&self) -> bool {
-        self.grants.room() > self.bucket.slice().capacity.divided(4)
+    /// Whether open grants reserve so much capacity that they should be settled early.
+    pub(super) fn needs_settlement(&self) -> bool {
+        self.grants.reserved() > self.bucket.slice().capacity.divided(4)
     }
 
-    /// Frees the room of a grant and takes its unspent tokens back. Unknown
-    /// grants are ignored: they lapsed, or were settled by an earlier message.
+    /// Frees the capacity reserved for a grant and puts its unspent tokens back. Unknown
+    /// grants are ignored: they expired, or an earlier message settled them.
     pub(super) fn settle_grant(&mut self, id: u64, unspent: u32) {
-        let Some(room) = self.grants.settle(id) else {
+        let Some(reserved) = self.grants.settle(id) else {
             return;
         };
-        self.reshape();
-        self.bucket.put(Tokens::whole(unspent).min(room));
+        self.update_bucket();
+        self.bucket.add(Tokens::whole(unspent).min(reserved));
     }
 
-    /// Lends all that is there to `borrower`, or renews its loan.
+    /// Lends the whole available slice to `borrower`, or renews its loan. Returns the total
+    /// slice lent and the tokens that move with it.
     ///
-    /// Two daemons may both take themselves for the home, after a cut has healed
-    /// for one. The one whose zone comes later `yields` and stops gathering; the
-    /// other lends nothing, or slices would pass to and fro.
+    /// Two daemons may both act as the slot's home after a network partition has ended for
+    /// only one of them. With `borrower_precedes`, the borrower's zone is earlier in the
+    /// slot's order, so this holder stops borrowing and lends. Otherwise it lends nothing
+    /// while it borrows itself, or slices would move back and forth.
     pub(super) fn lend(
         &mut self,
         borrower: DaemonId,
         want: &SliceWant,
-        yields: bool,
+        borrower_precedes: bool,
         now: Timestamp,
         timing: &LedgerTiming,
     ) -> (Slice, Tokens) {
         let nothing = (Slice::default(), Tokens::ZERO);
-        if self.gathers_until > now && !yields {
+        if self.borrows_until > now && !borrower_precedes {
             return nothing;
         }
-        self.retire(now);
+        self.stop_borrowing(now);
         let lent = self.lent.iter();
         let own = lent.fold(self.base, |left, lent| left.minus(lent.slice));
-        let there = self.bucket.slice();
-        let more = there.min(own);
-        let tokens = self.bucket.level().scaled(more.capacity, there.capacity);
-        let until = now + timing.slice_hold();
+        let available = self.bucket.slice();
+        let additional = available.min(own);
+        let tokens = self
+            .bucket
+            .level()
+            .scaled(additional.capacity, available.capacity);
+        let until = now + timing.slice_hold_duration();
         let position = self.lent.iter().position(|lent| lent.borrower == borrower);
         let others = self.lent.iter().filter(|lent| lent.borrower != borrower);
-        let most = others.fold(self.base, |left, lent| left.minus(lent.slice));
+        let limit = others.fold(self.base, |left, lent| left.minus(lent.slice));
         let slice = match position {
-            // An ask that was overtaken by a newer one must not end the newer
-            // loan, which the borrower holds.
+            // A request that arrives after a newer one must not end the newer loan,
+            // which the borrower holds.
             Some(position) if self.lent[position].loan > want.loan => return nothing,
             Some(position) => {
                 let lent = &mut self.lent[position];
-                let grown = lent.slice.plus(more);
-                // The part was lowered since. A renewal would keep the old worth
-                // alive; under a new number the borrower holds nothing yet.
-                if grown != grown.min(most) && lent.loan == want.loan {
+                let grown = lent.slice.plus(additional);
+                // This holder's part was reduced since the loan. A renewal would keep
+                // the old amount in use; under a new loan number the borrower holds
+                // nothing yet, so it gets the reduced slice.
+                if grown != grown.min(limit) && lent.loan == want.loan {
                     return nothing;
                 }
                 lent.loan = want.loan;
-                lent.slice = grown.min(most);
+                lent.slice = grown.min(limit);
                 lent.until = until;
                 lent.slice
             }
-            None if more == Slice::default() => return nothing,
+            None if additional == Slice::default() => return nothing,
             None => {
                 let loan = want.loan;
-                let slice = more;
+                let slice = additional;
                 self.lent.push(LentSlice {
                     borrower,
                     loan,
                     slice,
                     until,
                 });
-                more
+                additional
             }
         };
         self.bucket.take(tokens);
-        self.reshape();
+        self.update_bucket();
         (slice, tokens)
     }
 
-    /// Takes back a slice that its borrower no longer uses.
-    pub(super) fn take_back(&mut self, borrower: DaemonId, loan: u64, tokens: Tokens) {
+    /// Ends a loan whose borrower has returned it, and puts its tokens back.
+    pub(super) fn end_loan(&mut self, borrower: DaemonId, loan: u64, tokens: Tokens) {
         let matches = |lent: &LentSlice| lent.borrower == borrower && lent.loan == loan;
         let Some(position) = self.lent.iter().position(matches) else {
             return;
         };
         self.lent.swap_remove(position);
-        self.reshape();
-        self.bucket.put(tokens);
+        self.update_bucket();
+        self.bucket.add(tokens);
     }
 
-    /// Takes over the slice that `zone` offers, if it was asked for and the
-    /// right would not already have ended.
-    pub(super) fn take_offer(
+    /// Adds the slice that `zone` offers, if it was requested and the loan hasn't already
+    /// expired.
+    pub(super) fn accept_offer(
         &mut self,
         zone: usize,
         offer: &SliceOffer,
         now: Timestamp,
         timing: &LedgerTiming,
     ) {
-        let Some(link) = self.links.get(zone).copied() else {
+        let Some(zone_loan) = self.zone_loans.get(zone).copied() else {
             return;
         };
         let end = SliceWant::sent_at(offer.sent) + timing.slice;
         let empty = offer.slice == Slice::default();
-        let (slice, until) = match link {
-            ZoneLink::Asked { loan, .. } if loan == offer.loan => {
+        let (slice, until) = match zone_loan {
+            ZoneLoan::Requested { loan, .. } if loan == offer.loan => {
                 if empty || end <= now {
-                    self.links[zone] = ZoneLink::refused(now);
+                    self.zone_loans[zone] = ZoneLoan::refused(now);
                     return;
                 }
                 (offer.slice, end)
             }
-            ZoneLink::Borrowed {
+            ZoneLoan::Borrowed {
                 loan, slice, until, ..
             } if loan == offer.loan && until > now => (slice.max(offer.slice), until.max(end)),
             _ => return,
@@ -280,139 +299,153 @@
         if empty || end <= now {
             return;
         }
-        self.links[zone] = ZoneLink::Borrowed {
+        self.zone_loans[zone] = ZoneLoan::Borrowed {
             loan: offer.loan,
             slice,
             until,
-            renew: renewal(until, timing),
+            renew_at: renewal_time(until, timing),
         };
-        self.reshape();
-        self.bucket.put(offer.tokens);
+        self.update_bucket();
+        self.bucket.add(offer.tokens);
     }
 
-    /// Notes that an asker takes this holder for the slot's home.
-    pub(super) fn be_home(&mut self, now: Timestamp, timing: &LedgerTiming) {
-        self.gathers_until = self.gathers_until.max(now + 2 * timing.slice);
+    /// Records that a daemon uses this holder as the slot's home.
+    pub(super) fn mark_home(&mut self, now: Timestamp, timing: &LedgerTiming) {
+        self.borrows_until = self.borrows_until.max(now + 2 * timing.slice);
     }
 
-    /// Asks the other zones for their slices where they are needed, renews
-    /// those that are, and reports whether nothing more can be had.
-    pub(super) fn gather(
+    /// Requests slices from the other zones if this slot needs more, and returns whether
+    /// every zone has either lent its slice or refused. `request_loan` queues one request and
+    /// returns its loan number.
+    pub(super) fn borrow_slices(
         &mut self,
         holders: &ZoneHolders,
         now: Timestamp,
         timing: &LedgerTiming,
-        mut ask: impl FnMut(DaemonId) -> u64,
+        mut request_loan: impl FnMut(DaemonId) -> u64,
     ) -> bool {
         let needed = self.needs_more(now);
-        if self.links.is_empty() {
+        if self.zone_loans.is_empty() {
             if !needed {
                 return false;
             }
-            self.links.resize(holders.len(), ZoneLink::Idle);
+            self.zone_loans.resize(holders.len(), ZoneLoan::Idle);
         }
         let mut complete = true;
-        for (link, holder) in self.links.iter_mut().zip(holders) {
-            link.end_wait(now);
+        for (zone_loan, holder) in self.zone_loans.iter_mut().zip(holders) {
+            zone_loan.end_waits(now);
             let Some(holder) = *holder else {
                 continue;
             };
-            match link {
-                ZoneLink::Idle if needed => {
-                    let loan = ask(holder);
+            match zone_loan {
+                ZoneLoan::Idle if needed => {
+                    let loan = request_loan(holder);
                     let until = now + timing.answer;
-                    *link = ZoneLink::Asked { loan, until };
+                    *zone_loan = ZoneLoan::Requested { loan, until };
                     complete = false;
                 }
-                ZoneLink::Idle | ZoneLink::Asked { .. } => complete = false,
-                ZoneLink::Refused { .. } | ZoneLink::Borrowed { .. } => {}
+                ZoneLoan::Idle | ZoneLoan::Requested { .. } => complete = false,
+                ZoneLoan::Refused { .. } | ZoneLoan::Borrowed { .. } => {}
             }
         }
         complete
     }
 
-    /// Renews the loans that are due, or returns them if they are no longer
-    /// needed and what is left covers all grants.
+    /// Renews the loans that are due, or returns those that are no longer needed, provided
+    /// that the bucket's remaining slice covers them.
     pub(super) fn renew(
         &mut self,
         now: Timestamp,
         timing: &LedgerTiming,
-        mut send: impl FnMut(usize, LoanStep),
+        mut send: impl FnMut(usize, LoanAction),
     ) {
-        // A home that others no longer turn to keeps the next one from gathering.
-        let retired = self.gathers_until <= now;
-        let done = retired || self.is_idle(now);
-        for zone in 0..self.links.len() {
-            let ZoneLink::Borrowed {
-                loan, slice, renew, ..
-            } = &mut self.links[zone]
+        // Loans at a holder that other daemons no longer use as the slot's home would
+        // keep the new home from borrowing.
+        let is_former_home = self.borrows_until <= now;
+        let is_unneeded = is_former_home || self.is_idle(now);
+        for zone in 0..self.zone_loans.len() {
+            let ZoneLoan::Borrowed {
+                loan,
+                slice,
+                renew_at,
+                ..
+            } = &mut self.zone_loans[zone]
             else {
                 continue;
             };
-            if *renew > now {
+            if *renew_at > now {
                 continue;
             }
             let (loan, slice) = (*loan, *slice);
-            let left = self.bucket.slice();
-            if done && left.capacity >= slice.capacity && left.rate >= slice.rate {
-                let tokens = self.bucket.level().scaled(slice.capacity, left.capacity);
+            let remaining = self.bucket.slice();
+            if is_unneeded && remaining.capacity >= slice.capacity && remaining.rate >= slice.rate {
+                let tokens = self
+                    .bucket
+                    .level()
+                    .scaled(slice.capacity, remaining.capacity);
                 self.bucket.take(tokens);
-                self.links[zone] = ZoneLink::Idle;
-                self.reshape();
-                send(zone, LoanStep::Return { loan, tokens });
+                self.zone_loans[zone] = ZoneLoan::Idle;
+                self.update_bucket();
+                send(zone, LoanAction::Return { loan, tokens });
                 continue;
             }
-            *renew = now + timing.answer;
-            if retired {
-                // It lapses by itself if grants stand against it.
+            *renew_at = now + timing.answer;
+            if is_former_home {
+                // The grants issued from the loan still reserve its capacity, so it is
+                // left to expire.
                 continue;
             }
-            send(zone, LoanStep::Renew { loan });
+            send(zone, LoanAction::Renew { loan });
         }
     }
 
-    /// When an asker that got nothing may come back.
+    /// Returns how long a daemon that got no token should wait before its next request.
     pub(super) fn retry_after(&self, now: Timestamp) -> Duration {
-        let excess = (self.failed.rate_at(now) - CALM_FAILURES).max(0.0);
-        let patience = (1.0 + excess / PATIENCE_STEP).powi(2);
-        let token = self.bucket.next_token().unwrap_or(MAX_PATIENCE);
+        let excess = (self.failed.rate_at(now) - MAX_UNTHROTTLED_FAILURES).max(0.0);
+        let backoff = (1.0 + excess / BACKOFF_SCALE).powi(2);
+        let token = self.bucket.next_token().unwrap_or(MAX_RETRY_AFTER);
         let micros = Duration::from_micros(1);
-        (token.min(MAX_PATIENCE).mul_f64(patience) + micros).min(MAX_PATIENCE)
+        (token.min(MAX_RETRY_AFTER).mul_f64(backoff) + micros).min(MAX_RETRY_AFTER)
     }
 
-    fn first_lapse(&self, now: Timestamp) -> Option<Timestamp> {
-        let lapses = self.links.iter().filter_map(|link| link.lapse(now));
-        lapses.min()
+    fn first_expiry(&self, now: Timestamp) -> Option<Timestamp> {
+        let expiries = self
+            .zone_loans
+            .iter()
+            .filter_map(|zone_loan| zone_loan.expired_at(now));
+        expiries.min()
     }
 
-    /// Ends grants, loans and waits whose time is over. Late is harmless here.
-    fn end_given(&mut self, now: Timestamp) -> bool {
-        let mut changed = self.grants.end(now);
+    /// Ends expired grants and expired loans to other daemons, and returns whether there
+    /// were any. Ending them late is safe: until then this holder spends less.
+    fn remove_expired(&mut self, now: Timestamp) -> bool {
+        let mut changed = self.grants.remove_ended(now);
         let lent = self.lent.len();
         self.lent.retain(|lent| lent.until > now);
         changed |= lent != self.lent.len();
         changed
     }
 
-    /// Fits the bucket to what is held: own and borrowed, less lent and granted.
-    fn reshape(&mut self) {
+    /// Sets the bucket's slice: the base and borrowed slices, less the lent slices and the
+    /// capacity reserved for grants.
+    fn update_bucket(&mut self) {
         let mut held = self.base;
-        for link in &self.links {
-            held = held.plus(link.slice());
+        for zone_loan in &self.zone_loans {
+            held = held.plus(zone_loan.slice());
         }
         for lent in &self.lent {
             held = held.minus(lent.slice);
         }
-        held.capacity -= self.grants.room();
-        self.bucket.reshape(held);
+        held.capacity -= self.grants.reserved();
+        self.bucket.set_slice(held);
     }
 
-    /// Stops gathering, and returns what was gathered with the next tick.
-    fn retire(&mut self, now: Timestamp) {
-        self.gathers_until = self.gathers_until.min(now);
-        for link in &mut self.links {
-            if let ZoneLink::Borrowed { renew, .. } = link {
-                *renew = now;
+    /// Stops borrowing, and makes all loans due, so that the next tick returns them.
+    fn stop_borrowing(&mut self, now: Timestamp) {
+        self.borrows_until = self.borrows_until.min(now);
+        for zone_loan in &mut self.zone_loans {
+            if let ZoneLoan::Borrowed { renew_at, .. } = zone_loan {
+                *renew_at = now;
             }
         }
     }
@@ -429,19 +462,19 @@
     }
 }
 
-/// What is to be done with a loan whose renewal is due.
+/// The action for a loan whose renewal is due.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum LoanStep {
-    /// Ask the lender for more time.
+pub(super) enum LoanAction {
+    /// Request an extension from the lender.
     Renew {
-        /// The loan.
+        /// The borrower's number for the loan.
         loan: u64,
     },
-    /// Return it.
+    /// Return the slice to the lender.
     Return {
-        /// The loan.
+        /// The borrower's number for the loan.
         loan: u64,
-        /// Tokens that go back.
+        /// The tokens to transfer back.
         tokens: Tokens,
     },
 }
