--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -1,15 +1,16 @@
-//! Who follows the operators' settings, whose word counts, and how old a view is.
+//! How daemons keep their views (local copies) of the operators' settings up to date.
 //!
-//! The platform counts a waiting watch as a read and grows more slowly than the
-//! fleet, so in each zone only two daemons follow it. [`WatchPlan`] finds them
-//! without talking: every daemon ranks the members of its zone by the same
-//! score. The others ask these two, and step in by rank when the view they get
-//! grows old. See `docs/FRESHNESS.md`.
+//! The platform charges each waiting watch as a read and scales more slowly than the
+//! fleet, so only two daemons of each zone follow it. [`WatchPlan`] elects them without
+//! coordination: every daemon ranks the members of its zone by the same score. The
+//! other daemons request the settings from these two, and start to follow the platform,
+//! in order of rank, when their view becomes old. See `docs/FRESHNESS.md`.
 //!
-//! On the users' platform one daemon of each zone watches. [`ViewLag`] tells how long
-//! a view has been behind and who stands in, [`ShowBudget`] how many are shown a large
-//! view at once, and [`PassedSources`] whom not to ask for a while. [`StoreContact`] tells
-//! which calls that wait for a change may have been lost.
+//! On the users' platform one daemon of each zone watches the store. [`ViewLag`]
+//! measures for how long a view has been behind and how many daemons query the store as
+//! substitutes, [`ShowBudget`] limits how many peers are sent a large view at once, and
+//! [`PassedSources`] lists peers that temporarily get no requests. [`StoreContact`]
+//! detects which calls that wait for a change may have been lost.
 
 mod fleet_member;
 mod freshness_settings;
--- a/crates/policy/src/freshness/freshness_settings.rs
+++ b/crates/policy/src/freshness/freshness_settings.rs
@@ -1,29 +1,31 @@
-//! The bounds of the plan.
+//! The intervals, timeouts and limits of the watch plan.
 
 use std::time::Duration;
 
-/// The bounds of the plan.
+/// The intervals, timeouts and limits of [`WatchPlan`](super::WatchPlan).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessSettings {
-    /// How many daemons of a zone follow the platform while all is well.
+    /// The number of daemons per zone that follow the platform in normal operation.
     pub watchers: usize,
-    /// Up to which age a view counts as fresh. It must exceed the intervals of
-    /// checks and asks together, or daemons would step in without need.
+    /// The age up to which a view counts as fresh. It must exceed the sum of the
+    /// intervals of checks and requests, or daemons would start to follow the platform
+    /// unnecessarily.
     pub fresh_within: Duration,
-    /// How often a daemon that doesn't follow the platform asks one that does.
+    /// The interval at which a daemon that doesn't follow the platform requests the
+    /// view from one that does.
     pub ask_interval: Duration,
-    /// How often a daemon without any view asks.
+    /// The interval between the requests of a daemon that has no view yet.
     pub first_ask_interval: Duration,
-    /// How long a daemon that gave no answer is passed over.
+    /// How long a daemon that didn't answer is skipped.
     pub avoid_for: Duration,
-    /// How long a daemon whose view was old is asked after the others.
+    /// How long a daemon that offered an old view ranks behind the others as a source.
     pub postpone_for: Duration,
-    /// Up to which age of the own view old answers are followed by an ask of
-    /// somebody else at once. Later there is an outage, and asking faster than
-    /// usual would only load those who can't help.
+    /// The age of the own view up to which an outdated answer is followed by an early
+    /// request to another daemon. A greater age means an outage, in which requests
+    /// above the normal rate would only load daemons that have nothing newer.
     pub hurry_within: Duration,
-    /// From how many others a daemon that gets no fresh view wants to hear
-    /// before it takes the newest it was given for good enough to serve with.
+    /// The number of other daemons that must have answered before a daemon that finds
+    /// no fresh view serves with the newest one it received.
     pub enough_answers: usize,
 }
 
--- a/crates/policy/src/freshness/passed_sources.rs
+++ b/crates/policy/src/freshness/passed_sources.rs
@@ -1,4 +1,4 @@
-//! Daemons that aren't asked for a view for a while.
+//! Peers that temporarily get no requests for a view.
 
 use std::time::Duration;
 
@@ -6,17 +6,19 @@
 
 use crate::Timestamp;
 
-/// A daemon that gave no answer in time isn't asked again for so long.
+/// How long a peer that didn't answer in time gets no further request.
 const SILENT_SPAN: Duration = Duration::from_millis(2_000);
-/// One that shows its view to others just now isn't asked again for a moment, drawn
-/// from up to this span: all who were turned away would else come back together.
+/// The upper limit of the random delay before the next request to a peer that is busy
+/// with sending its view. Without the jitter, all rejected daemons would return
+/// together.
 const BUSY_SPAN: Duration = Duration::from_millis(300);
 
-/// Daemons that aren't asked for a view for a while.
+/// Peers that temporarily get no requests for a view.
 ///
-/// The only daemon of a zone that is ahead may be heard and yet answer nothing: its
-/// process hangs, or its connection is full. Asked again and again, in place of those
-/// of other zones, it would leave its zone with old settings for as long as that lasts.
+/// The only up-to-date daemon of a zone may send heartbeats and still answer no
+/// requests, because its process hangs or its connection is congested. If it were asked
+/// again and again instead of daemons of other zones, its zone would keep old settings
+/// for as long as the fault lasts.
 #[derive(Clone, Debug)]
 pub struct PassedSources<T> {
     passed: Vec<(T, Timestamp)>,
@@ -29,17 +31,17 @@
 }
 
 impl<T: Copy + PartialEq> PassedSources<T> {
-    /// Whether a daemon is passed over.
+    /// Returns whether a peer is to be skipped at present.
     pub fn is_passed(&self, source: T, now: Timestamp) -> bool {
         self.passed.iter().any(|it| it.0 == source && it.1 > now)
     }
 
-    /// Notes that a daemon gave no answer.
+    /// Records that a peer didn't answer.
     pub fn note_silent(&mut self, source: T, now: Timestamp) {
         self.pass(source, now + SILENT_SPAN, now);
     }
 
-    /// Notes that a daemon is busy.
+    /// Records that a peer rejected a request because it is busy.
     pub fn note_busy(&mut self, source: T, now: Timestamp, random: &mut impl Rng) {
         let span = BUSY_SPAN.mul_f64(random.random_range(0.3..1.0));
         self.pass(source, now + span, now);
--- a/crates/policy/src/freshness/show_budget.rs
+++ b/crates/policy/src/freshness/show_budget.rs
@@ -1,33 +1,35 @@
-//! How many daemons a daemon shows a large view at once.
+//! The limit on the rate at which a daemon sends large views to its peers.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// Views up to this length are shown to whoever asks. A directory of some hundred
-/// servers must not wait until the settings have been sent around.
+/// The size in bytes up to which a view is always sent. A directory of a few hundred
+/// servers must not wait until the settings have been distributed.
 const SMALL_VIEW: usize = 32 << 10;
-/// Large views leave at no more than this many bytes a second: half of what a small
-/// VM's connection carries (30 Mbit/s), as callers need the rest.
+/// The maximum rate of sent large views in bytes per second: half of the bandwidth of a
+/// small VM (30 Mbit/s), since callers need the rest.
 const BYTES_PER_S: usize = 1_900_000;
-/// A view isn't shown while those shown before would keep the connection busy for
-/// longer than this.
+/// No further large view is sent while those already admitted keep the connection busy
+/// for longer than this.
 const LONGEST_BACKLOG: Duration = Duration::from_millis(200);
 
-/// Whether a large view may be shown now.
+/// Decides whether a large view may be sent now.
 ///
-/// After a change all daemons of a zone ask the one that has it. Shown to all of them
-/// at once, settings with thousands of routes arrive at none in time: each asker gives
-/// up with a part of it, and asks again together with the others. One notices by asks
-/// without an answer that never end, while the daemon asked is well and up to date.
-/// A few at a time arrive whole, and each of these is a source for others.
+/// After a change all daemons of a zone request the view from the one that has it. If
+/// it were sent to all of them at once, settings with thousands of routes would reach
+/// none of them in time: each requester gives up after a part of the transfer and
+/// retries together with the others. The symptom is an endless series of unanswered
+/// requests while the serving daemon is healthy and up to date. Sent to a few peers at
+/// a time, the view arrives complete, and each of them becomes a source for others.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ShowBudget {
     busy_until: Timestamp,
 }
 
 impl ShowBudget {
-    /// Whether a view of `bytes` bytes may be shown; if so, it counts as being sent.
+    /// Returns whether a view of `bytes` bytes may be sent; if so, it is charged to the
+    /// budget.
     pub fn admits(&mut self, bytes: usize, now: Timestamp) -> bool {
         if bytes <= SMALL_VIEW {
             return true;
--- a/crates/policy/src/freshness/store_contact.rs
+++ b/crates/policy/src/freshness/store_contact.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers, and which waiting calls that puts in doubt.
+//! Detection of whether the store answers and which waiting calls may have been lost.
 
 use std::time::Duration;
 
@@ -6,73 +6,75 @@
 
 use crate::Timestamp;
 
-/// A probe is sent when no call was answered for so long at most. A silence that lasts
-/// longer is noticed in any case.
+/// The maximum time without an answered call before a probe is sent. Any silence that
+/// lasts longer is detected.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How long a probe may take before it counts as lost: at least and at most so long, and
-/// this many times what the last answer took. Were each answer of a slow store too late,
-/// its watches would be asked anew before they are answered.
+/// Bounds of the probe timeout, and its multiple of the latency of the last answer. If
+/// every answer of a slow store exceeded the timeout, its watches would be reissued
+/// before they are answered.
 const SHORTEST_TIMEOUT: Duration = Duration::from_millis(600);
 const LONGEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 const TIMEOUT_ANSWERS: u32 = 3;
-/// A probe follows a call that waits after so long, since several calls often begin
-/// together, but not sooner than so long after the probe before: a directory that changes
-/// all the time would cost more in probes than in watches.
+/// A probe is sent this long after a call that waits for a change, since several calls
+/// often begin together, but not earlier than `SHORTEST_PAUSE` after the previous
+/// probe: otherwise a directory that changes constantly would cost more probes than
+/// watches.
 const PROOF_LAG: Duration = Duration::from_millis(50);
 const SHORTEST_PAUSE: Duration = Duration::from_millis(500);
 
-/// Whether the store answers, and which waiting calls that puts in doubt.
+/// Tracks whether the store answers and which waiting calls may have been lost.
 ///
-/// A call that waits for a change looks the same whether there is none or its answer will
-/// never come: after a silence of the store it may hang until its own timeout. Other
-/// calls tell the two apart. One that got no answer puts every call in doubt that waits
-/// by then; as soon as the store answers anything, these are asked anew
-/// (docs/PLATFORM.md).
+/// A call that waits for a change looks the same whether there is no change or its
+/// answer has been lost: after a silence of the store it may hang until its own
+/// timeout. Other calls distinguish the two cases. When one of them gets no answer,
+/// every call that is waiting at that time becomes unconfirmed; as soon as the store
+/// answers anything, the unconfirmed calls are reissued (docs/PLATFORM.md).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreContact {
-    /// When the newest of the calls that were answered was asked.
+    /// The send time of the most recently sent call that has been answered.
     answered: Option<Timestamp>,
-    /// When the newest call was asked that waits for a change.
+    /// The send time of the newest call that waits for a change.
     waiting: Option<Timestamp>,
-    /// When the last probe was asked.
+    /// The send time of the last probe.
     probed: Option<Timestamp>,
-    /// The pause before the next probe while the store answers.
+    /// The delay before the next probe while the store answers.
     pause: Duration,
-    /// How long the last answer took.
+    /// The latency of the last answer.
     answer_span: Duration,
-    /// Since when the store is known to be silent.
+    /// The time at which the store was found to be silent, while it is.
     silent_since: Option<Timestamp>,
-    /// When the last silence ended. Calls that were asked before are in doubt.
+    /// The end of the last silence. Calls that were sent before are unconfirmed.
     regained_at: Option<Timestamp>,
 }
 
 impl StoreContact {
-    /// How long a probe may take before it counts as lost.
+    /// Returns the time after which an unanswered probe counts as lost.
     pub fn probe_timeout(&self) -> Duration {
         (self.answer_span * TIMEOUT_ANSWERS).clamp(SHORTEST_TIMEOUT, LONGEST_TIMEOUT)
     }
 
-    /// Notes that a call is asked that waits for a change.
+    /// Records that a call that waits for a change is sent.
     pub fn note_waiting(&mut self, now: Timestamp) {
         self.waiting = Some(now);
     }
 
-    /// Notes that a probe is asked, and draws the pause before the next one. Daemons ask
-    /// for the next change together, after each change; were they to probe together as
-    /// well, a short silence would go unnoticed by all.
+    /// Records that a probe is sent, and draws the delay before the next one. Daemons
+    /// reissue their watches at the same time, after each change; if they also sent
+    /// their probes at the same time, none of them would detect a short silence.
     pub fn note_probe(&mut self, random: &mut impl Rng, now: Timestamp) {
         self.probed = Some(now);
         self.pause = PROBE_INTERVAL.mul_f64(random.random_range(0.5..1.0));
     }
 
-    /// Notes that a call was answered that doesn't wait for anything. Returns whether a silence ends with it.
+    /// Records the answer to a call that doesn't wait for a change. Returns whether it
+    /// ends a silence.
     pub fn note_answer(&mut self, asked: Timestamp, now: Timestamp) -> bool {
         self.answer_span = now.since(asked);
         self.note_news(asked, now)
     }
 
-    /// Notes that a call was answered that had waited for a change. Returns whether a
-    /// silence ends with it.
+    /// Records the answer to a call that waited for a change. Returns whether it ends a
+    /// silence.
     pub fn note_news(&mut self, asked: Timestamp, now: Timestamp) -> bool {
         self.answered = self.answered.max(Some(asked));
         let is_regained = self.silent_since.take().is_some();
@@ -82,9 +84,9 @@
         is_regained
     }
 
-    /// Notes that a call got no answer. Where one that was asked later has got its answer,
-    /// only this call was lost, as writes are now and then. Returns whether the store is
-    /// known to be silent from now on.
+    /// Records that a call got no answer. If a call that was sent later has been
+    /// answered, only this call was lost, which happens to writes occasionally. Returns
+    /// whether the store counts as silent from now on.
     pub fn note_lost_call(&mut self, asked: Timestamp, now: Timestamp) -> bool {
         let is_silence = self.answered < Some(asked);
         if is_silence {
@@ -93,8 +95,9 @@
         is_silence
     }
 
-    /// Notes that a probe got no answer: the store was silent when it was asked, whatever
-    /// was answered since. Returns whether the store is known to be silent from now on.
+    /// Records that a probe got no answer: the store was silent when the probe was
+    /// sent, whatever was answered since. Returns whether the store counts as silent
+    /// from now on.
     pub fn note_lost_probe(&mut self, asked: Timestamp, now: Timestamp) -> bool {
         let is_silence = self.note_lost_call(asked, now);
         if !is_silence {
@@ -103,26 +106,27 @@
         is_silence
     }
 
-    /// Since when the store is known to be silent.
+    /// Returns since when the store has been known to be silent, if it is.
     pub fn silent_since(&self) -> Option<Timestamp> {
         self.silent_since
     }
 
-    /// How long ago the newest call was asked that was answered.
+    /// Returns how long ago the newest answered call was sent.
     pub fn answered_ago(&self, now: Timestamp) -> Option<Duration> {
         self.answered.map(|it| now.since(it))
     }
 
-    /// Whether a call that was asked then and waits still may never be answered, and is
-    /// to be asked anew.
+    /// Returns whether a call that was sent at `asked` and still waits may never be
+    /// answered, so that it has to be reissued.
     pub fn is_doubtful(&self, asked: Timestamp) -> bool {
         self.regained_at.is_some_and(|it| asked <= it)
     }
 
-    /// When the next probe is due; nothing where none is.
+    /// Returns when the next probe is due, if one is needed.
     ///
-    /// One daemon of each zone is `lead` and probes the store while it answers; the others
-    /// hear from it what they have missed. In a silence that concerns them all do.
+    /// While the store answers, only one daemon of each zone (`is_lead`) sends probes;
+    /// the others receive from it what they have missed. During a silence that affects
+    /// all of them, all do.
     pub fn next_probe(&self, is_lead: bool) -> Option<Timestamp> {
         let lost_at = self.probed.map(|it| it + self.probe_timeout());
         if self.silent_since.is_some() {
--- a/crates/policy/src/freshness/view_offer.rs
+++ b/crates/policy/src/freshness/view_offer.rs
@@ -1,30 +1,30 @@
-//! What a daemon tells another about its view.
+//! What daemons report to each other about their views.
 
 use std::time::Duration;
 
-/// The head of an answer from another daemon.
+/// The header of a peer's answer to a request for its view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewOffer {
-    /// The answer holds all changes after this revision; 0 for a whole view.
+    /// The answer contains all changes after this revision; 0 for a complete view.
     pub base: i64,
-    /// The revision up to which the view has seen everything.
+    /// The revision up to which the view contains all changes.
     pub revision: i64,
-    /// How old the view was when the answer was given.
+    /// The age of the view when the answer was sent.
     pub age: Duration,
-    /// Whether the daemon has it from the platform itself. Daemons that have
-    /// their views from each other would otherwise take this for a sign that
-    /// somebody still follows the platform, and in the end nobody would.
+    /// Whether the daemon received the view from the platform itself. Without this
+    /// flag, daemons that pass views on to each other would take them as evidence that
+    /// some daemon still follows the platform, and eventually none would.
     pub direct: bool,
 }
 
-/// What to do with an offer.
+/// What to do with an offered view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferVerdict {
-    /// Apply its changes: they lead from the own view to the offered one.
+    /// Apply its changes, which lead from the own revision to the offered one.
     Take,
-    /// Changes between the own view and the offered ones are missing: ask for
-    /// the whole view.
+    /// Changes between the own view and the offered ones are missing: request the
+    /// complete view.
     Gap,
-    /// The offered view is older than the own one: leave it.
+    /// Ignore the offered view, which is older than the own one.
     Behind,
 }
--- a/crates/policy/src/freshness/watch_plan.rs
+++ b/crates/policy/src/freshness/watch_plan.rs
@@ -1,4 +1,5 @@
-//! One daemon's part in following the settings.
+//! A daemon's part in following the settings: when to watch the platform and which
+//! peers to query.
 
 use std::time::Duration;
 
@@ -7,42 +8,43 @@
 use super::{FleetMember, FreshnessSettings, OfferVerdict, ViewAge, ViewOffer};
 use crate::{DaemonId, Timestamp};
 
-/// A member that gave no answer, or none of use.
+/// A member that didn't answer, or offered nothing useful.
 #[derive(Clone, Copy, Debug)]
 struct PassedMember {
     id: DaemonId,
     until: Timestamp,
 }
 
-/// Whether to follow the platform, whom to ask, and what to make of answers.
+/// Decides whether to follow the platform, which peer to query, and how to treat the
+/// answers.
 ///
-/// The revision never goes back, whoever offers what.
+/// The revision of the view never decreases.
 #[derive(Clone, Debug)]
 pub struct WatchPlan {
     settings: FreshnessSettings,
     own_score: u64,
     /// The other members of the zone, highest score first.
     zone: Vec<FleetMember>,
-    /// Daemons of other zones.
+    /// The daemons of other zones.
     beyond: Vec<DaemonId>,
     avoided: Vec<PassedMember>,
     postponed: Vec<PassedMember>,
     revision: i64,
     view: Option<ViewAge>,
-    /// The view as the platform itself last confirmed it.
+    /// The age of the view as last confirmed by the platform itself.
     confirmed: Option<ViewAge>,
     following: bool,
-    /// When a better-placed member last had a fresh view from the platform.
+    /// When a higher-ranked member last had a fresh view from the platform.
     relieved: Option<Timestamp>,
     heard: Vec<DaemonId>,
-    /// Whether the last ask went to a member that had been silent.
+    /// Whether the last request was a probe of a member that had been silent.
     probed: bool,
     next_ask: Timestamp,
     ready: bool,
 }
 
 impl WatchPlan {
-    /// The plan of a daemon that knows nobody yet.
+    /// Creates the plan of a daemon that knows no other members yet.
     pub fn new(settings: FreshnessSettings, own_score: u64) -> Self {
         WatchPlan {
             settings,
@@ -76,22 +78,24 @@
         self.heard.retain(|it| known(*it));
     }
 
-    /// The revision up to which the view has seen everything; 0 without one.
+    /// Returns the revision up to which the view contains all changes; 0 without a
+    /// view.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// When the view was last known to be current.
+    /// Returns when the view was last known to be current.
     pub fn view(&self) -> Option<ViewAge> {
         self.view
     }
 
-    /// How old the view is.
+    /// Returns the age of the view.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         self.view.map(|it| it.age(now))
     }
 
-    /// What to tell another daemon of the own view, with changes from `base`.
+    /// Returns the header of an answer to a peer that requests the changes after
+    /// `base`.
     pub fn offer(&self, base: i64, now: Timestamp) -> Option<ViewOffer> {
         Some(ViewOffer {
             base,
@@ -101,13 +105,13 @@
         })
     }
 
-    /// Whether to follow the platform.
+    /// Returns whether this daemon is to follow the platform.
     ///
-    /// The best-placed members of the zone always do. Another steps in when its
-    /// view grows old, the sooner the better its place, and the number that
-    /// have stepped in grows with the logarithm of the age only: in a long
-    /// outage not all daemons of a zone call a platform that is down. It steps
-    /// back once a better-placed member has a fresh view from the platform.
+    /// The highest-ranked members of the zone always do. Another one starts when its
+    /// view becomes old, the sooner the higher its rank, and the number of additional
+    /// followers grows only with the logarithm of the age: in a long outage not all
+    /// daemons of a zone call a platform that is down. It stops once a higher-ranked
+    /// member has a fresh view from the platform.
     pub fn should_follow(&mut self, now: Timestamp) -> bool {
         let rank = self.rank(now);
         if rank < self.settings.watchers {
@@ -122,12 +126,12 @@
         self.following
     }
 
-    /// Whether it is time to ask somebody.
+    /// Returns whether the next request to a peer is due.
     pub fn is_ask_due(&self, now: Timestamp) -> bool {
         now >= self.next_ask
     }
 
-    /// Whom to ask now, if it is time to ask anyone.
+    /// Returns the peer to query now, if a request is due.
     pub fn next_ask(&mut self, now: Timestamp, rng: &mut impl Rng) -> Option<DaemonId> {
         if !self.is_ask_due(now) {
             return None;
@@ -145,15 +149,15 @@
         target
     }
 
-    /// Whether a member gave no answer to the last ask.
+    /// Returns whether a member left the last request unanswered.
     pub fn is_silent(&self, member: DaemonId) -> bool {
         self.avoided.iter().any(|it| it.id == member)
     }
 
-    /// Takes note that a member gave no answer. It is passed over, also where
-    /// the members are ranked: whoever moves up by that takes its place at once.
-    /// After a while it is asked again; one that is placed better stays passed
-    /// over until it answers, or its places would change hands with each try.
+    /// Records that a member didn't answer. It is skipped as a source and in the
+    /// ranking, so the member ranked next replaces it at once. It is queried again
+    /// after `avoid_for`; a higher-ranked member stays skipped until it answers, since
+    /// the ranking would otherwise change with each attempt.
     pub fn take_silence(&mut self, member: DaemonId, now: Timestamp) {
         self.note_heard(member);
         self.avoided.retain(|it| it.id != member);
@@ -163,18 +167,19 @@
         self.update_ready(now);
     }
 
-    /// Takes note that a member answered without a view to offer: it was
-    /// started a moment ago, like its asker perhaps.
+    /// Records that a member answered without a view to offer, for example because it
+    /// has just been started like the daemon that queries it.
     pub fn take_nothing(&mut self, member: DaemonId, now: Timestamp) {
         self.note_heard(member);
         self.avoided.retain(|it| it.id != member);
         self.update_ready(now);
     }
 
-    /// Judges an answer to an ask that was sent at `sent`.
+    /// Evaluates the answer to a request that was sent at `sent`.
     ///
-    /// The age counts from then and not from the answer's arrival: an answer
-    /// can wait in this process's own buffers while it is paused.
+    /// The age counts from the time of the request rather than from the arrival of the
+    /// answer: an answer can wait in this process's own buffers while the process is
+    /// paused.
     pub fn take_offer(
         &mut self,
         member: DaemonId,
@@ -197,8 +202,9 @@
         verdict
     }
 
-    /// Where the chosen two have lost the platform, half of those asked have
-    /// nothing new. Drawing them again and again would take seconds.
+    /// Ranks a member behind the others as a source. When the two followers have lost
+    /// the platform, half of the queried members have nothing new, and drawing them
+    /// repeatedly would take seconds.
     fn postpone(&mut self, member: DaemonId, now: Timestamp) {
         let until = now + self.settings.postpone_for;
         self.postponed.retain(|it| it.until > now);
@@ -231,8 +237,8 @@
         }
     }
 
-    /// Takes a read of the platform that was sent at `sent`. Returns false,
-    /// and changes nothing, when the view is already ahead of it.
+    /// Applies the result of a read of the platform that was sent at `sent`. Returns
+    /// false, and changes nothing, if the view is already ahead of it.
     pub fn take_read(&mut self, revision: i64, sent: Timestamp, now: Timestamp) -> bool {
         if revision < self.revision {
             return false;
@@ -244,9 +250,9 @@
         true
     }
 
-    /// Takes a message of a watch. Returns false when the view is already
-    /// ahead of it. The age stays as it is: a message can have waited in a
-    /// buffer for any time, and after it others may be stuck.
+    /// Applies an event of a watch. Returns false if the view is already ahead of it.
+    /// The age of the view doesn't change: an event can have waited in a buffer for any
+    /// time, and later ones may still be delayed.
     pub fn take_watched(&mut self, revision: i64) -> bool {
         if revision <= self.revision {
             return false;
@@ -255,14 +261,15 @@
         true
     }
 
-    /// Whether the view is good enough to serve with. Once it was, it stays.
+    /// Returns whether the view is good enough to serve with. Once it is, it remains
+    /// so.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// A daemon that is started during an outage can be given an old view by
-    /// one peer and a newer one by the next, so it hears several before it
-    /// serves without a fresh one.
+    /// A daemon that is started during an outage can receive an old view from one peer
+    /// and a newer one from the next, so it collects several answers before it serves
+    /// without a fresh view.
     fn update_ready(&mut self, now: Timestamp) {
         let others = self.zone.len() + self.beyond.len();
         let enough = self.settings.enough_answers.min(others);
@@ -275,14 +282,14 @@
         view.is_some_and(|it| it.age(now) <= self.settings.fresh_within)
     }
 
-    /// How many members of the zone are placed better.
+    /// Returns the number of higher-ranked members of the zone.
     fn rank(&self, now: Timestamp) -> usize {
         let better = self.zone.iter().filter(|it| it.score > self.own_score);
         better.filter(|it| !self.is_avoided(it.id, now)).count()
     }
 
-    /// How many members of the zone should follow the platform when all have a
-    /// view as old as the own.
+    /// Returns how many members of the zone should follow the platform if all of their
+    /// views are as old as the own one.
     fn followers(&self, now: Timestamp) -> usize {
         let Some(age) = self.age(now) else {
             return usize::MAX;
@@ -301,8 +308,9 @@
         entry.is_some_and(|it| it.until > now || self.is_better_placed(member))
     }
 
-    /// Asks a better-placed member whether it is back, every other time at
-    /// most: many that hang must not keep the others from being asked.
+    /// Chooses a higher-ranked member to check whether it answers again, at most with
+    /// every other request: a large number of hanging members must not prevent requests
+    /// to the others.
     fn choose_probe(&mut self, now: Timestamp) -> Option<DaemonId> {
         self.probed = !self.probed;
         if !self.probed {
@@ -329,7 +337,8 @@
         }
     }
 
-    /// Before the daemon is ready, it asks those it hasn't heard yet.
+    /// Chooses a source before the daemon is ready: members that haven't answered yet
+    /// come first.
     fn choose_unheard(&self, now: Timestamp, rng: &mut impl Rng) -> Option<DaemonId> {
         let zone = self.zone.iter().map(|it| it.id);
         let all = zone.chain(self.beyond.iter().copied());
@@ -340,9 +349,9 @@
         target.copied()
     }
 
-    /// Asks one of those who should follow the platform. With a view that has
-    /// grown old, every other ask goes to another zone: the own one may be the
-    /// only one that is cut off from the platform.
+    /// Chooses one of the members that should follow the platform. If the view is old,
+    /// half of the requests on average go to another zone, since the own zone may be
+    /// the only one that is cut off from the platform.
     fn choose_source(&self, now: Timestamp, rng: &mut impl Rng) -> Option<DaemonId> {
         let fresh = self.is_fresh(self.view, now);
         let rank = self.rank(now);
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -1,7 +1,7 @@
-//! Whether a failed attempt is tried again.
+//! The decision whether a failed attempt is retried.
 //!
-//! [`decide_retry`] looks at what is known of the attempt, and [`RetryBudget`]
-//! at how many retries the fleet can bear. See `docs/DESIGN.md`.
+//! [`decide_retry`] evaluates what is known of the attempt, and [`RetryBudget`] limits
+//! the rate of retries to what the fleet can bear. See `docs/DESIGN.md`.
 
 mod budget;
 mod decision;
--- a/crates/policy/src/retries/budget.rs
+++ b/crates/policy/src/retries/budget.rs
@@ -1,30 +1,31 @@
-//! How many retries a daemon may cause.
+//! The limit on a daemon's retries.
 
 use crate::Timestamp;
 
-/// The retries that each success pays for.
+/// The retries that each success adds to the budget.
 const SHARE: f64 = 0.1;
 
-/// The retries a second that a daemon without successes may still make.
+/// The retries per second that a daemon without successes may still make.
 const FLOOR_PER_SEC: f64 = 0.5;
 
-/// The retries up to which the floor fills the budget.
+/// The budget up to which it is refilled by time alone.
 ///
-/// It pays for what was in flight on one dead server, also on a quiet daemon.
+/// It covers the requests that were in flight on one dead server, also on a daemon with
+/// little traffic.
 const FLOOR_TOKENS: f64 = 32.0;
 
-/// The most retries that can be saved up.
+/// The maximum of the budget.
 const MAX_TOKENS: f64 = 128.0;
 
-/// A budget of retries, filled by successes.
+/// A budget of retries that successes refill.
 ///
-/// A limit per request can't tell one failing server from a failing fleet: when
-/// everything is slow, three tries each mean three times the load at the worst
-/// moment, and the fleet stays down after the cause has gone. With a share of
-/// the successes as the limit, retries dry up as the successes do.
+/// A limit per request can't distinguish one failing server from a failing fleet: when
+/// everything is slow, three attempts per request triple the load at the worst moment,
+/// and the fleet stays overloaded after the cause has gone. With a budget proportional
+/// to the successes, retries decrease as the successes do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// The retries that each success adds.
+    /// The retries that each success adds to the budget.
     pub share: f64,
     tokens: f64,
     filled_at: Timestamp,
@@ -41,12 +42,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a request that was answered.
+    /// Records an answered request.
     pub fn success(&mut self) {
         self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
     }
 
-    /// Takes a retry out of the budget, if there is one.
+    /// Takes one retry from the budget. Returns false if there is none.
     pub fn take(&mut self, now: Timestamp) -> bool {
         self.fill(now);
         if self.tokens < 1.0 {
@@ -56,7 +57,7 @@
         true
     }
 
-    /// The retries left.
+    /// Returns the number of retries left.
     pub fn left(&self) -> f64 {
         self.tokens
     }
--- a/crates/policy/src/retries/decision.rs
+++ b/crates/policy/src/retries/decision.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt.
+//! The decision that follows a failed attempt.
 
 use std::time::Duration;
 
@@ -8,41 +8,43 @@
 use super::RetryBudget;
 use crate::Timestamp;
 
-/// The attempts that one request gets at servers that take it or turn it away.
+/// The number of attempts per request at servers that were reached.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// The lost attempts for each of which it gets a further one. A request that crashes
-/// servers is granted two of them, and whoever shared both has to outlast them.
+/// The maximum number of lost attempts that are compensated by an additional one. A
+/// request that crashes servers gets two runs, and a request that was on the same
+/// server both times must still be answered.
 const GRANTED_LOSSES: u32 = 2;
 
-/// The attempts that one request gets at most, those included that reached no server.
+/// The total number of attempts per request, including those that reached no server.
 const MOST_SERVERS: u32 = 8;
 
-/// When a caller may come back if nothing better is known, before jitter.
+/// The default delay after which a caller may retry, before jitter.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Whether a request has run, as its caller is told.
+/// Whether a request has run, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// No byte of it reached a backend server.
+    /// No byte of the request reached a backend server.
     No,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// Its caller has a part of the answer.
+    /// The caller has received a part of the answer.
     Partly,
 }
 
-/// What the suspects say of a request.
+/// What the table of suspects says about a request. A suspect is a request that was in
+/// flight on a server that died.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SuspectVerdict {
-    /// It isn't suspected.
+    /// The request isn't a suspect.
     #[default]
     Clear,
-    /// A server died while running it. It may run once more, alone among
-    /// suspects, once a trial was granted.
+    /// A server died while running the request. It may run once more after a trial has
+    /// been granted, as the only suspect on its server.
     NeedsTrial,
-    /// It is not run any more for this long.
+    /// The request must not run for this long.
     Blocked(Duration),
 }
 
@@ -51,79 +53,80 @@
 pub struct AttemptReport {
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether a byte of the request was handed to a connection, in this or an
-    /// earlier attempt.
+    /// Whether a byte of the request was written to a connection, in this or an earlier
+    /// attempt.
     pub bytes_sent: bool,
-    /// Tokens that the caller has. They can be taken up from elsewhere.
+    /// The number of tokens that the caller has received. Another server can continue
+    /// after them.
     pub tokens_delivered: u32,
-    /// Whether the caller has a part of an answer that can't be taken up from
-    /// elsewhere.
+    /// Whether the caller has received a part of an answer that no other server can
+    /// continue.
     pub answer_begun: bool,
-    /// Attempts so far, this one included.
+    /// The number of attempts so far, including this one.
     pub attempts: u32,
-    /// Those of them of which no byte reached a server.
+    /// The attempts of which no byte reached a server.
     pub not_sent: u32,
-    /// Those of them that broke off while a server may have run the request.
+    /// The attempts that broke off while a server may have run the request.
     pub lost: u32,
-    /// When the request's time is up.
+    /// The deadline of the request.
     pub deadline: Timestamp,
-    /// The time that another attempt takes at least.
+    /// The minimum duration of another attempt.
     pub attempt_takes: Duration,
-    /// What the suspects say of the request.
+    /// What the table of suspects says about the request.
     pub suspect: SuspectVerdict,
 }
 
-/// Why a request isn't tried again.
+/// Why a request isn't retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinalCause {
-    /// It may have run, and must not run twice.
+    /// The request may have run, and must not run twice.
     NotIdempotent,
-    /// Its time is up, or too short for another attempt.
+    /// The deadline has passed, or is too near for another attempt.
     Deadline,
-    /// It had all its attempts.
+    /// The request has used up its attempts.
     Attempts,
-    /// There are more failures than retries.
+    /// The retry budget is empty, since there are too many failures.
     Budget,
-    /// Servers died while running it.
+    /// Servers died while running the request, or a trial of it is pending.
     Blocked,
-    /// A part of an answer that can't be taken up elsewhere was delivered.
+    /// The caller has received a part of an answer that no other server can continue.
     Begun,
 }
 
-/// The last word to a caller.
+/// The final answer to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinalAnswer {
     /// Whether the request has run.
     pub run: RunState,
-    /// Why it isn't tried again.
+    /// Why it isn't retried.
     pub cause: FinalCause,
-    /// When the caller may come back.
+    /// The delay after which the caller may retry.
     pub retry_after: Duration,
 }
 
 /// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It is tried on another server, with a trial if `trial` says so.
+    /// The request is retried on another server.
     Elsewhere {
-        /// Whether the suspects must grant a trial first.
+        /// Whether a trial must be granted first.
         trial: bool,
     },
-    /// Another server goes on after the tokens that the caller has.
+    /// Another server continues after the tokens that the caller has received.
     Resume {
-        /// The number of tokens that the caller has.
+        /// The number of tokens that the caller has received.
         from_token: u32,
-        /// Whether the suspects must grant a trial first.
+        /// Whether a trial must be granted first.
         trial: bool,
     },
-    /// The caller gets its last word at once.
+    /// The caller gets a final answer at once.
     Final(FinalAnswer),
 }
 
 /// Decides what follows a failed attempt.
 ///
-/// The budget is asked last, so that no retry is taken out of it in vain.
+/// The budget is checked last, so that it is charged only for retries that take place.
 pub fn decide_retry(
     attempt: &AttemptReport,
     budget: &mut RetryBudget,
@@ -147,7 +150,7 @@
 }
 
 impl AttemptReport {
-    /// Whether the request has run, as far as this daemon can know.
+    /// Returns whether the request has run, as far as this daemon can know.
     pub fn run_state(&self) -> RunState {
         if self.tokens_delivered > 0 || self.answer_begun {
             RunState::Partly
@@ -163,8 +166,9 @@
     if matches!(attempt.suspect, SuspectVerdict::Blocked(_)) {
         return Some(FinalCause::Blocked);
     }
-    // A server that refuses and says that it didn't start may still be wrong:
-    // the words can be those of a program in front of it. So bytes sent count.
+    // A server's answer that it rejected the request without starting it can be wrong,
+    // since it may come from a proxy in front of the server. So only unsent requests
+    // count as not run.
     if attempt.bytes_sent && !attempt.idempotent {
         return Some(FinalCause::NotIdempotent);
     }
@@ -182,7 +186,7 @@
     None
 }
 
-/// Spreads the returning callers, so that they don't all come back at once.
+/// Adds jitter, so that rejected callers don't all return at the same time.
 fn retry_after(attempt: &AttemptReport, rng: &mut impl Rng) -> Duration {
     match attempt.suspect {
         SuspectVerdict::Blocked(span) => span,
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -1,9 +1,9 @@
-//! Which backend server gets a request.
+//! The choice of the backend server for a request.
 //!
-//! [`ServerTable`] holds what this daemon knows of each server: the VM list
-//! says that it exists, its answers say how busy it is, and the connections to
-//! it say whether it works. All three lag or lie now and then, so each corrects
-//! the others. See `docs/DESIGN.md`.
+//! [`ServerTable`] holds what this daemon knows of each server: the VM list shows that
+//! it exists, load reports in its answers show how busy it is, and the connections to
+//! it show whether it works. Each of these sources is delayed or wrong at times, so
+//! they correct each other. See `docs/DESIGN.md`.
 
 mod choose;
 mod health;
--- a/crates/policy/src/routing/choose.rs
+++ b/crates/policy/src/routing/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of a server for one request.
+//! Selection of a server for one request.
 
 use std::time::Duration;
 
@@ -8,35 +8,35 @@
 use super::{ServerEntry, ServerTable};
 use crate::{GroupId, ServerId, Timestamp, ZoneId, hash::mix};
 
-/// How often a candidate is drawn before the whole pool is looked through.
+/// The number of random draws before the whole pool is scanned.
 const DRAWS: usize = 8;
 
-/// How many servers of a prefix's rendezvous order are tried.
+/// The number of servers in a prefix's rendezvous order that are considered.
 const PREFIX_CANDIDATES: usize = 2;
 
-/// How far above the mean load a server may be and still get the requests of
-/// its prefixes.
+/// The multiple of the mean load up to which a server still gets the requests of its
+/// prefixes.
 const LOAD_BOUND: f32 = 1.25;
 
-/// How long another zone's word on its load is believed.
+/// How long a load summary of another zone is used.
 const SUMMARY_LIFETIME: Duration = Duration::from_secs(10);
 
-/// What has to be routed.
+/// The request to be routed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RouteQuery<'a> {
     /// The group that serves the request.
     pub group: GroupId,
     /// The daemon's own zone.
     pub zone: ZoneId,
-    /// A hash of the prompt's beginning, for a request that may find its
-    /// prefix in a server's cache.
+    /// A hash of the beginning of the prompt, for requests that may find their prefix
+    /// in a server's cache.
     pub prefix: Option<u64>,
-    /// Servers that must not get it.
+    /// Servers that must not get the request.
     pub exclude: &'a [ServerId],
 }
 
 impl RouteQuery<'_> {
-    /// A request for any server of the group.
+    /// Creates a query for any server of the group.
     pub fn new(group: GroupId, zone: ZoneId) -> Self {
         RouteQuery {
             group,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Prefers the servers that other requests with this prefix went to.
+    /// Prefers the servers that got other requests with this prefix.
     pub fn prefix(self, prefix: u64) -> Self {
         RouteQuery {
             prefix: Some(prefix),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A server that might do, and the seconds a request would wait there.
+/// A possible server, with the seconds that a request is expected to wait there.
 #[derive(Clone, Copy)]
 struct Candidate {
     server: ServerId,
@@ -65,11 +65,12 @@
 impl ServerTable {
     /// Chooses a server, or none if no live server is left.
     ///
-    /// The own zone goes first: the server that the prefix belongs to unless it
-    /// is loaded above the mean, otherwise the better of two drawn at random.
-    /// Other zones get the request only when the own one has no healthy server
-    /// or no room. When every server of the group is ejected, the least bad one
-    /// gets it: a refusal would be certain, its failure isn't.
+    /// The own zone has priority: first the server that the prefix belongs to, unless
+    /// its load is too far above the mean, then the better of two servers drawn at
+    /// random. Other zones get the request only if the own zone has no healthy server
+    /// or no free capacity. If every server of the group is ejected, the one with the
+    /// shortest wait gets the request: rejecting it would be a certain failure, sending
+    /// it isn't.
     pub fn choose(
         &self,
         query: &RouteQuery<'_>,
@@ -81,13 +82,13 @@
         found.map(|it| it.server)
     }
 
-    /// Chooses as [`choose`](Self::choose) does, but only a server that is
-    /// expected to start the request at once. Without one, the daemon holds the
-    /// request back: a backend server starts what arrives in order of arrival,
-    /// so nothing that waits there can be overtaken by something more urgent.
+    /// Chooses like [`choose`](Self::choose), but returns only a server that is
+    /// expected to start the request at once. If there is none, the daemon queues the
+    /// request itself: a backend server starts requests in order of arrival, so a more
+    /// urgent request couldn't overtake one that waits there.
     ///
-    /// A daemon that has nothing in flight may always send one request, and
-    /// learns from its answer how busy the servers are.
+    /// A daemon without any request in flight may always send one, and learns from its
+    /// answer how busy the servers are.
     pub fn choose_with_room(
         &self,
         query: &RouteQuery<'_>,
@@ -158,11 +159,11 @@
         for server in rendezvous_order(pool, prefix).into_iter().flatten() {
             let entry = &self.entries[server.index()];
             let load = entry.load.requests(usual_others, now) + 1.0;
-            // A prefix that everybody sends must not pile up on one server, but
-            // one with half its batch free is worth more than an even spread.
+            // A prefix that many callers send must not overload one server, but a cached prefix
+            // on a server with half its batch free is worth more than even load.
             let batch = entry.load.batch() as f32;
             let bound = (LOAD_BOUND * (mean + 1.0)).max(batch / 2.0);
-            // A cached prefix saves less than a wait for a place costs.
+            // A cached prefix saves less time than waiting for a free place in the batch costs.
             let bound = bound.min(batch);
             let fits = load <= bound && !query.exclude.contains(&server);
             if fits && accepts(entry, now, rng) {
@@ -172,7 +173,7 @@
         None
     }
 
-    /// Draws a server at random, each with the probability of its weight.
+    /// Draws a server at random, accepting each with a probability equal to its weight.
     fn draw(
         &self,
         pool: &ServerPool,
@@ -191,7 +192,7 @@
         None
     }
 
-    /// Looks through the pool, servers of little weight counting as slow.
+    /// Scans the pool for the server with the least wait, divided by its weight.
     fn least_wait(
         &self,
         pool: &ServerPool,
@@ -213,7 +214,7 @@
         best.map(|(_, candidate)| candidate)
     }
 
-    /// Chooses among the other zones, by wait and by the way there.
+    /// Chooses a server of another zone by expected wait plus the zone's added latency.
     fn choose_far(
         &self,
         query: &RouteQuery<'_>,
@@ -282,10 +283,10 @@
     weight >= 1.0 || (weight > 0.0 && rng.random::<f32>() < weight)
 }
 
-/// The servers with the highest scores for a prefix, the highest first.
+/// Returns the servers with the highest scores for a prefix, in descending order.
 ///
-/// Every daemon finds the same order without talking, and a server that comes
-/// or goes moves only its own prefixes.
+/// Every daemon computes the same order without coordination, and a server that joins
+/// or leaves moves only its own prefixes.
 fn rendezvous_order(pool: &ServerPool, prefix: u64) -> [Option<ServerId>; PREFIX_CANDIDATES] {
     let mut best = [(0, None); PREFIX_CANDIDATES];
     for &(key, server) in &pool.servers {
--- a/crates/policy/src/routing/health.rs
+++ b/crates/policy/src/routing/health.rs
@@ -1,4 +1,4 @@
-//! How far a server is trusted with new work.
+//! The health of a server, which determines its share of new requests.
 
 use std::time::Duration;
 
@@ -9,38 +9,39 @@
 /// The weight below which a failing server is ejected.
 const EJECT_BELOW: f32 = 0.2;
 
-/// The weight with which an ejected server returns.
+/// The weight with which a server returns from an ejection.
 const PROBE_WEIGHT: f32 = 1.0 / 16.0;
 
-/// The time within which a weight can double once.
+/// The minimum interval between two doublings of a weight.
 const RETURN_STEP: Duration = Duration::from_secs(1);
 
-/// The length of a first ejection.
+/// The duration of the first ejection.
 const FIRST_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The length that no ejection exceeds, before jitter.
+/// The maximum duration of an ejection, before jitter.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(60);
 
-/// How an attempt at a server went, as its connection showed it.
+/// The result of an attempt at a server, as its connection showed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// It answered in full.
+    /// The server answered completely.
     Ok,
     /// No connection could be opened.
     ConnectFailed,
-    /// The connection broke after the request was sent, or the server stayed
-    /// silent for longer than any may. A caller's own short deadline doesn't
-    /// count: with it, one caller could have healthy servers ejected.
+    /// The connection broke after the request was sent, or the server was silent for
+    /// longer than any server may be. The expiry of a caller's own short deadline
+    /// doesn't count, since a single caller could otherwise get healthy servers
+    /// ejected.
     Broken,
 }
 
-/// The health of one server, learnt from the outcomes of attempts.
+/// The health of one server, derived from the results of attempts.
 ///
-/// A failure halves the weight, and a server with little weight left is ejected
-/// for a time that doubles with each ejection. It returns with a small weight
-/// that doubles once a second at most while it answers. Without the steps, a
-/// server that fails half its requests would swing between all and nothing,
-/// and one that returns would get the load of a warm server at once.
+/// A failure halves the weight, and a server whose weight becomes low is ejected for a
+/// time that doubles with each ejection. It returns with a small weight that doubles at
+/// most once a second while it answers. Without gradual steps, a server that fails half
+/// its requests would alternate between its full share and none, and a returning server
+/// would at once get the load of one that is warmed up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerHealth {
     weight: f32,
@@ -63,7 +64,8 @@
 }
 
 impl ServerHealth {
-    /// The part of its usual share that the server may get, 0 while ejected.
+    /// Returns the fraction of its normal share that the server may get; 0 while it is
+    /// ejected.
     pub fn weight(&self, now: Timestamp) -> f32 {
         if self.is_ejected(now) {
             0.0
@@ -72,12 +74,12 @@
         }
     }
 
-    /// Whether the server is ejected at present.
+    /// Returns whether the server is ejected at present.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether the server answered in full within `span` before `now`.
+    /// Returns whether the server answered completely within `span` before `now`.
     pub fn answered_within(&self, span: Duration, now: Timestamp) -> bool {
         self.last_ok.is_some_and(|at| now.since(at) <= span)
     }
@@ -94,11 +96,12 @@
         }
     }
 
-    /// Lowers the weight, and ejects the server if it is low and `may_eject`.
+    /// Halves the weight, and ejects the server if its weight is low and `may_eject` is
+    /// set.
     pub(super) fn fail(&mut self, may_eject: bool, now: Timestamp, rng: &mut impl Rng) {
         if self.is_ejected(now) {
-            // Requests sent before the ejection still fail one by one. They say
-            // nothing new, and must not lengthen the ejection.
+            // Requests sent before the ejection still fail one by one. They carry no new
+            // information and must not prolong the ejection.
             return;
         }
         self.raised_at = now;
@@ -111,8 +114,8 @@
         self.ejections += 1;
     }
 
-    /// The length of the next ejection, with jitter so that the daemons of a
-    /// zone don't all return to the server in the same instant.
+    /// Returns the duration of the next ejection, with jitter so that the daemons of a
+    /// zone don't all return to the server at the same time.
     fn backoff(&self, rng: &mut impl Rng) -> Duration {
         let doublings = self.ejections.min(6);
         let span = (FIRST_BACKOFF * (1 << doublings)).min(LONGEST_BACKOFF);
--- a/crates/policy/src/routing/list.rs
+++ b/crates/policy/src/routing/list.rs
@@ -1,4 +1,4 @@
-//! What the VM list changes in the server table.
+//! Application of the VM list to the server table.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 /// How long a server may be missing from the list before it is dropped.
 const MISSING_GRACE: Duration = Duration::from_secs(30);
 
-/// The same while the list lacks more than half of the known servers. Such a
-/// list is more likely wrong than true; connections tell of dead servers sooner.
+/// The same while the list lacks more than half of the known servers. Such a list is
+/// probably wrong; connection failures reveal dead servers sooner.
 const SHORT_LIST_GRACE: Duration = Duration::from_secs(600);
 
-/// How long the list must call a leaving server live before it is believed.
-/// Lists from replicas of different age contradict each other for a while.
+/// How long the list must show a leaving server as live before it is reinstated. Lists
+/// from replicas of different age contradict each other for a while.
 const REINSTATE_AFTER: Duration = Duration::from_secs(30);
 
-/// A backend server as the platform lists it.
+/// A backend server as listed by the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListedServer {
-    /// The platform's name for it.
+    /// The name that the platform uses for it.
     pub name: String,
     /// Where it listens, as `ip:port`.
     pub address: String,
@@ -27,33 +27,33 @@
     pub zone: ZoneId,
     /// Its group.
     pub group: GroupId,
-    /// Whether it is on its way out.
+    /// Whether the server is being shut down.
     pub leaving: bool,
 }
 
-/// What a list changed.
+/// The changes that a list caused.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListOutcome {
-    /// Servers that are new.
+    /// Servers that were added.
     pub added: Vec<ServerId>,
-    /// Servers that began to leave.
+    /// Servers that started to leave.
     pub leaving: Vec<ServerId>,
     /// Servers that were dropped.
     pub dropped: Vec<ServerId>,
-    /// Servers that the list lacks and that are kept for now.
+    /// The number of servers that are missing from the list and kept for now.
     pub missing: usize,
-    /// Whether the list was empty and therefore ignored.
+    /// Whether the list was ignored because it was empty.
     pub ignored: bool,
 }
 
 impl ServerTable {
-    /// Takes in a VM list, which may be late, empty or wrong.
+    /// Applies a VM list, which may be late, empty or wrong.
     ///
-    /// - An empty list is ignored: a fleet without servers and a platform that
-    ///   lost its list look the same, and only the second one happens.
-    /// - A leaving server gets no new work from now on.
-    /// - A server that is missing is kept while it answers, and dropped after a
-    ///   grace otherwise.
+    /// - An empty list is ignored: a fleet without servers looks the same as a platform
+    ///   that lost its list, and only the latter occurs.
+    /// - A leaving server gets no new requests from now on.
+    /// - A missing server is kept while it answers, and otherwise dropped after a grace
+    ///   period.
     pub fn apply_list(&mut self, listed: &[ListedServer], now: Timestamp) -> ListOutcome {
         let mut outcome = ListOutcome::default();
         if listed.is_empty() {
@@ -84,8 +84,8 @@
         outcome
     }
 
-    /// Drops the servers whose grace has passed. Call it every few seconds when
-    /// no list comes.
+    /// Drops the servers whose grace period has passed. Has to be called every few
+    /// seconds while no list arrives.
     pub fn expire(&mut self, now: Timestamp) -> Vec<ServerId> {
         let grace = if self.last_list_short {
             SHORT_LIST_GRACE
@@ -134,8 +134,8 @@
         let entry = &mut self.entries[server.index()];
         entry.missing_since = None;
         if entry.address != vm.address {
-            // The name was given to another machine, which knows nothing of the
-            // failures and the load of the one before it.
+            // The name was reassigned to another machine, to which the failures and the load of
+            // the previous one don't apply.
             entry.address.clone_from(&vm.address);
             entry.health = ServerHealth::default();
             entry.load.forget_reports();
@@ -171,8 +171,8 @@
             },
             ..ServerEntry::default()
         };
-        // A place is reused only when nothing is in flight any more, so that
-        // the end of an old request isn't counted on a new server.
+        // An index is reused only when nothing is in flight any more, so that the end of an old
+        // request isn't counted on a new server.
         let free = self
             .entries
             .iter()
--- a/crates/policy/src/routing/load.rs
+++ b/crates/policy/src/routing/load.rs
@@ -1,4 +1,4 @@
-//! How busy a server is, from its late reports and from own counts.
+//! The load of a server, estimated from delayed reports and own counts.
 
 use std::time::Duration;
 
@@ -6,64 +6,64 @@
 
 use crate::Timestamp;
 
-/// The batch size assumed of a server that hasn't reported one.
+/// The batch size assumed for a server that hasn't reported one.
 const DEFAULT_BATCH: u32 = 16;
 
-/// The time after which half of a report's news is no longer believed.
+/// The age at which the information in a report counts half.
 const REPORT_HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// The part of a bulk request that counts for live work: enough to prefer a
-/// server without any.
+/// The fraction of a bulk request that counts as load for live requests: enough to
+/// prefer a server without bulk work.
 const BULK_PART: f32 = 0.1;
 
 /// The weight of one sample in the moving averages of a server.
 const SAMPLE_WEIGHT: f32 = 0.1;
 
-/// What a server says of its own load, riding on an answer.
+/// The load that a server reports with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests in its batch.
+    /// The number of requests in its batch.
     pub running: u32,
-    /// Requests in its queue.
+    /// The number of requests in its queue.
     pub waiting: u32,
-    /// Requests that its batch holds at most; 0 if it doesn't say.
+    /// The maximum number of requests in its batch; 0 if it doesn't report one.
     pub batch: u32,
 }
 
-/// The load of one group's servers in one zone, as told to other zones.
+/// The load of one group's servers in one zone, as reported to other zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZoneLoad {
-    /// Servers that take new work.
+    /// The number of servers that accept new requests.
     pub servers: u32,
-    /// Estimated requests on them.
+    /// The estimated number of requests on them.
     pub load: f32,
-    /// Requests that their batches hold at most.
+    /// The total capacity of their batches, in requests.
     pub batch: f32,
 }
 
 impl ZoneLoad {
-    /// Whether the zone has no room for requests of others.
+    /// Returns whether the zone has no capacity for requests of other zones.
     pub fn is_saturated(&self) -> bool {
         self.servers == 0 || self.load >= self.batch
     }
 }
 
-/// Bulk requests on one server: they are cancelled when live work needs their
-/// places.
+/// The number of bulk requests on one server, which are preempted (cancelled) when live
+/// requests need their places in the batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct YieldingLoad {
-    /// Those of this daemon, which are in its own count too.
+    /// The bulk requests of this daemon, which its own count includes.
     pub own: u32,
-    /// Those that the server's home daemon told of.
+    /// The bulk requests reported by the server's home daemon.
     pub others: u32,
 }
 
-/// The load of one server as this daemon estimates it.
+/// The load of one server as estimated by this daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLoad {
-    /// Requests of this daemon on the server.
+    /// The number of requests of this daemon on the server.
     pub in_flight: u32,
-    /// Those of them, and of other daemons', that make room for live work.
+    /// The bulk requests of this and other daemons, which live requests preempt.
     pub yielding: YieldingLoad,
     batch: u32,
     others: f32,
@@ -73,7 +73,7 @@
 }
 
 impl ServerLoad {
-    /// The requests that the batch holds at most.
+    /// Returns the maximum number of requests in the batch.
     pub fn batch(&self) -> u32 {
         if self.batch == 0 {
             DEFAULT_BATCH
@@ -82,23 +82,23 @@
         }
     }
 
-    /// The estimated requests on the server, of this and all other daemons.
+    /// Estimates the number of requests on the server, from this and all other daemons.
     ///
-    /// The own count is exact. The part of other daemons comes from the last
-    /// report, less what was our own at the time, and slides towards
-    /// `usual_others` (the mean over the zone) as the report ages. A lagging
-    /// report taken at face value would send everything to the server that was
-    /// idle a moment ago.
+    /// The own count is exact. The count of other daemons comes from the last report,
+    /// minus the own requests at that time, and converges to `usual_others` (the mean
+    /// over the zone) as the report ages. If a delayed report were taken at face value,
+    /// all requests would go to the server that was idle a moment ago.
     ///
-    /// Bulk requests count little. If they counted in full, every server would
-    /// look full while there is bulk work, and live requests would pile up on
-    /// one that is full of live ones while another has only bulk ones to cancel.
+    /// Bulk requests count only in part. If they counted in full, every server would
+    /// look full while there is bulk work, and live requests would accumulate on a
+    /// server that is full of live requests while another has only bulk requests, which
+    /// can be cancelled.
     pub fn requests(&self, usual_others: f32, now: Timestamp) -> f32 {
         let bulk = (self.yielding.own + self.yielding.others) as f32 * BULK_PART;
         self.live_requests(usual_others, now) + bulk
     }
 
-    /// The estimated requests that make no room for others.
+    /// Estimates the number of requests that can't be preempted.
     fn live_requests(&self, usual_others: f32, now: Timestamp) -> f32 {
         let live = self.in_flight.saturating_sub(self.yielding.own) as f32;
         let Some(reported_at) = self.reported_at else {
@@ -108,7 +108,7 @@
         live + usual_others + news
     }
 
-    /// The seconds that one more request would wait for its first token.
+    /// Estimates how many seconds one more request would wait for its first token.
     pub fn expected_wait(&self, usual_others: f32, now: Timestamp) -> f32 {
         let requests = self.requests(usual_others, now) + 1.0;
         let batch = self.batch() as f32;
@@ -117,14 +117,14 @@
         first_token * (requests / batch).min(1.0) + self.held_secs.max(first_token) * queued / batch
     }
 
-    /// Whether one more request would have to wait for a place in the batch.
-    /// Bulk requests don't count: they are cancelled for it, and if they held
-    /// back even one, it would wait for as long as bulk work has a place.
+    /// Returns whether one more request would have to wait for a place in the batch.
+    /// Bulk requests don't count: they are cancelled to make a place, and if they held
+    /// back a live request, it would wait for as long as bulk work occupies the server.
     pub fn is_saturated(&self, usual_others: f32, now: Timestamp) -> bool {
         self.live_requests(usual_others, now) + 1.0 > self.batch() as f32
     }
 
-    /// Takes in a report and returns the requests of other daemons in it.
+    /// Applies a report and returns the number of requests of other daemons in it.
     pub(super) fn report(&mut self, report: LoadReport, now: Timestamp) -> f32 {
         let total = report.running.saturating_add(report.waiting);
         let known = self.in_flight + self.yielding.others;
@@ -134,7 +134,7 @@
         self.others
     }
 
-    /// Keeps the own count only.
+    /// Discards everything but the daemon's own counts.
     pub(super) fn forget_reports(&mut self) {
         *self = ServerLoad {
             in_flight: self.in_flight,
@@ -152,8 +152,8 @@
     }
 }
 
-/// How far a report of this age is believed. The decay is rational, which costs
-/// one division on the request path.
+/// Returns the weight of a report of this age. The decay is rational, which costs only
+/// one division per request.
 pub(super) fn belief(age: Duration) -> f32 {
     let half_lives = age.as_secs_f32() / REPORT_HALF_LIFE.as_secs_f32();
     1.0 / (1.0 + half_lives)
--- a/crates/policy/src/routing/server_table.rs
+++ b/crates/policy/src/routing/server_table.rs
@@ -1,4 +1,4 @@
-//! The backend servers that this daemon knows.
+//! The table of backend servers that this daemon knows.
 
 use std::{mem::size_of, time::Duration};
 
@@ -12,40 +12,40 @@
 /// The weight of one report in a pool's mean of other daemons' requests.
 const REPORT_WEIGHT: f32 = 0.05;
 
-/// A server's name as a number that is the same on every daemon.
+/// A hash of a server's name, the same on every daemon.
 ///
-/// Rendezvous hashing and messages between daemons need it, since a
-/// [`ServerId`] means something to one process only.
+/// It is used for rendezvous hashing and in messages between daemons, since a
+/// [`ServerId`] is valid in one process only.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ServerKey(pub u64);
 
 impl ServerKey {
-    /// The key of the server that the platform calls `name`.
+    /// Returns the key of the server with the platform's name `name`.
     pub fn of(name: &str) -> Self {
         ServerKey(name_key(name))
     }
 }
 
-/// Whether a server takes new work.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// It does, as far as its health goes.
+    /// The server accepts new requests, subject to its health.
     #[default]
     Live,
-    /// It finishes what it has and gets nothing new.
+    /// The server finishes its requests and gets no new ones.
     Leaving,
-    /// It is gone. Its place in the arena is free once nothing is in flight.
+    /// The server is gone. Its index can be reused once nothing is in flight.
     Dropped,
 }
 
-/// What the table holds of one server.
+/// The state of one server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerEntry {
-    /// The platform's name for it.
+    /// The name that the platform uses for it.
     pub name: String,
-    /// Its name as the same number on every daemon.
+    /// The hash of its name.
     pub key: ServerKey,
     /// Where it listens, as `ip:port`.
     pub address: String,
@@ -53,11 +53,11 @@
     pub zone: ZoneId,
     /// Its group.
     pub group: GroupId,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: ServerState,
-    /// How busy it is.
+    /// Its estimated load.
     pub load: ServerLoad,
-    /// How far it is trusted.
+    /// Its health, which determines its share of new requests.
     pub health: ServerHealth,
     pub(super) missing_since: Option<Timestamp>,
     pub(super) live_since: Option<Timestamp>,
@@ -68,7 +68,7 @@
 pub(super) struct ServerPool {
     pub(super) group: GroupId,
     pub(super) zone: ZoneId,
-    /// Those that are live, by key.
+    /// The live servers, sorted by key.
     pub(super) servers: Vec<(ServerKey, ServerId)>,
     mean_others: f32,
     reported_at: Timestamp,
@@ -77,11 +77,11 @@
 }
 
 impl ServerPool {
-    /// The requests of other daemons on one of its servers, in the mean.
+    /// Returns the mean number of requests of other daemons on a server of the pool.
     ///
-    /// It fades while no report comes. Reports ride on answers, so a daemon that
-    /// believed for good that all servers are full would send nothing, hear
-    /// nothing, and never find out that they are free.
+    /// The value decays while no report arrives. Reports come with answers, so a daemon
+    /// that permanently considered all servers full would send no requests, receive no
+    /// reports, and never detect that the servers are free.
     pub(super) fn usual_others(&self, now: Timestamp) -> f32 {
         self.mean_others * belief(now.since(self.reported_at))
     }
@@ -93,7 +93,7 @@
     }
 }
 
-/// The backend servers that this daemon knows, by [`ServerId`].
+/// The table of backend servers that this daemon knows, indexed by [`ServerId`].
 ///
 /// ```
 /// use comfreyramp_policy::{GroupId, ListedServer, RouteQuery, ServerTable, Timestamp, ZoneId};
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     pub(super) entries: Vec<ServerEntry>,
-    /// Every server that isn't dropped, by name.
+    /// All servers that aren't dropped, sorted by name.
     pub(super) by_name: Vec<ServerId>,
     /// Sorted by group, then zone.
     pub(super) pools: Vec<ServerPool>,
@@ -124,24 +124,25 @@
 }
 
 impl ServerTable {
-    /// The entry of a server.
+    /// Returns the entry of a server.
     pub fn entry(&self, server: ServerId) -> Option<&ServerEntry> {
         self.entries.get(server.index())
     }
 
-    /// Every server that isn't dropped, by name.
+    /// Returns all servers that aren't dropped, sorted by name.
     pub fn servers(&self) -> impl Iterator<Item = (ServerId, &ServerEntry)> {
         self.by_name
             .iter()
             .map(|&server| (server, &self.entries[server.index()]))
     }
 
-    /// The server with this name.
+    /// Returns the server with this name.
     pub fn find(&self, name: &str) -> Option<ServerId> {
         self.position(name).ok().map(|at| self.by_name[at])
     }
 
-    /// The server with this key, which other daemons and the suspects use.
+    /// Returns the server with this key, which messages of other daemons and the table
+    /// of suspects use.
     pub fn find_key(&self, key: ServerKey) -> Option<ServerId> {
         let mut servers = self.servers();
         servers
@@ -149,9 +150,9 @@
             .map(|(server, _)| server)
     }
 
-    /// Says what it costs to send a request to another zone: its added latency.
+    /// Sets the cost of sending a request to another zone, which is its added latency.
     ///
-    /// Zones of another region get theirs here, so that they come last.
+    /// Zones of other regions get a high cost, so that they are chosen last.
     pub fn set_zone_cost(&mut self, zone: ZoneId, cost: Duration) {
         match self
             .zone_costs
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Counts a request as ended, `held` after its [`begin`](Self::begin).
+    /// Counts a request as ended, `held` after the matching [`begin`](Self::begin).
     pub fn end(&mut self, server: ServerId, held: Duration) {
         let Some(entry) = self.entries.get_mut(server.index()) else {
             return;
@@ -185,14 +186,14 @@
         }
     }
 
-    /// Sets how many bulk requests the server has, which make room for live work.
+    /// Sets the number of bulk requests on the server, which live requests preempt.
     pub fn set_yielding(&mut self, server: ServerId, yielding: YieldingLoad) {
         if let Some(entry) = self.entries.get_mut(server.index()) {
             entry.load.yielding = yielding;
         }
     }
 
-    /// Takes in a load report that rode on an answer.
+    /// Applies a load report that came with an answer.
     pub fn report(&mut self, server: ServerId, report: LoadReport, now: Timestamp) {
         let Some(entry) = self.entries.get_mut(server.index()) else {
             return;
@@ -203,14 +204,14 @@
         }
     }
 
-    /// Takes in the time from sending a request to its first token.
+    /// Records the time from sending a request to its first token.
     pub fn first_token(&mut self, server: ServerId, span: Duration) {
         if let Some(entry) = self.entries.get_mut(server.index()) {
             entry.load.first_token(span);
         }
     }
 
-    /// Takes in how an attempt went.
+    /// Records the result of an attempt.
     pub fn outcome(
         &mut self,
         server: ServerId,
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Takes a server's own word that it leaves; the VM list may lag behind it.
+    /// Applies a server's own report that it is leaving, which may precede the VM list.
     pub fn leave(&mut self, server: ServerId) {
         let Some(entry) = self.entries.get_mut(server.index()) else {
             return;
@@ -243,7 +244,7 @@
         }
     }
 
-    /// The load of one group in one zone, to be told to other zones.
+    /// Returns the load of one group in one zone, to be reported to other zones.
     pub fn zone_load(&self, group: GroupId, zone: ZoneId, now: Timestamp) -> ZoneLoad {
         let mut sum = ZoneLoad::default();
         let Some(pool) = self.pool(group, zone) else {
@@ -261,14 +262,14 @@
         sum
     }
 
-    /// Takes in what another zone told of its load.
+    /// Applies the load that another zone reported.
     pub fn note_zone_load(&mut self, group: GroupId, zone: ZoneId, load: ZoneLoad, now: Timestamp) {
         if let Some(pool) = self.pool_mut(group, zone) {
             pool.summary = Some((load, now));
         }
     }
 
-    /// The bytes that the table holds.
+    /// Returns the memory usage of the table in bytes.
     pub fn memory(&self) -> usize {
         let entries = self.entries.capacity() * size_of::<ServerEntry>();
         let texts = self.entries.iter();
@@ -296,7 +297,7 @@
         Some(&self.pools[at])
     }
 
-    /// Whether the server's group has another that takes new work.
+    /// Returns whether the server's group has another server that isn't ejected.
     fn has_other(&self, server: ServerId, now: Timestamp) -> bool {
         let group = self.entries[server.index()].group;
         self.group_pools(group)
@@ -313,7 +314,7 @@
         &self.pools[from..from + len]
     }
 
-    /// The pool that counts the server: none unless it is live.
+    /// Returns the pool that counts the server, if the server is live.
     fn pool_of(&mut self, server: ServerId) -> Option<&mut ServerPool> {
         let entry = &self.entries[server.index()];
         if entry.state != ServerState::Live {
@@ -332,7 +333,7 @@
             .binary_search_by_key(&(group, zone), |pool| (pool.group, pool.zone))
     }
 
-    /// Sorts the live servers into pools anew, after the list changed something.
+    /// Rebuilds the pools of live servers after a change of the table.
     pub(super) fn rebuild_pools(&mut self) {
         for pool in &mut self.pools {
             pool.servers.clear();
