--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -1,10 +1,10 @@
-//! At most once: what has to be in the platform before a byte of a request that
-//! is not idempotent may leave.
+//! At-most-once execution: the record that must exist in the platform before a byte of
+//! a request that is not idempotent may be sent.
 //!
-//! [`ClaimBook`] decides which claims are written together and when, what an
-//! answer or its loss means, and whether a request may be sent. A claim is
-//! never taken over: a daemon that was lost right after its claim may have sent
-//! the request, and nobody else can tell. See `docs/DESIGN.md`.
+//! [`ClaimBook`] decides which claims are written together and when, what an answer or
+//! its loss means, and whether a request may be sent. A claim is never taken over: a
+//! daemon that was lost right after its claim may have sent the request, and no other
+//! daemon can tell. See `docs/DESIGN.md`.
 
 mod claim_book;
 mod entry;
--- a/crates/policy/src/claims/claim_book.rs
+++ b/crates/policy/src/claims/claim_book.rs
@@ -9,27 +9,27 @@
 };
 use crate::{Fingerprint, Incarnation, Timestamp};
 
-/// How long after its write was begun a claim allows its call to be sent.
+/// How long after the start of its write a claim allows its call to be sent.
 ///
-/// A daemon that is paused between the two must not send when it wakes: the
-/// caller was told long ago that nothing is known, and once the record has
-/// lapsed the call may have been made elsewhere. Records are kept for a day, so
-/// that the claim ends by the own clock long before its record does.
+/// A daemon that is paused in between must not send the call when it resumes: the
+/// caller was told long ago that the result is unknown, and once the record has expired
+/// another daemon may have made the call. Records are kept for a day, so by the own
+/// clock the claim ends long before its record does.
 pub(super) const CLAIM_VALIDITY: Duration = Duration::from_secs(2);
 
-/// How long a call waits for its claim at most.
+/// How long a call waits for its claim.
 const CLAIM_WAIT: Duration = Duration::from_secs(2);
 
-/// The claims that wait to be written at most.
+/// The maximum number of claims that wait to be written.
 const MAX_WAITING: usize = 1024;
 
 /// The claims of one daemon.
 #[derive(Clone, Debug)]
 pub struct ClaimBook {
-    /// The time between two groups at least.
+    /// The minimum interval between two groups.
     ///
-    /// It bounds what one daemon asks of the platform, and makes groups grow
-    /// with the load.
+    /// It bounds the rate of a daemon's transactions on the platform, and makes groups
+    /// grow with the load.
     pub spacing: Duration,
     pub(super) incarnation: Incarnation,
     /// Sorted by key.
@@ -39,12 +39,12 @@
     pub(super) groups: u64,
     pub(super) group_sent_at: Option<Timestamp>,
     pub(super) out_until: Timestamp,
-    /// The groups in a row whose answers were lost.
+    /// The number of consecutive groups whose answers were lost.
     pub(super) losses: u32,
 }
 
 impl ClaimBook {
-    /// An empty book for a process that has just started.
+    /// Creates an empty set of claims for a process that has just started.
     pub fn new(incarnation: Incarnation) -> Self {
         ClaimBook {
             spacing: Duration::from_millis(20),
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Enters a call. Its claim is written with the next group.
+    /// Registers a call. Its claim is written with the next group.
     ///
     /// # Errors
     ///
-    /// The call is refused at once if the platform is known to be out, too much
-    /// waits, or the same call is under way here.
+    /// Rejects the call at once if the platform is known to be unavailable, too many
+    /// claims are waiting, or the same call is in progress on this daemon.
     pub fn claim(
         &mut self,
         key: ClaimKey,
@@ -119,7 +119,7 @@
         Ok(ticket)
     }
 
-    /// What a call may do now.
+    /// Returns what a call may do now.
     pub fn verdict(&self, key: ClaimKey, ticket: ClaimTicket) -> ClaimVerdict {
         let Some(entry) = self.entry(key, ticket) else {
             return refused(ClaimCause::Late);
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Says whether the call may be sent, once. This is the last check before
-    /// the first byte; afterwards there is no second try.
+    /// Returns true once if the call may be sent. This is the last check before the
+    /// first byte; afterwards there is no second attempt.
     pub fn start(&mut self, key: ClaimKey, ticket: ClaimTicket, now: Timestamp) -> bool {
         let Some(entry) = self.entry_mut(key, ticket) else {
             return false;
@@ -148,8 +148,8 @@
         true
     }
 
-    /// Takes back a start after which no byte left, since no connection could
-    /// be opened. Another server may be tried while the claim is valid.
+    /// Reverts a start after which no byte was sent because no connection could be
+    /// opened. Another server may be tried while the claim is valid.
     pub fn not_sent(&mut self, key: ClaimKey, ticket: ClaimTicket) {
         if let Some(entry) = self.entry_mut(key, ticket)
             && let Stage::Sent { until } = entry.stage
@@ -158,18 +158,18 @@
         }
     }
 
-    /// Takes in the answer to a call that was sent.
+    /// Records the answer to a call that was sent.
     pub fn finish(&mut self, key: ClaimKey, ticket: ClaimTicket, answer: AnswerRef) {
         self.settle(key, ticket, ClaimState::Finished { answer });
     }
 
-    /// Takes in that the answer to a call that was sent is lost.
+    /// Records that the answer to a call that was sent has been lost.
     pub fn lose(&mut self, key: ClaimKey, ticket: ClaimTicket) {
         self.settle(key, ticket, ClaimState::Unknown);
     }
 
-    /// Forgets a call whose verdict its caller has, or whose caller is gone.
-    /// What was certainly not sent is released.
+    /// Removes a call whose verdict has been delivered, or whose caller is gone. A
+    /// claim whose call was certainly not sent is released.
     pub fn forget(&mut self, key: ClaimKey, ticket: ClaimTicket) {
         let Ok(at) = self.position(key) else {
             return;
@@ -179,8 +179,8 @@
             return;
         }
         match &entry.stage {
-            // A call on its way to the platform or to a server comes back here
-            // when its answer, or the loss of it, is known.
+            // A call that has been sent is forgotten only after its answer, or the loss of it,
+            // is known.
             Stage::Sent { .. } => return,
             Stage::Waiting | Stage::Writing { .. } | Stage::Granted { .. } if entry.may_exist => {
                 self.changes.push(ClaimChange::Release(key, ticket));
@@ -190,7 +190,8 @@
         self.entries.remove(at);
     }
 
-    /// Gives up what took too long. Call it some times a second.
+    /// Rejects calls whose claims took too long. Has to be called several times a
+    /// second.
     pub fn poll(&mut self, now: Timestamp) {
         for entry in &mut self.entries {
             let late = match entry.stage {
--- a/crates/policy/src/claims/entry.rs
+++ b/crates/policy/src/claims/entry.rs
@@ -1,19 +1,19 @@
-//! One claim of this daemon.
+//! The state of one claim on this daemon.
 
 use super::{ClaimCause, ClaimRecord, ClaimRefusal, ClaimState, ClaimVerdict};
 use crate::Timestamp;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// To be written with the next group.
+    /// The claim is to be written with the next group.
     Waiting,
-    /// On its way to the platform.
+    /// The claim is being written to the platform.
     Writing { group: u64, sent_at: Timestamp },
-    /// Written. The call may be sent until then.
+    /// The claim is written. The call may be sent until `until`.
     Granted { until: Timestamp },
-    /// The first byte may have left.
+    /// The first byte may have been sent.
     Sent { until: Timestamp },
-    /// Nothing more happens here.
+    /// The final state.
     Over(ClaimVerdict),
 }
 
@@ -21,11 +21,11 @@
 pub(super) struct Entry {
     pub(super) record: ClaimRecord,
     pub(super) stage: Stage,
-    /// When it is given up unless it is written by then.
+    /// The time at which the call is rejected unless its claim is written by then.
     pub(super) give_up_at: Timestamp,
-    /// Whether the record may be in the platform.
+    /// Whether the record may exist in the platform.
     pub(super) may_exist: bool,
-    /// Whether the answer to an earlier write of it was lost.
+    /// Whether the answer to an earlier write of the record was lost.
     pub(super) answer_lost: bool,
 }
 
@@ -35,7 +35,7 @@
         self.stage = Stage::Over(ClaimVerdict::Refused(refusal));
     }
 
-    /// What another's record under the same key means for this call.
+    /// Derives the verdict from another call's record under the same key.
     pub(super) fn meet(&mut self, found: &ClaimRecord) {
         if found.body != self.record.body {
             return self.refuse(ClaimCause::OtherBody);
--- a/crates/policy/src/claims/messages.rs
+++ b/crates/policy/src/claims/messages.rs
@@ -1,4 +1,4 @@
-//! What is written to the platform, and what follows from its answers.
+//! The records and transactions of claims, and the verdicts that follow from them.
 
 use std::time::Duration;
 
@@ -7,91 +7,94 @@
 
 use crate::{Fingerprint, Incarnation, RunState};
 
-/// What a claim is on: one call that must not be repeated.
+/// The identity of a call that must not be repeated.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ClaimKey(pub u128);
 
 impl ClaimKey {
-    /// The claim's key for a caller's `Idempotency-Key`, the same on every daemon.
+    /// Returns the key for a caller's `Idempotency-Key`, which is the same on every
+    /// daemon.
     pub fn of(customer: &str, service: &str, idempotency_key: &str) -> Self {
         ClaimKey(Fingerprint::of(customer, service, idempotency_key.as_bytes()).0)
     }
 
-    /// A key of its own for a call without `Idempotency-Key`. Resends of such a
+    /// Returns a unique key for a call without `Idempotency-Key`. Resends of such a
     /// call can't be recognised.
     pub fn unique(rng: &mut impl Rng) -> Self {
         ClaimKey(rng.random())
     }
 }
 
-/// Names one claim of one process.
+/// Identifies one claim of one process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTicket {
-    /// The process that claims.
+    /// The process that holds the claim.
     pub holder: Incarnation,
-    /// Its number among those of the process.
+    /// A sequence number within that process.
     pub number: u64,
 }
 
-/// Where a stored answer is found.
+/// The location of a stored answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerRef(pub String);
 
-/// How far a claimed call is.
+/// The state of a claimed call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// It may have been sent.
+    /// The call may have been sent.
     #[default]
     Claimed,
-    /// It was answered.
+    /// The call was answered.
     Finished {
-        /// The answer.
+        /// The location of the answer.
         answer: AnswerRef,
     },
-    /// It was sent and its answer was lost.
+    /// The call was sent and its answer was lost.
     Unknown,
 }
 
-/// What the platform keeps of a claim for a day.
+/// The platform's record of a claim, kept for a day.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// What is claimed.
+    /// The claimed call.
     pub key: ClaimKey,
-    /// The body of the call, so that another call under the same key is noticed.
+    /// The fingerprint of the call's body, which reveals a different call under the
+    /// same key.
     pub body: Fingerprint,
-    /// Whose claim it is.
+    /// The claim that wrote the record.
     pub ticket: ClaimTicket,
-    /// How far the call is.
+    /// The state of the call.
     pub state: ClaimState,
 }
 
-/// Claims to be written in one transaction, all of them if no key exists.
+/// Claims to be written in one transaction: all of them if none of the keys exists,
+/// otherwise none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimGroup {
-    /// The number under which the answer is awaited.
+    /// The sequence number that identifies the answer.
     pub number: u64,
     /// The claims.
     pub records: Vec<ClaimRecord>,
 }
 
-/// What became of a group.
+/// The result of writing a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupAnswer {
-    /// All of it was written.
+    /// All claims were written.
     Written,
-    /// Nothing was written, as these keys exist.
+    /// Nothing was written, since records with these keys exist.
     Found(Vec<ClaimRecord>),
-    /// No answer came, so it may have been written.
+    /// No answer arrived, so the group may have been written.
     Lost,
-    /// The platform wasn't reached, so nothing was written.
+    /// The platform couldn't be reached, so nothing was written.
     Unreachable,
 }
 
-/// A later change of a claim's record. It may be made only while the record has
-/// this ticket: compare the revision at which it was read.
+/// A later change of a claim's record. It may be made only while the record has this
+/// ticket: the transaction has to compare the revision at which the record was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimChange {
     /// The record is replaced by this one.
@@ -104,26 +107,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimCause {
-    /// The platform can't be asked.
+    /// The platform is unavailable.
     NoPlatform,
     /// Too many claims wait to be written.
     Busy,
-    /// The claim took too long, or lapsed before the call was sent.
+    /// The claim took too long, or expired before the call was sent.
     Late,
-    /// The same call is being made, or was and its answer is lost.
+    /// The same call is in progress, or was made and its answer is lost.
     Claimed,
-    /// Another call was made under the same key.
+    /// A different call was made under the same key.
     OtherBody,
 }
 
-/// The last word on a call that isn't sent.
+/// The final answer to a call that isn't sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimRefusal {
     /// Whether the call has run.
     pub run: RunState,
     /// Why it isn't sent.
     pub cause: ClaimCause,
-    /// When the caller may come back.
+    /// The delay after which the caller may retry.
     pub retry_after: Duration,
 }
 
@@ -146,12 +149,12 @@
 /// What a call may do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// Its claim isn't written yet.
+    /// The call has to wait, since its claim isn't written yet.
     Wait,
-    /// It may be sent; see [`ClaimBook::start`](super::ClaimBook::start).
+    /// The call may be sent; see [`ClaimBook::start`](super::ClaimBook::start).
     Send,
-    /// It was made before. This is its answer.
+    /// The call was made before. This is its answer.
     Answered(AnswerRef),
-    /// It isn't sent.
+    /// The call must not be sent.
     Refused(ClaimRefusal),
 }
--- a/crates/policy/src/claims/writes.rs
+++ b/crates/policy/src/claims/writes.rs
@@ -1,4 +1,4 @@
-//! Which claims are written together, and what the answers mean.
+//! Grouping of claims into transactions, and handling of the answers.
 
 use std::time::Duration;
 
@@ -7,23 +7,25 @@
 use super::{ClaimBook, ClaimCause, ClaimChange, ClaimGroup, GroupAnswer};
 use crate::Timestamp;
 
-/// The claims in one group at most. A transaction compares and writes each.
+/// The maximum number of claims in one group. A transaction compares and writes each of
+/// them.
 const GROUP_CLAIMS: usize = 48;
 
-/// How long calls are refused at once after the platform wasn't reached.
+/// How long calls are rejected at once after the platform was found to be unavailable.
 const OUTAGE_PAUSE: Duration = Duration::from_secs(1);
 
-/// The lost answers in a row that count as an outage. One alone is an ordinary
-/// event; a platform that accepts connections and answers nothing would
-/// otherwise hold each call up for as long as it may wait for its claim.
+/// The number of consecutive lost answers that count as an outage. A single one is
+/// normal; a platform that accepts connections and answers nothing would otherwise
+/// delay each call for as long as it may wait for its claim.
 const OUTAGE_LOSSES: u32 = 3;
 
 impl ClaimBook {
-    /// The next group to write, if it is time for one.
+    /// Returns the next group to write, if one is due.
     ///
-    /// A claim whose answer was lost goes with a later group under the same
-    /// ticket. If the first write took effect, the transaction is refused and
-    /// reads the own record back; if it comes late, it is refused in turn.
+    /// A claim whose answer was lost is written again in a later group under the same
+    /// ticket. If the first write took effect, the second transaction fails its
+    /// comparison and reads the own record back; if the first write arrives late, it
+    /// fails instead.
     pub fn next_group(&mut self, now: Timestamp) -> Option<ClaimGroup> {
         let last = self.group_sent_at;
         if last.is_some_and(|at| now.since(at) < self.spacing) {
@@ -51,7 +53,7 @@
         Some(ClaimGroup { number, records })
     }
 
-    /// When the next group may be written, or none if nothing waits.
+    /// Returns when the next group may be written, or none if no claim is waiting.
     pub fn group_due(&self) -> Option<Timestamp> {
         let mut entries = self.entries.iter();
         entries.find(|it| it.stage == Stage::Waiting)?;
@@ -59,13 +61,13 @@
         Some(after.unwrap_or(Timestamp::ZERO))
     }
 
-    /// The groups in a row whose answers were lost. The next one had better
-    /// wait the longer, the more there were.
+    /// Returns the number of consecutive groups whose answers were lost. The timeout of
+    /// the next group should grow with it.
     pub fn losses(&self) -> u32 {
         self.losses
     }
 
-    /// Takes in what became of a group.
+    /// Applies the result of writing a group.
     pub fn group_answer(&mut self, number: u64, answer: &GroupAnswer, now: Timestamp) {
         self.note_platform(answer, now);
         for entry in &mut self.entries {
@@ -116,14 +118,14 @@
         };
     }
 
-    /// The changes to make to records, `limit` at most. Give those that failed
-    /// back with [`return_changes`](Self::return_changes).
+    /// Removes and returns up to `limit` pending changes of records. Those that failed
+    /// have to be returned with [`return_changes`](Self::return_changes).
     pub fn take_changes(&mut self, limit: usize) -> Vec<ClaimChange> {
         let count = self.changes.len().min(limit);
         self.changes.drain(..count).collect()
     }
 
-    /// Takes changes back that couldn't be made, or may not have been.
+    /// Requeues changes that failed or whose result is unknown.
     pub fn return_changes(&mut self, changes: Vec<ClaimChange>) {
         self.changes.splice(0..0, changes);
     }
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -1,10 +1,10 @@
-//! The daemons of the fleet, and who does what without talking about it.
+//! The daemons of the fleet, and the assignment of their roles without coordination.
 //!
-//! [`MemberTable`] gathers what the VM list, heartbeats and leaving notices
-//! say. Which daemon is a server's home and which ones watch for a zone follows
-//! from it by rendezvous hashing. Daemons may disagree for a moment, so both
-//! choices are made such that two daemons doing the same work is a waste and
-//! nothing worse. See `docs/DESIGN.md`.
+//! [`MemberTable`] combines the VM list, heartbeats and notices of leaving daemons. It
+//! derives by rendezvous hashing which daemon is a server's home and which daemons
+//! watch the platform for a zone. Daemons may disagree for a moment, so both
+//! assignments are designed such that two daemons in the same role only waste work. See
+//! `docs/DESIGN.md`.
 
 mod list;
 mod member_table;
--- a/crates/policy/src/members/list.rs
+++ b/crates/policy/src/members/list.rs
@@ -1,4 +1,4 @@
-//! What the VM list changes in the member table.
+//! Application of the VM list to the member table.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 /// How long a silent daemon that isn't listed is kept.
 const MISSING_GRACE: Duration = Duration::from_secs(120);
 
-/// How long the number of a dropped daemon isn't given to another.
+/// How long the id of a dropped daemon isn't reused.
 const NUMBER_REST: Duration = Duration::from_secs(3600);
 
-/// A daemon as the platform lists it.
+/// A daemon as listed by the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListedDaemon {
-    /// The platform's name for its VM.
+    /// The name that the platform uses for its VM.
     pub name: String,
     /// Its zone.
     pub zone: ZoneId,
-    /// Where its peers reach it, as `ip:port`.
+    /// The address for its peers, as `ip:port`.
     pub address: String,
-    /// Whether its VM is on its way out.
+    /// Whether its VM is being shut down.
     pub leaving: bool,
 }
 
 impl MemberTable {
-    /// Takes in a VM list, which may be late, empty or wrong. An empty one is
-    /// ignored: this daemon runs, so the fleet isn't empty.
+    /// Applies a VM list, which may be late, empty or wrong. An empty one is ignored,
+    /// since the fleet contains at least this daemon.
     ///
-    /// The list brings daemons in and takes silent ones out. Whether one that
-    /// speaks is at work is known better from its heartbeats.
+    /// The list adds daemons and removes silent ones. Whether a daemon that sends
+    /// messages is running is determined by its heartbeats.
     pub fn apply_list(&mut self, listed: &[ListedDaemon], now: Timestamp) {
         if listed.is_empty() {
             return;
@@ -77,8 +77,8 @@
 }
 
 impl MemberEntry {
-    /// Whether its number may be given to another daemon. Notices and answers
-    /// of the one before could still come in under it for a while.
+    /// Returns whether the id may be reused. For a while, notices and acknowledgements
+    /// of the previous daemon could still arrive under it.
     pub(super) fn is_free(&self, now: Timestamp) -> bool {
         self.dropped_at
             .is_some_and(|at| now.since(at) >= NUMBER_REST)
--- a/crates/policy/src/members/member_table.rs
+++ b/crates/policy/src/members/member_table.rs
@@ -1,57 +1,58 @@
-//! The daemons that this one knows.
+//! The table of daemons that this daemon knows.
 
 use std::time::Duration;
 
 use crate::{DaemonId, Incarnation, Timestamp, ZoneId, hash::name_key};
 
-/// The time between heartbeats to a daemon of the own zone.
+/// The interval between heartbeats to a daemon of the own zone.
 pub(super) const NEAR_BEAT: Duration = Duration::from_secs(2);
 
-/// The time between heartbeats to a daemon of another zone. Most of the fleet is
-/// elsewhere, and what depends on it can wait longer.
+/// The interval between heartbeats to a daemon of another zone. Most of the fleet is in
+/// other zones, and what depends on these heartbeats is less urgent.
 pub(super) const FAR_BEAT: Duration = Duration::from_secs(20);
 
-/// The heartbeats that are missed before a daemon counts as gone.
+/// The number of heartbeat intervals without a message after which a daemon counts as
+/// gone.
 const MISSED_BEATS: u32 = 3;
 
-/// What a daemon says of itself, and what any message from it stands for.
+/// A daemon's report about itself. Any other message from the daemon counts as one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Its name in the VM list.
+    /// The daemon's name in the VM list.
     pub name: String,
-    /// Its zone.
+    /// The daemon's zone.
     pub zone: ZoneId,
-    /// Where its peers reach it, as `ip:port`.
+    /// The address for its peers, as `ip:port`.
     pub address: String,
-    /// Its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// Whether it is about to stop.
+    /// Whether the daemon is about to stop.
     pub leaving: bool,
 }
 
-/// What a heartbeat told.
+/// The change of state that a heartbeat revealed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberNews {
-    /// Nothing new.
+    /// Nothing has changed.
     Known(DaemonId),
-    /// The daemon was not known, or has been silent for long.
+    /// The daemon was unknown, or had been silent for long.
     Joined(DaemonId),
-    /// The daemon has been started anew, and remembers nothing.
+    /// The daemon was restarted and has lost its state.
     Restarted(DaemonId),
     /// The daemon is about to stop.
     Leaving(DaemonId),
 }
 
-/// What the table holds of one daemon.
+/// The state of one daemon.
 #[derive(Clone, Debug, Default)]
 pub struct MemberEntry {
-    /// Its name in the VM list.
+    /// The daemon's name in the VM list.
     pub name: String,
-    /// Its zone.
+    /// The daemon's zone.
     pub zone: ZoneId,
-    /// Where its peers reach it, as `ip:port`.
+    /// The address for its peers, as `ip:port`.
     pub address: String,
-    /// Its process, once it was heard of.
+    /// The incarnation of its process, if a message has been received from it.
     pub incarnation: Option<Incarnation>,
     pub(super) key: u64,
     pub(super) known_since: Timestamp,
@@ -64,19 +65,20 @@
     pub(super) dropped_at: Option<Timestamp>,
 }
 
-/// The daemons that this one knows, by [`DaemonId`]; itself is number 0.
+/// The daemons that this one knows, indexed by [`DaemonId`]; the daemon itself has id
+/// 0.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     pub(super) entries: Vec<MemberEntry>,
-    /// Every daemon that isn't dropped, by name.
+    /// All daemons that aren't dropped, sorted by name.
     pub(super) by_name: Vec<DaemonId>,
 }
 
 impl MemberTable {
-    /// The number of the daemon itself.
+    /// The id of the daemon itself.
     pub const OWN: DaemonId = DaemonId(0);
 
-    /// A table that knows the daemon itself only.
+    /// Creates a table that contains only the daemon itself.
     pub fn new(own: &Heartbeat, now: Timestamp) -> Self {
         let mut table = MemberTable {
             entries: Vec::new(),
@@ -86,19 +88,20 @@
         table
     }
 
-    /// The entry of a daemon.
+    /// Returns the entry of a daemon.
     pub fn entry(&self, daemon: DaemonId) -> Option<&MemberEntry> {
         self.entries.get(daemon.index())
     }
 
-    /// The daemon with this name.
+    /// Returns the daemon with this name.
     pub fn find(&self, name: &str) -> Option<DaemonId> {
         self.position(name).ok().map(|at| self.by_name[at])
     }
 
-    /// Takes in a heartbeat, or any other message of a daemon.
+    /// Applies a heartbeat, or any other message of a daemon.
     ///
-    /// A daemon needn't be listed: the list lags, and a daemon that speaks runs.
+    /// The daemon needn't be listed: the list is delayed, and a daemon that sends
+    /// messages is running.
     pub fn heartbeat(&mut self, beat: &Heartbeat, now: Timestamp) -> MemberNews {
         let place = self.position(&beat.name);
         let daemon = match place {
@@ -133,8 +136,8 @@
         }
     }
 
-    /// Takes in that a daemon's connections broke and can't be opened again. It
-    /// counts as gone until it is heard of.
+    /// Records that a daemon's connections broke and can't be reopened. It counts as
+    /// gone until a message from it arrives.
     pub fn unreachable(&mut self, daemon: DaemonId) {
         if daemon == Self::OWN {
             return;
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Whether a daemon is taken to be at work.
+    /// Returns whether a daemon is assumed to be running.
     pub fn is_alive(&self, daemon: DaemonId, now: Timestamp) -> bool {
         let Some(entry) = self.entry(daemon) else {
             return false;
@@ -156,21 +159,22 @@
             return true;
         }
         let limit = self.beat_interval(entry) * MISSED_BEATS;
-        // One that was listed and not heard of yet may be starting.
+        // A listed daemon from which nothing has been received yet may be starting.
         let heard_at = entry.heard_at.unwrap_or(entry.known_since);
         !entry.listed_leaving && now.since(heard_at) < limit
     }
 
-    /// The daemons that are taken to be at work, this one included, by name.
+    /// Returns the daemons that are assumed to be running, including this one, sorted
+    /// by name.
     pub fn alive(&self, now: Timestamp) -> impl Iterator<Item = DaemonId> {
         let members = self.by_name.iter().copied();
         members.filter(move |&it| self.is_alive(it, now))
     }
 
-    /// The daemons to which a heartbeat is due. They count as sent.
+    /// Returns the daemons to which a heartbeat is due, and records it as sent.
     ///
-    /// Those that are silent get them too: that is how both sides of a cut find
-    /// each other again.
+    /// Silent daemons get heartbeats too, so that both sides of a network partition
+    /// find each other again.
     pub fn beats_due(&mut self, now: Timestamp) -> Vec<DaemonId> {
         let mut due = Vec::new();
         for &daemon in &self.by_name {
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -1,17 +1,18 @@
-//! The request that crashes the servers which run it.
+//! Isolation of requests that crash the servers which run them.
 //!
-//! Everything in flight on a dead server is a suspect. [`SuspectTable`] makes
-//! sure that a suspect runs once more at most over the whole fleet, alone among
-//! suspects on its server, and that a second death blocks it on every daemon.
-//! Three things together bound the loss:
+//! Every request in flight on a server that dies becomes a suspect. [`SuspectTable`]
+//! ensures that a suspect runs at most once more in the whole fleet (its trial), as the
+//! only suspect on its server, and that a second death blocks it on every daemon. Three
+//! rules together bound the number of servers lost:
 //!
-//! 1. The daemon that saw the death tells all peers, and each answers whether
-//!    a copy runs there. From its answer on, a peer starts no further copy.
-//! 2. No trial begins before every peer has answered and no copy runs anywhere.
-//! 3. A trial needs a record that exists once in the platform and outlives the
-//!    daemon that wrote it. [`TrialBook`] keeps the same records in memory.
+//! 1. The daemon that detected the death reports it to all peers, and each answers
+//!    whether a copy of the request runs there. From its answer on, a peer starts no
+//!    further copy.
+//! 2. No trial starts before every peer has answered and no copy runs anywhere.
+//! 3. A trial requires a record that is unique in the platform and outlives the daemon
+//!    that wrote it. [`TrialBook`] keeps the same records in memory.
 //!
-//! See `docs/DESIGN.md` for what remains.
+//! See `docs/DESIGN.md` for the remaining risks.
 
 mod entry;
 mod exchange;
--- a/crates/policy/src/suspects/entry.rs
+++ b/crates/policy/src/suspects/entry.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of one fingerprint.
+//! The state of one fingerprint in a daemon's table of suspects.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 use super::{DeathFact, DeathId, Fingerprint, SuspectFact, SuspectStage, TrialAsk};
 use crate::{DaemonId, ServerKey, Timestamp};
 
-/// Sightings of one server's death within this time are one death, as daemons
-/// see it at different moments, unless the server had come back between.
+/// Detections of a server's death within this time count as one death, since daemons
+/// detect it at different times, unless the server was restarted in between.
 const SAME_DEATH: Duration = Duration::from_secs(10);
 
-/// The time that a server takes at least to come back. A run that began later
-/// than this after a death was on the server that came back. It must exceed the
-/// time that messages take, which makes deaths look later than they were.
+/// The minimum time that a server takes to restart. A run that began later than this
+/// after a death ran on the restarted server. It must exceed the delivery time of
+/// messages, which makes deaths appear later than they were.
 const COMES_BACK_AFTER: Duration = Duration::from_secs(1);
 
-/// The deaths that block a fingerprint.
+/// The number of deaths that block a fingerprint.
 const BLOCKING_DEATHS: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,25 +26,26 @@
     pub(super) begun_at: Timestamp,
 }
 
-/// How far this daemon is with the one run that a suspect may still have.
+/// The state of a suspect's trial on this daemon. The trial is the one further run that
+/// a suspect may have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Trial {
     #[default]
     Idle,
-    /// The request for it is on its way.
+    /// The trial has been requested.
     Asked { ask: TrialAsk, sent_at: Timestamp },
-    /// It may begin until then.
+    /// The trial has been granted and may start until `until`.
     Granted { ask: TrialAsk, until: Timestamp },
-    /// It runs.
+    /// The trial is running.
     Running { ask: TrialAsk },
-    /// It was stopped; its server may still die of it.
+    /// The trial was stopped; its server may still die of it.
     Quiet { ask: TrialAsk, since: Timestamp },
-    /// Another daemon has it; asking again is of no use until then.
+    /// Another daemon holds the trial; a new request is useless before `until`.
     Elsewhere { until: Timestamp },
 }
 
 impl Trial {
-    /// The trial, if the suspect has begun to run in it.
+    /// Returns the trial if the suspect has started to run in it.
     pub(super) fn begun(&self) -> Option<TrialAsk> {
         match *self {
             Trial::Running { ask } | Trial::Quiet { ask, .. } => Some(ask),
@@ -53,12 +54,12 @@
     }
 }
 
-/// A peer that has to answer a notice.
+/// A peer that has to acknowledge a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Addressee {
     pub(super) peer: DaemonId,
     pub(super) sent_at: Option<Timestamp>,
-    /// Whether the peer said that a copy runs there, so it is asked again.
+    /// Whether the peer reported that a copy runs there, so that it is notified again.
     pub(super) running: bool,
 }
 
@@ -67,16 +68,16 @@
     pub(super) fingerprint: Fingerprint,
     pub(super) deaths: Vec<Death>,
     pub(super) blocked: bool,
-    /// Whether the fingerprint ran to its end since the deaths.
+    /// Whether a run of the fingerprint finished after the deaths.
     pub(super) cleared: bool,
     pub(super) until: Timestamp,
     pub(super) trial: Trial,
-    /// The peers that haven't answered, or run a copy.
+    /// The peers that haven't answered yet or run a copy.
     pub(super) addressees: Vec<Addressee>,
     pub(super) addressed_at: Timestamp,
-    /// Whether its block has yet to be kept in the platform.
+    /// Whether the block has yet to be written to the platform.
     pub(super) unstored: bool,
-    /// Whether a death was seen here, so that newcomers are told from here.
+    /// Whether this daemon detected a death, so that it notifies peers that join.
     pub(super) own: bool,
 }
 
@@ -106,13 +107,13 @@
         }
     }
 
-    /// Adds a death unless it is known, and says whether it is new.
+    /// Adds a death unless it is known, and returns whether it is new.
     pub(super) fn add_death(&mut self, death: Death) -> bool {
         if self.knows(&death) {
             return false;
         }
         if self.cleared {
-            // The deaths before were not its doing.
+            // The suspect has been cleared of the earlier deaths.
             self.cleared = false;
             self.deaths.clear();
         }
@@ -131,24 +132,25 @@
         })
     }
 
-    /// Whether a run is one of those that the known deaths ended.
+    /// Returns whether a run was ended by one of the known deaths.
     pub(super) fn ended(&self, running: &Running) -> bool {
         let ended = |it: &Death| it.server == running.server && running.begun_at <= it.seen_at;
         self.deaths.iter().any(ended)
     }
 
-    /// Whether nothing is left to be done about a cleared fingerprint.
+    /// Returns whether the fingerprint is cleared and needs no further action.
     pub(super) fn is_done(&self) -> bool {
         let idle = matches!(self.trial, Trial::Idle | Trial::Elsewhere { .. });
         self.cleared && self.addressees.is_empty() && idle
     }
 
-    /// Whether a peer hasn't answered yet.
+    /// Returns whether a peer hasn't answered yet.
     pub(super) fn awaits_answer(&self) -> bool {
         self.addressees.iter().any(|it| !it.running)
     }
 
-    /// Ends what this daemon had asked for or begun, to be settled.
+    /// Ends a trial that this daemon requested or started, and returns it so that it
+    /// can be settled.
     pub(super) fn take_trial(&mut self) -> Option<TrialAsk> {
         match std::mem::take(&mut self.trial) {
             Trial::Asked { ask, .. }
--- a/crates/policy/src/suspects/exchange.rs
+++ b/crates/policy/src/suspects/exchange.rs
@@ -1,4 +1,4 @@
-//! What a daemon passes on of its suspects, and takes in from others.
+//! Exchange of suspects between daemons.
 
 use super::entry::{Death, Entry};
 use super::suspect_table::SUSPECT_LIFETIME;
@@ -6,12 +6,12 @@
 use crate::Timestamp;
 
 impl SuspectTable {
-    /// What this daemon knows of one fingerprint.
+    /// Returns what this daemon knows of one fingerprint.
     pub fn fact(&self, fingerprint: Fingerprint, now: Timestamp) -> Option<SuspectFact> {
         self.entry(fingerprint).map(|it| it.fact(now))
     }
 
-    /// What this daemon knows, for a peer that starts.
+    /// Returns all that this daemon knows, for a peer that starts.
     pub fn export(&self, now: Timestamp) -> Vec<SuspectFact> {
         let known = self
             .entries
@@ -20,8 +20,8 @@
         known.map(|it| it.fact(now)).collect()
     }
 
-    /// Takes in what another daemon exported, or the platform kept. A daemon
-    /// that starts does so before it takes requests.
+    /// Applies what another daemon exported or the platform stored. A daemon that
+    /// starts does so before it accepts requests.
     pub fn import(&mut self, facts: &[SuspectFact], now: Timestamp) {
         for fact in facts {
             self.import_fact(fact, now);
@@ -39,7 +39,7 @@
             let entry = &mut self.entries[at];
             let mut covering = Entry::new(fact.fingerprint, now);
             covering.deaths = cleared;
-            // A death that the sender hadn't heard of is not cleared by it.
+            // A fact clears only the deaths that its sender knew of.
             if !entry.blocked && entry.deaths.iter().all(|it| covering.knows(it)) {
                 entry.cleared = true;
             }
--- a/crates/policy/src/suspects/messages.rs
+++ b/crates/policy/src/suspects/messages.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of suspects. All times are durations.
+//! The messages about suspects that daemons exchange. All times are durations.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use crate::{Incarnation, ServerKey};
 
-/// What makes two requests the same: customer, service and body.
+/// The identity of a request: a hash of customer, service and body.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// The fingerprint of a request, the same on every daemon.
+    /// Returns the fingerprint of a request, which is the same on every daemon.
     ///
-    /// It takes names, since ids differ between daemons.
+    /// It is computed from names, since ids differ between daemons.
     pub fn of(customer: &str, service: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
         for part in [customer.as_bytes(), service.as_bytes()] {
@@ -30,41 +30,42 @@
     }
 }
 
-/// One attempt of one request on this daemon.
+/// The id of one attempt of one request on this daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId(pub u64);
 
-/// Names one sighting of a death, so that it is known again after a detour.
+/// Identifies one detection of a death, so that a fact that arrives through several
+/// daemons is recognised.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeathId {
-    /// The process that saw it.
+    /// The process that detected the death.
     pub seen_by: Incarnation,
-    /// Its number among those that the process saw.
+    /// A sequence number within that process.
     pub number: u64,
 }
 
 /// The death of a server while a suspect ran on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeathFact {
-    /// Names the sighting.
+    /// Identifies the detection.
     pub id: DeathId,
     /// The server.
     pub server: ServerKey,
-    /// How long ago its death was seen.
+    /// The time since the death was detected.
     pub age: Duration,
-    /// How long the suspect had run there.
+    /// How long the suspect had been running there.
     pub ran: Duration,
 }
 
-/// What is thought of a fingerprint.
+/// The status of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SuspectStage {
     /// It may run again in a trial only.
     Suspected,
-    /// It doesn't run any more.
+    /// It must not run any more.
     Blocked,
-    /// It ran to its end: the deaths listed were not its doing.
+    /// A run of it finished: it didn't cause the listed deaths.
     Cleared,
 }
 
@@ -73,66 +74,67 @@
 pub struct SuspectFact {
     /// The fingerprint.
     pub fingerprint: Fingerprint,
-    /// What is thought of it.
+    /// The status of the fingerprint.
     pub stage: SuspectStage,
-    /// The deaths that this rests on.
+    /// The deaths that the status is based on.
     pub deaths: Vec<DeathFact>,
-    /// How long it holds from now on.
+    /// The remaining time for which the fact is valid.
     pub lifetime: Duration,
 }
 
-/// Facts for a peer, repeated until it answers.
+/// Facts for a peer, sent repeatedly until the peer acknowledges them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNotice {
     /// The facts.
     pub facts: Vec<SuspectFact>,
 }
 
-/// A peer's answer to a notice. It has taken in every fact.
+/// A peer's acknowledgement of a notice. The peer has applied every fact.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NoticeAck {
-    /// The fingerprints that the notice named.
+    /// The fingerprints in the notice.
     pub noted: Vec<Fingerprint>,
-    /// Those of them that run on the peer, on servers not known to be dead.
+    /// The fingerprints of which a copy runs on the peer, on servers not known to be
+    /// dead.
     pub running: Vec<Fingerprint>,
-    /// What the peer knows of them beyond the notice.
+    /// What the peer knows of the fingerprints beyond the notice.
     pub facts: Vec<SuspectFact>,
 }
 
-/// Names one request for a trial. A repeated message carries the same ticket.
+/// Identifies one request for a trial. A resent message carries the same ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialTicket {
-    /// The process that asked.
+    /// The process that requests the trial.
     pub holder: Incarnation,
-    /// Its number among those of the process.
+    /// A sequence number within that process.
     pub number: u64,
 }
 
 impl TrialTicket {
-    /// Whether this is a later request of the same process. A process asks anew
-    /// only when its earlier trial never began, or ended; word of that may be
-    /// slower than the new request.
+    /// Returns whether this is a later request of the same process. A process requests
+    /// another trial only if its earlier one never started or has ended; the message
+    /// about that may arrive after the new request.
     pub fn supersedes(&self, earlier: &TrialTicket) -> bool {
         self.holder == earlier.holder && self.number > earlier.number
     }
 }
 
-/// Asks that a suspect may run once more.
+/// A request for permission to run a suspect once more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialAsk {
     /// The suspect.
     pub fingerprint: Fingerprint,
-    /// The server on which it would run.
+    /// The server on which the suspect would run.
     pub server: ServerKey,
-    /// Names this request for a trial.
+    /// Identifies this request.
     pub ticket: TrialTicket,
 }
 
-/// What the platform keeps of a trial, under the fingerprint and, until the
-/// trial ends, under the server as well.
+/// The platform's record of a trial, stored under the fingerprint and, until the trial
+/// ends, also under the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialRecord {
-    /// What was asked for.
+    /// The request for the trial.
     pub ask: TrialAsk,
     /// Whether the server died in the trial.
     pub died: bool,
@@ -142,23 +144,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TrialAnswer {
-    /// The suspect may run, once, on the server asked for.
+    /// The suspect may run once on the requested server.
     Granted,
-    /// It runs, or ran without a known end, in another trial.
+    /// Another trial of the suspect is running, or its end is unknown.
     Held {
-        /// How long ago that trial was granted.
+        /// The time since that trial was granted.
         age: Duration,
-        /// How long its record is kept.
+        /// The remaining lifetime of its record.
         left: Duration,
     },
-    /// Its trial killed a server.
+    /// A server died in the suspect's trial.
     Blocked {
-        /// How long the record is kept.
+        /// The remaining lifetime of the record.
         left: Duration,
     },
     /// Another suspect is on trial on the server.
     ServerTaken,
-    /// Nobody could be asked.
+    /// No record could be read or written.
     Unavailable,
 }
 
@@ -166,18 +168,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TrialEnd {
-    /// The suspect ran to its end, or certainly never started, or was stopped
-    /// and left its server alive. Its record goes.
+    /// The suspect finished, or certainly never started, or was stopped without its
+    /// server dying. The record is deleted.
     Released,
     /// The server died. The record stays and blocks the suspect.
     Died,
 }
 
-/// Tells the keeper of the trial's record how it ended. Repeat it until it is
-/// confirmed.
+/// Reports the end of a trial to the owner of the trial's record. It has to be resent
+/// until it is confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialSettlement {
-    /// What was asked for.
+    /// The request for the trial.
     pub ask: TrialAsk,
     /// How the trial ended.
     pub end: TrialEnd,
--- a/crates/policy/src/suspects/running.rs
+++ b/crates/policy/src/suspects/running.rs
@@ -1,16 +1,17 @@
-//! What runs where, by fingerprint.
+//! The requests in flight on this daemon, by fingerprint.
 
 use super::{Fingerprint, RunId};
 use crate::{ServerKey, Timestamp};
 
-/// How a run ended while its server lived.
+/// How a run ended while its server stayed alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// Its answer is whole.
+    /// The answer is complete.
     Finished,
-    /// It was cancelled, timed out or refused, so it proves nothing.
+    /// The run was cancelled, timed out or refused, so it proves nothing about the
+    /// request.
     Stopped,
-    /// No byte of it left, so its server can't die of it.
+    /// No byte of the request was sent, so it can't crash the server.
     NotSent,
 }
 
@@ -22,7 +23,7 @@
     pub(super) begun_at: Timestamp,
 }
 
-/// The runs of this daemon, sorted by fingerprint.
+/// The runs of this daemon, sorted by fingerprint and run.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RunList {
     runs: Vec<Running>,
@@ -55,7 +56,7 @@
         self.runs.iter().filter(|it| it.server == server).count()
     }
 
-    /// Takes out everything that ran on `server`.
+    /// Removes and returns all runs on `server`.
     pub(super) fn remove_server(&mut self, server: ServerKey) -> Vec<Running> {
         let on_server = |it: &Running| it.server == server;
         let gone = self.runs.iter().copied().filter(on_server).collect();
--- a/crates/policy/src/suspects/suspect_table.rs
+++ b/crates/policy/src/suspects/suspect_table.rs
@@ -1,4 +1,4 @@
-//! The suspects that one daemon knows.
+//! The suspects that a daemon knows.
 
 use std::time::Duration;
 
@@ -13,31 +13,31 @@
 /// How long a fingerprint stays suspected or blocked.
 pub(super) const SUSPECT_LIFETIME: Duration = Duration::from_secs(24 * 3600);
 
-/// When a caller may come back while its request runs in a trial, or waits for
-/// the peers.
+/// The delay after which a caller may retry while its request runs in a trial or waits
+/// for the peers.
 pub(super) const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The time after which a peer that hasn't answered is told again.
+/// The delay after which a notice is resent to a peer that hasn't answered.
 const RESEND_AFTER: Duration = Duration::from_millis(200);
 
-/// How long a server must outlive a stopped trial for it to count as harmless.
+/// How long a server must survive a stopped trial for the trial to count as harmless.
 const QUIET: Duration = Duration::from_secs(10);
 
-/// The most entries kept; beyond it, those nearest their end go.
+/// The maximum number of entries; beyond it, those that expire first are removed.
 const MAX_ENTRIES: usize = 65_536;
 
 /// A request that was in flight on a server that died.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspect {
-    /// The run that broke off.
+    /// The run that was interrupted.
     pub run: RunId,
-    /// Its fingerprint.
+    /// The fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// What may become of it.
+    /// Whether the request may run again.
     pub verdict: SuspectVerdict,
 }
 
-/// The suspects that one daemon knows, and what runs there.
+/// The suspects that a daemon knows, and its requests in flight.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectTable {
     pub(super) incarnation: Incarnation,
@@ -51,7 +51,7 @@
 }
 
 impl SuspectTable {
-    /// An empty table for a process that has just started.
+    /// Creates an empty table for a process that has just started.
     pub fn new(incarnation: Incarnation) -> Self {
         SuspectTable {
             incarnation,
@@ -59,10 +59,10 @@
         }
     }
 
-    /// Says which peers were heard from lately. They are told of suspects, and
-    /// no trial begins before they have answered; so a peer that can't be
-    /// reached for some seconds has to be left out. Those that come, or come
-    /// back, are told what was seen here.
+    /// Sets the peers that were heard from recently. They are notified of suspects, and
+    /// no trial starts before they have answered, so a peer that has been unreachable
+    /// for some seconds has to be left out. Peers that join or return are notified of
+    /// the deaths detected here.
     pub fn set_peers(&mut self, peers: &[DaemonId]) {
         let known = std::mem::replace(&mut self.peers, peers.to_vec());
         for entry in &mut self.entries {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// What is thought of a fingerprint.
+    /// Returns whether a request may run.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Timestamp) -> SuspectVerdict {
         let Some(entry) = self.entry(fingerprint) else {
             return SuspectVerdict::Clear;
@@ -97,12 +97,12 @@
         }
     }
 
-    /// Counts a run as begun if its fingerprint is clear. Otherwise nothing may
-    /// be sent, and the verdict says why.
+    /// Records the start of a run if its fingerprint is clear. Otherwise nothing may be
+    /// sent, and the verdict says why.
     ///
-    /// Call it before the first byte, under the same lock as
-    /// [`note`](Self::note): a copy begun after a peer was told that none runs
-    /// here could be the third server lost.
+    /// It has to be called before the first byte is sent, under the same lock as
+    /// [`note`](Self::note): a copy started after a peer was told that none runs here
+    /// could cost a third server.
     pub fn begin(
         &mut self,
         fingerprint: Fingerprint,
@@ -122,13 +122,14 @@
         verdict
     }
 
-    /// Where a copy of the request runs at present. A further copy belongs on
-    /// the same server, so that copies sent at once kill one server, not many.
+    /// Returns the server on which a copy of the request runs at present. A further
+    /// copy should go to the same server, so that copies sent at once crash only one
+    /// server.
     pub fn runs_on(&self, fingerprint: Fingerprint) -> Option<ServerKey> {
         self.runs.of(fingerprint).first().map(|it| it.server)
     }
 
-    /// Counts a run as ended while its server lived.
+    /// Records the end of a run whose server stayed alive.
     pub fn end(&mut self, fingerprint: Fingerprint, run: RunId, end: RunEnd, now: Timestamp) {
         if self.runs.remove(fingerprint, run).is_none() {
             return;
@@ -159,14 +160,14 @@
         }
     }
 
-    /// Takes in the death of a server. Everything in flight on it is a suspect,
-    /// and the peers have to be told: see [`notices`](Self::notices).
+    /// Records the death of a server. Everything in flight on it becomes a suspect, and
+    /// the peers have to be notified: see [`notices`](Self::notices).
     pub fn server_died(&mut self, server: ServerKey, now: Timestamp) -> Vec<Suspect> {
         let gone = self.runs.remove_server(server);
         let mut stopped = Vec::new();
         for entry in &self.entries {
-            // A trial that was stopped a moment ago runs no more, and may yet
-            // be what killed the server.
+            // A trial that was stopped shortly before the death isn't running any more, but may
+            // still have caused it.
             if let Trial::Quiet { ask, since } = entry.trial
                 && ask.server == server
             {
@@ -221,10 +222,10 @@
         }
     }
 
-    /// The blocks that came about here since the last call, to be kept in the
-    /// platform for their lifetime. When all daemons are replaced in turn,
-    /// peers pass on what they know; when all are lost at once, only the
-    /// platform still has it.
+    /// Returns the blocks that originated here since the last call, to be stored in the
+    /// platform for their lifetime. When all daemons are replaced one after the other,
+    /// peers pass on what they know; when all are lost at once, only the platform still
+    /// has it.
     pub fn take_blocks(&mut self, now: Timestamp) -> Vec<SuspectFact> {
         let unstored = self.entries.iter_mut().filter(|it| it.unstored);
         unstored
@@ -235,7 +236,7 @@
             .collect()
     }
 
-    /// The notices to send now, one for each peer that has to be told.
+    /// Returns the notices to send now, one for each peer to be notified.
     pub fn notices(&mut self, now: Timestamp) -> Vec<(DaemonId, SuspectNotice)> {
         let mut notices: Vec<(DaemonId, SuspectNotice)> = Vec::new();
         for entry in &mut self.entries {
@@ -261,7 +262,7 @@
         notices
     }
 
-    /// Takes in a peer's notice and answers it.
+    /// Applies a peer's notice and returns the acknowledgement.
     pub fn note(&mut self, notice: &SuspectNotice, now: Timestamp) -> NoticeAck {
         let mut ack = NoticeAck::default();
         for fact in &notice.facts {
@@ -281,7 +282,7 @@
         ack
     }
 
-    /// Takes in a peer's answer.
+    /// Applies a peer's acknowledgement.
     pub fn acknowledged(&mut self, peer: DaemonId, ack: &NoticeAck, now: Timestamp) {
         for fact in &ack.facts {
             self.import_fact(fact, now);
@@ -303,12 +304,12 @@
         }
     }
 
-    /// How many runs this daemon has on a server.
+    /// Returns the number of runs that this daemon has on a server.
     pub fn runs_at(&self, server: ServerKey) -> usize {
         self.runs.count_at(server)
     }
 
-    /// Forgets what has lapsed. Call it about once a second.
+    /// Removes expired entries and trials. Has to be called about once a second.
     pub fn poll(&mut self, now: Timestamp) {
         self.poll_trials(now);
         for entry in &mut self.entries {
@@ -329,7 +330,7 @@
         }
     }
 
-    /// The ends of trials to be told to the keeper of their records.
+    /// Returns the ends of trials to be reported to the owner of their records.
     pub fn take_settlements(&mut self) -> Vec<TrialSettlement> {
         std::mem::take(&mut self.settlements)
     }
--- a/crates/policy/src/suspects/trial_book.rs
+++ b/crates/policy/src/suspects/trial_book.rs
@@ -1,20 +1,20 @@
-//! The records of trials, held in memory.
+//! Trial records held in memory.
 
 use super::suspect_table::SUSPECT_LIFETIME;
 use super::{TrialAnswer, TrialAsk, TrialEnd, TrialRecord, TrialSettlement};
 use crate::Timestamp;
 
-/// The records of trials, held in memory.
+/// Trial records held in memory.
 ///
-/// It says what the transactions on the platform's records must amount to, and
-/// can stand in for them on one daemon while the platform is out.
+/// It specifies the effect of the transactions on the platform's records, and can
+/// replace them on a single daemon during an outage of the platform.
 #[derive(Clone, Debug, Default)]
 pub struct TrialBook {
     records: Vec<(TrialRecord, Timestamp)>,
 }
 
 impl TrialBook {
-    /// Answers a request for a trial. A repeated one gets the same answer.
+    /// Answers a request for a trial. A repeated request gets the same answer.
     pub fn ask(&mut self, ask: &TrialAsk, now: Timestamp) -> TrialAnswer {
         self.records
             .retain(|&(_, at)| now.since(at) < SUSPECT_LIFETIME);
@@ -45,7 +45,7 @@
         TrialAnswer::Granted
     }
 
-    /// Takes in how a trial ended.
+    /// Records the end of a trial.
     pub fn settle(&mut self, settlement: &TrialSettlement) {
         let found = |it: &(TrialRecord, Timestamp)| it.0.ask == settlement.ask;
         let Some(at) = self.records.iter().position(found) else {
--- a/crates/policy/src/suspects/trials.rs
+++ b/crates/policy/src/suspects/trials.rs
@@ -1,4 +1,4 @@
-//! The one run that a suspect may still have.
+//! The trial of a suspect: the one further run that it may have.
 
 use std::time::Duration;
 
@@ -10,42 +10,43 @@
 };
 use crate::{ServerKey, SuspectVerdict, Timestamp};
 
-/// How long after it was asked for a trial may begin.
+/// How long after its request was sent a trial may start.
 ///
-/// A daemon that is paused here finds its grant lapsed by its own clock. The
-/// record in the platform lives far longer, so nobody else has got the grant
-/// while this one is valid.
+/// A daemon that is paused in between finds the grant expired by its own clock. The
+/// record in the platform lives far longer, so no other daemon can hold the grant while
+/// this one is valid.
 const TRIAL_VALIDITY: Duration = Duration::from_secs(2);
 
-/// How long a caller isn't told of a failure for the peers' sake. A peer that
-/// is cut off can't be told at all, and must not hold up callers for longer.
+/// How long a failure is withheld from a caller until the peers have been notified. A
+/// peer that is cut off can't be notified at all, and must not delay callers for
+/// longer.
 const TELL_PEERS_WITHIN: Duration = Duration::from_secs(2);
 
-/// The age from which a trial without a known end is taken for a killer of
-/// servers whose daemon was lost too.
+/// The age at which a trial without a known end is assumed to have crashed its server,
+/// with its daemon lost as well.
 const LONGEST_TRIAL: Duration = Duration::from_secs(600);
 
-/// What a suspect's daemon has to do next.
+/// The next step for a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrialStep {
-    /// Run it as any other request: it was cleared meanwhile.
+    /// The suspect has been cleared: run it like any other request.
     Run,
-    /// Wait: not every peer has said yet that no copy runs there, or the answer
-    /// to a request for a trial is still out.
+    /// Wait, since a peer hasn't confirmed yet that no copy runs there, or a request
+    /// for a trial hasn't been answered yet.
     Wait,
-    /// Choose a server without a suspect on it and ask for a trial there.
+    /// Choose a server without a suspect on it and request a trial there.
     Ask,
-    /// Begin the trial; see [`SuspectTable::start_trial`].
+    /// Start the trial; see [`SuspectTable::start_trial`].
     Start,
-    /// Give the caller its last word; it may come back after this long.
+    /// Give the caller a final answer; it may retry after this long.
     Refuse(Duration),
 }
 
 impl SuspectTable {
-    /// What has to be done next for a suspect.
+    /// Returns the next step for a suspect.
     ///
-    /// A caller that hears of the failure sends its request again, perhaps to
-    /// every daemon at once. So it doesn't hear of it before the peers have.
+    /// A caller that learns of the failure resends its request, possibly to every
+    /// daemon at once. So the peers are notified before the caller is.
     pub fn trial_step(&self, fingerprint: Fingerprint, now: Timestamp) -> TrialStep {
         match (self.verdict(fingerprint, now), self.entry(fingerprint)) {
             (SuspectVerdict::Clear, _) | (_, None) => TrialStep::Run,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Whether the caller of a run that broke off may be told so.
+    /// Returns whether the failure of an interrupted run may be reported to its caller.
     pub fn may_tell_caller(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         self.entry(fingerprint).is_none_or(|entry| {
             let waited = now.since(entry.addressed_at) >= TELL_PEERS_WITHIN;
@@ -76,7 +77,7 @@
         })
     }
 
-    /// The servers that have a suspect of this daemon on trial.
+    /// Returns the servers on which this daemon has a suspect on trial.
     pub fn servers_on_trial(&self) -> Vec<ServerKey> {
         let asks = self.entries.iter().filter_map(|entry| match entry.trial {
             Trial::Asked { ask, .. }
@@ -88,7 +89,7 @@
         asks.collect()
     }
 
-    /// Asks for a trial on `server`, if it is time to.
+    /// Requests a trial on `server`, if that is the suspect's next step.
     pub fn ask_trial(
         &mut self,
         fingerprint: Fingerprint,
@@ -114,7 +115,7 @@
         Some(ask)
     }
 
-    /// Takes in the answer to a request for a trial.
+    /// Applies the answer to a request for a trial.
     pub fn trial_answer(&mut self, ask: &TrialAsk, answer: TrialAnswer, now: Timestamp) {
         let Ok(at) = self.position(ask.fingerprint) else {
             return;
@@ -150,8 +151,8 @@
         };
     }
 
-    /// Begins a trial that was granted, and says on which server, or none if
-    /// it may not begin any more. This is the last check before the first byte.
+    /// Starts a trial that was granted. Returns its server, or none if the trial may
+    /// not start any more. This is the last check before the first byte is sent.
     pub fn start_trial(
         &mut self,
         fingerprint: Fingerprint,
@@ -176,7 +177,8 @@
         Some(ask.server)
     }
 
-    /// Gives back what was granted and not used, or asked for in vain.
+    /// Releases trials that were granted and not used in time, or requested without an
+    /// answer.
     pub(super) fn poll_trials(&mut self, now: Timestamp) {
         for entry in &mut self.entries {
             let lapsed = match entry.trial {
--- a/crates/policy/src/urgency.rs
+++ b/crates/policy/src/urgency.rs
@@ -1,8 +1,8 @@
-//! How urgent a request is. Callers never say.
+//! Classification of requests by urgency, which callers don't state.
 //!
-//! A request through the live door counts as a person's as long as its key
-//! sends what persons could cause. Bulk work sent through that door loses its
-//! rank above this, and only above it. See `docs/DESIGN.md`.
+//! A request through the live interface ranks as a person's as long as its key sends no
+//! more than persons could. Bulk work sent through that interface loses this rank only
+//! for the requests beyond that limit. See `docs/DESIGN.md`.
 
 mod habit;
 mod urgency_table;
--- a/crates/policy/src/urgency/habit.rs
+++ b/crates/policy/src/urgency/habit.rs
@@ -1,36 +1,37 @@
-//! What one key has done lately.
+//! The recent traffic of one key.
 
 use std::time::Duration;
 
 use crate::Timestamp;
 
-/// The persons that may stand behind one key, until its habits say otherwise.
+/// The number of persons assumed to share one key, until its traffic indicates
+/// otherwise.
 const PERSONS: f64 = 16.0;
 
-/// The time in which one person causes one request in the long run.
+/// The long-term mean interval between the requests of one person.
 const PERSON_INTERVAL: Duration = Duration::from_secs(4);
 
-/// The requests that one person may cause at once.
+/// The burst of requests allowed to one person.
 const PERSON_BURST: f64 = 3.0;
 
-/// The requests of one person that may run at a time.
+/// The number of concurrent requests allowed to one person.
 const PERSON_CONCURRENCY: f64 = 2.0;
 
-/// How much one request moves the habit of a key.
+/// The weight of one request in the excess of a key.
 const HABIT_STEP: f64 = 0.02;
 
-/// The time without requests after which half of a habit is forgotten.
+/// The idle time after which the excess of a key is halved.
 const HABIT_HALF_LIFE: Duration = Duration::from_secs(300);
 
-/// What one key has done lately, through streams or without.
+/// The recent traffic of one key, either its streams or its other requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Habit {
-    /// Requests in flight that ranked as a person's. The others don't count:
-    /// a person beside a program would never rank again.
+    /// Requests in flight that ranked as a person's. The others don't count: otherwise
+    /// a person who shares the key with a program would never get that rank again.
     pub(super) in_flight: u32,
-    /// Requests that persons could still cause now.
+    /// The number of requests that persons could send now.
     allowance: f64,
-    /// The share of the last requests that no person could have caused.
+    /// The fraction of recent requests that persons couldn't have sent.
     excess: f64,
     pub(super) seen_at: Timestamp,
 }
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Counts a request, and says whether a person could have caused it.
+    /// Counts a request, and returns whether a person could have sent it.
     pub(super) fn begin(&mut self, now: Timestamp) -> bool {
         let secs = now.since(self.seen_at).as_secs_f64();
         self.seen_at = self.seen_at.max(now);
@@ -64,8 +65,8 @@
         within
     }
 
-    /// The persons that the key is taken for: never less than one, so that a
-    /// person who shares it with a program isn't shut out.
+    /// Returns the number of persons that the key is assumed to serve. It is at least
+    /// one, so that a person who shares the key with a program isn't starved.
     fn persons(&self) -> f64 {
         1.0 + (PERSONS - 1.0) * (1.0 - self.excess)
     }
--- a/crates/policy/src/urgency/urgency_table.rs
+++ b/crates/policy/src/urgency/urgency_table.rs
@@ -1,58 +1,58 @@
-//! The habits of all keys.
+//! The recent traffic of all keys.
 
 use std::{mem::size_of, time::Duration};
 
 use super::habit::Habit;
 use crate::Timestamp;
 
-/// How long the habits of an idle key are kept.
+/// How long the traffic of an idle key is remembered.
 const KEPT: Duration = Duration::from_secs(3600);
 
-/// A key as the urgency table knows it: a part of the key's hash.
+/// Identifies a key in the urgency table by a part of the key's hash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerKey(pub u64);
 
-/// Where a request came in.
+/// The interface through which a request arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CallerDoor {
-    /// Completions and plain services, for which somebody may be waiting.
+    /// Completions and plain services, for which a person may be waiting.
     #[default]
     Live,
-    /// Files and batches.
+    /// Files and batches, which form lots (batch jobs).
     Lots,
 }
 
-/// What a request shows of itself.
+/// The properties of a request that determine its urgency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallTraits {
-    /// Where it came in.
+    /// The interface through which it arrived.
     pub door: CallerDoor,
-    /// Whether its answer is to be streamed.
+    /// Whether its answer is streamed.
     pub streaming: bool,
 }
 
-/// How urgent a request is, the most urgent first.
+/// The urgency of a request, from the most urgent to the least.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
     /// A person may be waiting for it.
     #[default]
     Person,
-    /// It came through the live door, in numbers that no person causes.
+    /// It came through the live interface, at a rate that persons don't reach.
     Bulk,
-    /// It is part of a lot.
+    /// It belongs to a lot (a batch job).
     Lot,
 }
 
 impl Urgency {
-    /// All of them, the most urgent first.
+    /// All values, the most urgent first.
     pub const ALL: [Urgency; 3] = [Urgency::Person, Urgency::Bulk, Urgency::Lot];
 }
 
-/// The habits of all keys that were used lately.
+/// The recent traffic of all keys in use.
 ///
-/// Streams and other requests of a key are told apart: people read streams as
-/// they come, programs seldom do. So a program that shares a shop's key doesn't
-/// take the rank of the people in it.
+/// Streams and other requests of a key are counted separately: people read answers as
+/// they are streamed, programs seldom do. So a program that shares the key of a shop
+/// doesn't use up the rank of the people there.
 #[derive(Clone, Debug, Default)]
 pub struct UrgencyTable {
     /// Sorted by key, then by whether the requests stream.
@@ -60,7 +60,7 @@
 }
 
 impl UrgencyTable {
-    /// Counts a request as begun and says how urgent it is.
+    /// Counts the start of a request and returns its urgency.
     pub fn begin(&mut self, key: CallerKey, traits: CallTraits, now: Timestamp) -> Urgency {
         if traits.door == CallerDoor::Lots {
             return Urgency::Lot;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Counts a request as ended that ranked as `urgency` when it began.
+    /// Counts the end of a request that had the urgency `urgency` when it began.
     pub fn end(&mut self, key: CallerKey, traits: CallTraits, urgency: Urgency) {
         if urgency != Urgency::Person {
             return;
@@ -89,18 +89,18 @@
         }
     }
 
-    /// Forgets keys that were idle for long. Call it every few minutes.
+    /// Removes keys that have been idle for long. Has to be called every few minutes.
     pub fn poll(&mut self, now: Timestamp) {
         self.habits
             .retain(|(_, it)| it.in_flight > 0 || now.since(it.seen_at) < KEPT);
     }
 
-    /// The habits kept: one or two for each key used lately.
+    /// Returns the number of entries: one or two for each key in use.
     pub fn habits(&self) -> usize {
         self.habits.len()
     }
 
-    /// The bytes that the table holds.
+    /// Returns the memory usage of the table in bytes.
     pub fn memory(&self) -> usize {
         self.habits.capacity() * size_of::<((CallerKey, bool), Habit)>()
     }
