--- a/crates/policy/src/claims/claim_book.rs
+++ b/crates/policy/src/claims/claim_book.rs
@@ -18,7 +18,7 @@
 pub(super) const CLAIM_VALIDITY: Duration = Duration::from_secs(2);
 
 /// How long a call waits for its claim.
-const CLAIM_WAIT: Duration = Duration::from_secs(2);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The maximum number of claims that wait to be written.
 const MAX_WAITING: usize = 1024;
@@ -38,7 +38,7 @@
     pub(super) claims: u64,
     pub(super) groups: u64,
     pub(super) group_sent_at: Option<Timestamp>,
-    pub(super) out_until: Timestamp,
+    pub(super) outage_until: Timestamp,
     /// The number of consecutive groups whose answers were lost.
     pub(super) losses: u32,
 }
@@ -54,7 +54,7 @@
             claims: 0,
             groups: 0,
             group_sent_at: None,
-            out_until: Timestamp::ZERO,
+            outage_until: Timestamp::ZERO,
             losses: 0,
         }
     }
@@ -72,25 +72,25 @@
         deadline: Timestamp,
         now: Timestamp,
     ) -> Result<ClaimTicket, ClaimVerdict> {
-        let place = self.position(key);
-        if let Ok(at) = place {
-            let mut twin = Entry {
+        let position = self.position(key);
+        if let Ok(at) = position {
+            let mut duplicate = Entry {
                 record: ClaimRecord {
                     body,
                     ..ClaimRecord::default()
                 },
                 stage: Stage::Waiting,
-                give_up_at: now,
+                expires_at: now,
                 may_exist: false,
                 answer_lost: false,
             };
-            twin.meet(&self.entries[at].record);
-            return match twin.stage {
-                Stage::Over(verdict) => Err(verdict),
+            duplicate.resolve(&self.entries[at].record);
+            return match duplicate.stage {
+                Stage::Done(verdict) => Err(verdict),
                 _ => Err(refused(ClaimCause::Claimed)),
             };
         }
-        if now < self.out_until {
+        if now < self.outage_until {
             return Err(refused(ClaimCause::NoPlatform));
         }
         let waiting = self.entries.iter().filter(|it| it.stage == Stage::Waiting);
@@ -110,11 +110,11 @@
                 state: ClaimState::Claimed,
             },
             stage: Stage::Waiting,
-            give_up_at: deadline.min(now + CLAIM_WAIT),
+            expires_at: deadline.min(now + CLAIM_TIMEOUT),
             may_exist: false,
             answer_lost: false,
         };
-        let at = place.unwrap_or_else(|at| at);
+        let at = position.unwrap_or_else(|at| at);
         self.entries.insert(at, entry);
         Ok(ticket)
     }
@@ -128,7 +128,7 @@
             Stage::Waiting | Stage::Writing { .. } => ClaimVerdict::Wait,
             Stage::Granted { .. } => ClaimVerdict::Send,
             Stage::Sent { .. } => refused(ClaimCause::Claimed),
-            Stage::Over(verdict) => verdict.clone(),
+            Stage::Done(verdict) => verdict.clone(),
         }
     }
 
@@ -195,9 +195,9 @@
     pub fn poll(&mut self, now: Timestamp) {
         for entry in &mut self.entries {
             let late = match entry.stage {
-                Stage::Waiting | Stage::Writing { .. } => now >= entry.give_up_at,
+                Stage::Waiting | Stage::Writing { .. } => now >= entry.expires_at,
                 Stage::Granted { until } => now >= until,
-                Stage::Sent { .. } | Stage::Over(_) => false,
+                Stage::Sent { .. } | Stage::Done(_) => false,
             };
             if !late {
                 continue;
@@ -220,7 +220,7 @@
         };
         entry.record.state = state;
         let record = entry.record.clone();
-        entry.meet(&record);
+        entry.resolve(&record);
         self.changes.push(ClaimChange::Settle(record));
     }
 
--- a/crates/policy/src/claims/entry.rs
+++ b/crates/policy/src/claims/entry.rs
@@ -14,7 +14,7 @@
     /// The first byte may have been sent.
     Sent { until: Timestamp },
     /// The final state.
-    Over(ClaimVerdict),
+    Done(ClaimVerdict),
 }
 
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
     pub(super) record: ClaimRecord,
     pub(super) stage: Stage,
     /// The time at which the call is rejected unless its claim is written by then.
-    pub(super) give_up_at: Timestamp,
+    pub(super) expires_at: Timestamp,
     /// Whether the record may exist in the platform.
     pub(super) may_exist: bool,
     /// Whether the answer to an earlier write of the record was lost.
@@ -32,17 +32,17 @@
 impl Entry {
     pub(super) fn refuse(&mut self, cause: ClaimCause) {
         let refusal = ClaimRefusal::new(cause);
-        self.stage = Stage::Over(ClaimVerdict::Refused(refusal));
+        self.stage = Stage::Done(ClaimVerdict::Refused(refusal));
     }
 
     /// Derives the verdict from another call's record under the same key.
-    pub(super) fn meet(&mut self, found: &ClaimRecord) {
+    pub(super) fn resolve(&mut self, found: &ClaimRecord) {
         if found.body != self.record.body {
             return self.refuse(ClaimCause::OtherBody);
         }
         match &found.state {
             ClaimState::Finished { answer } => {
-                self.stage = Stage::Over(ClaimVerdict::Answered(answer.clone()));
+                self.stage = Stage::Done(ClaimVerdict::Answered(answer.clone()));
             }
             ClaimState::Claimed | ClaimState::Unknown => self.refuse(ClaimCause::Claimed),
         }
--- a/crates/policy/src/claims/writes.rs
+++ b/crates/policy/src/claims/writes.rs
@@ -9,15 +9,15 @@
 
 /// The maximum number of claims in one group. A transaction compares and writes each of
 /// them.
-const GROUP_CLAIMS: usize = 48;
+const MAX_GROUP_CLAIMS: usize = 48;
 
 /// How long calls are rejected at once after the platform was found to be unavailable.
-const OUTAGE_PAUSE: Duration = Duration::from_secs(1);
+const OUTAGE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The number of consecutive lost answers that count as an outage. A single one is
 /// normal; a platform that accepts connections and answers nothing would otherwise
 /// delay each call for as long as it may wait for its claim.
-const OUTAGE_LOSSES: u32 = 3;
+const OUTAGE_LOST_ANSWERS: u32 = 3;
 
 impl ClaimBook {
     /// Returns the next group to write, if one is due.
@@ -37,7 +37,7 @@
         let mut waiting: Vec<_> = waiting.collect();
         waiting.sort_unstable_by_key(|it| it.record.ticket.number);
         let mut records = Vec::new();
-        for entry in waiting.into_iter().take(GROUP_CLAIMS) {
+        for entry in waiting.into_iter().take(MAX_GROUP_CLAIMS) {
             entry.stage = Stage::Writing {
                 group: number,
                 sent_at: now,
@@ -69,7 +69,7 @@
 
     /// Applies the result of writing a group.
     pub fn group_answer(&mut self, number: u64, answer: &GroupAnswer, now: Timestamp) {
-        self.note_platform(answer, now);
+        self.track_outage(answer, now);
         for entry in &mut self.entries {
             let Stage::Writing { group, sent_at } = entry.stage else {
                 continue;
@@ -86,7 +86,7 @@
                     let found = records.iter().find(|it| it.key == entry.record.key);
                     match found {
                         Some(found) if found.ticket == entry.record.ticket => entry.stage = granted,
-                        Some(found) => entry.meet(found),
+                        Some(found) => entry.resolve(found),
                         None => entry.stage = Stage::Waiting,
                     }
                 }
@@ -106,14 +106,14 @@
         }
     }
 
-    fn note_platform(&mut self, answer: &GroupAnswer, now: Timestamp) {
+    fn track_outage(&mut self, answer: &GroupAnswer, now: Timestamp) {
         self.losses = match answer {
             GroupAnswer::Lost => self.losses + 1,
             _ => 0,
         };
-        let is_out = *answer == GroupAnswer::Unreachable || self.losses >= OUTAGE_LOSSES;
-        self.out_until = match is_out {
-            true => now + OUTAGE_PAUSE,
+        let is_outage = *answer == GroupAnswer::Unreachable || self.losses >= OUTAGE_LOST_ANSWERS;
+        self.outage_until = match is_outage {
+            true => now + OUTAGE_BACKOFF,
             false => Timestamp::ZERO,
         };
     }
--- a/crates/policy/src/freshness/passed_sources.rs
+++ b/crates/policy/src/freshness/passed_sources.rs
@@ -7,11 +7,11 @@
 use crate::Timestamp;
 
 /// How long a peer that didn't answer in time gets no further request.
-const SILENT_SPAN: Duration = Duration::from_millis(2_000);
+const SILENT_BACKOFF: Duration = Duration::from_millis(2_000);
 /// The upper limit of the random delay before the next request to a peer that is busy
 /// with sending its view. Without the jitter, all rejected daemons would return
 /// together.
-const BUSY_SPAN: Duration = Duration::from_millis(300);
+const MAX_BUSY_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Peers that temporarily get no requests for a view.
 ///
@@ -21,34 +21,36 @@
 /// for as long as the fault lasts.
 #[derive(Clone, Debug)]
 pub struct PassedSources<T> {
-    passed: Vec<(T, Timestamp)>,
+    skipped: Vec<(T, Timestamp)>,
 }
 
 impl<T> Default for PassedSources<T> {
     fn default() -> Self {
-        PassedSources { passed: Vec::new() }
+        PassedSources {
+            skipped: Vec::new(),
+        }
     }
 }
 
 impl<T: Copy + PartialEq> PassedSources<T> {
     /// Returns whether a peer is to be skipped at present.
     pub fn is_passed(&self, source: T, now: Timestamp) -> bool {
-        self.passed.iter().any(|it| it.0 == source && it.1 > now)
+        self.skipped.iter().any(|it| it.0 == source && it.1 > now)
     }
 
     /// Records that a peer didn't answer.
     pub fn note_silent(&mut self, source: T, now: Timestamp) {
-        self.pass(source, now + SILENT_SPAN, now);
+        self.skip(source, now + SILENT_BACKOFF, now);
     }
 
     /// Records that a peer rejected a request because it is busy.
     pub fn note_busy(&mut self, source: T, now: Timestamp, random: &mut impl Rng) {
-        let span = BUSY_SPAN.mul_f64(random.random_range(0.3..1.0));
-        self.pass(source, now + span, now);
+        let backoff = MAX_BUSY_BACKOFF.mul_f64(random.random_range(0.3..1.0));
+        self.skip(source, now + backoff, now);
     }
 
-    fn pass(&mut self, source: T, until: Timestamp, now: Timestamp) {
-        self.passed.retain(|it| it.0 != source && it.1 > now);
-        self.passed.push((source, until));
+    fn skip(&mut self, source: T, until: Timestamp, now: Timestamp) {
+        self.skipped.retain(|it| it.0 != source && it.1 > now);
+        self.skipped.push((source, until));
     }
 }
--- a/crates/policy/src/freshness/show_budget.rs
+++ b/crates/policy/src/freshness/show_budget.rs
@@ -12,7 +12,7 @@
 const BYTES_PER_S: usize = 1_900_000;
 /// No further large view is sent while those already admitted keep the connection busy
 /// for longer than this.
-const LONGEST_BACKLOG: Duration = Duration::from_millis(200);
+const MAX_BACKLOG: Duration = Duration::from_millis(200);
 
 /// Decides whether a large view may be sent now.
 ///
@@ -34,11 +34,11 @@
         if bytes <= SMALL_VIEW {
             return true;
         }
-        if self.busy_until.since(now) > LONGEST_BACKLOG {
+        if self.busy_until.since(now) > MAX_BACKLOG {
             return false;
         }
-        let span = Duration::from_secs_f64(bytes as f64 / BYTES_PER_S as f64);
-        self.busy_until = self.busy_until.max(now) + span;
+        let transfer_time = Duration::from_secs_f64(bytes as f64 / BYTES_PER_S as f64);
+        self.busy_until = self.busy_until.max(now) + transfer_time;
         true
     }
 }
--- a/crates/policy/src/freshness/store_contact.rs
+++ b/crates/policy/src/freshness/store_contact.rs
@@ -8,19 +8,19 @@
 
 /// The maximum time without an answered call before a probe is sent. Any silence that
 /// lasts longer is detected.
-const PROBE_INTERVAL: Duration = Duration::from_millis(1_500);
+const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Bounds of the probe timeout, and its multiple of the latency of the last answer. If
 /// every answer of a slow store exceeded the timeout, its watches would be reissued
 /// before they are answered.
-const SHORTEST_TIMEOUT: Duration = Duration::from_millis(600);
-const LONGEST_TIMEOUT: Duration = Duration::from_millis(1_500);
-const TIMEOUT_ANSWERS: u32 = 3;
+const MIN_PROBE_TIMEOUT: Duration = Duration::from_millis(600);
+const MAX_PROBE_TIMEOUT: Duration = Duration::from_millis(1_500);
+const TIMEOUT_LATENCY_FACTOR: u32 = 3;
 /// A probe is sent this long after a call that waits for a change, since several calls
-/// often begin together, but not earlier than `SHORTEST_PAUSE` after the previous
+/// often begin together, but not earlier than `MIN_PROBE_INTERVAL` after the previous
 /// probe: otherwise a directory that changes constantly would cost more probes than
 /// watches.
-const PROOF_LAG: Duration = Duration::from_millis(50);
-const SHORTEST_PAUSE: Duration = Duration::from_millis(500);
+const PROBE_DELAY: Duration = Duration::from_millis(50);
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Tracks whether the store answers and which waiting calls may have been lost.
 ///
@@ -32,15 +32,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreContact {
     /// The send time of the most recently sent call that has been answered.
-    answered: Option<Timestamp>,
+    newest_answered: Option<Timestamp>,
     /// The send time of the newest call that waits for a change.
-    waiting: Option<Timestamp>,
+    newest_waiting: Option<Timestamp>,
     /// The send time of the last probe.
-    probed: Option<Timestamp>,
+    last_probe: Option<Timestamp>,
     /// The delay before the next probe while the store answers.
-    pause: Duration,
+    probe_interval: Duration,
     /// The latency of the last answer.
-    answer_span: Duration,
+    answer_latency: Duration,
     /// The time at which the store was found to be silent, while it is.
     silent_since: Option<Timestamp>,
     /// The end of the last silence. Calls that were sent before are unconfirmed.
@@ -50,33 +50,33 @@
 impl StoreContact {
     /// Returns the time after which an unanswered probe counts as lost.
     pub fn probe_timeout(&self) -> Duration {
-        (self.answer_span * TIMEOUT_ANSWERS).clamp(SHORTEST_TIMEOUT, LONGEST_TIMEOUT)
+        (self.answer_latency * TIMEOUT_LATENCY_FACTOR).clamp(MIN_PROBE_TIMEOUT, MAX_PROBE_TIMEOUT)
     }
 
     /// Records that a call that waits for a change is sent.
     pub fn note_waiting(&mut self, now: Timestamp) {
-        self.waiting = Some(now);
+        self.newest_waiting = Some(now);
     }
 
     /// Records that a probe is sent, and draws the delay before the next one. Daemons
     /// reissue their watches at the same time, after each change; if they also sent
     /// their probes at the same time, none of them would detect a short silence.
     pub fn note_probe(&mut self, random: &mut impl Rng, now: Timestamp) {
-        self.probed = Some(now);
-        self.pause = PROBE_INTERVAL.mul_f64(random.random_range(0.5..1.0));
+        self.last_probe = Some(now);
+        self.probe_interval = MAX_PROBE_INTERVAL.mul_f64(random.random_range(0.5..1.0));
     }
 
     /// Records the answer to a call that doesn't wait for a change. Returns whether it
     /// ends a silence.
-    pub fn note_answer(&mut self, asked: Timestamp, now: Timestamp) -> bool {
-        self.answer_span = now.since(asked);
-        self.note_news(asked, now)
+    pub fn note_answer(&mut self, sent_at: Timestamp, now: Timestamp) -> bool {
+        self.answer_latency = now.since(sent_at);
+        self.note_news(sent_at, now)
     }
 
     /// Records the answer to a call that waited for a change. Returns whether it ends a
     /// silence.
-    pub fn note_news(&mut self, asked: Timestamp, now: Timestamp) -> bool {
-        self.answered = self.answered.max(Some(asked));
+    pub fn note_news(&mut self, sent_at: Timestamp, now: Timestamp) -> bool {
+        self.newest_answered = self.newest_answered.max(Some(sent_at));
         let is_regained = self.silent_since.take().is_some();
         if is_regained {
             self.regained_at = Some(now);
@@ -87,8 +87,8 @@
     /// Records that a call got no answer. If a call that was sent later has been
     /// answered, only this call was lost, which happens to writes occasionally. Returns
     /// whether the store counts as silent from now on.
-    pub fn note_lost_call(&mut self, asked: Timestamp, now: Timestamp) -> bool {
-        let is_silence = self.answered < Some(asked);
+    pub fn note_lost_call(&mut self, sent_at: Timestamp, now: Timestamp) -> bool {
+        let is_silence = self.newest_answered < Some(sent_at);
         if is_silence {
             self.silent_since.get_or_insert(now);
         }
@@ -98,8 +98,8 @@
     /// Records that a probe got no answer: the store was silent when the probe was
     /// sent, whatever was answered since. Returns whether the store counts as silent
     /// from now on.
-    pub fn note_lost_probe(&mut self, asked: Timestamp, now: Timestamp) -> bool {
-        let is_silence = self.note_lost_call(asked, now);
+    pub fn note_lost_probe(&mut self, sent_at: Timestamp, now: Timestamp) -> bool {
+        let is_silence = self.note_lost_call(sent_at, now);
         if !is_silence {
             self.regained_at = Some(now);
         }
@@ -113,13 +113,13 @@
 
     /// Returns how long ago the newest answered call was sent.
     pub fn answered_ago(&self, now: Timestamp) -> Option<Duration> {
-        self.answered.map(|it| now.since(it))
+        self.newest_answered.map(|it| now.since(it))
     }
 
-    /// Returns whether a call that was sent at `asked` and still waits may never be
+    /// Returns whether a call that was sent at `sent_at` and still waits may never be
     /// answered, so that it has to be reissued.
-    pub fn is_doubtful(&self, asked: Timestamp) -> bool {
-        self.regained_at.is_some_and(|it| asked <= it)
+    pub fn is_doubtful(&self, sent_at: Timestamp) -> bool {
+        self.regained_at.is_some_and(|it| sent_at <= it)
     }
 
     /// Returns when the next probe is due, if one is needed.
@@ -128,19 +128,19 @@
     /// the others receive from it what they have missed. During a silence that affects
     /// all of them, all do.
     pub fn next_probe(&self, is_lead: bool) -> Option<Timestamp> {
-        let lost_at = self.probed.map(|it| it + self.probe_timeout());
+        let lost_at = self.last_probe.map(|it| it + self.probe_timeout());
         if self.silent_since.is_some() {
             return Some(lost_at.unwrap_or_default());
         }
-        let waiting = self.waiting.filter(|_| is_lead)?;
-        let is_proved = |answered: &Timestamp| *answered >= waiting;
-        let proved = self.answered.filter(is_proved);
-        let due = proved.map_or(waiting + PROOF_LAG, |it| it + self.pause);
-        let is_open = self.probed > self.answered;
-        let rested_at = match is_open {
+        let newest_waiting = self.newest_waiting.filter(|_| is_lead)?;
+        let is_confirmed = |newest_answered: &Timestamp| *newest_answered >= newest_waiting;
+        let confirmed = self.newest_answered.filter(is_confirmed);
+        let due = confirmed.map_or(newest_waiting + PROBE_DELAY, |it| it + self.probe_interval);
+        let is_pending = self.last_probe > self.newest_answered;
+        let earliest = match is_pending {
             true => lost_at,
-            false => self.probed.map(|it| it + SHORTEST_PAUSE),
+            false => self.last_probe.map(|it| it + MIN_PROBE_INTERVAL),
         };
-        Some(rested_at.map_or(due, |it| it.max(due)))
+        Some(earliest.map_or(due, |it| it.max(due)))
     }
 }
--- a/crates/policy/src/freshness/view_lag.rs
+++ b/crates/policy/src/freshness/view_lag.rs
@@ -7,9 +7,9 @@
 /// The length of one escalation step: when a view has been behind for this long, one
 /// more daemon that doesn't watch the store queries it. Peers deliver a change within
 /// half of this time.
-const STEP_SPAN: Duration = Duration::from_millis(1_200);
+const STEP_DURATION: Duration = Duration::from_millis(1_200);
 /// After this many steps all daemons of a zone may query the store.
-const MOST_STEPS: u32 = 10;
+const MAX_STEPS: u32 = 10;
 
 /// Measures how long a view has been behind the revisions that peers use.
 ///
@@ -45,8 +45,8 @@
     /// did so at the first sign of a lag, a short delay would cost one call per daemon
     /// of the fleet.
     pub fn stand_ins(&self, now: Timestamp) -> usize {
-        let steps = self.age(now).as_millis() / STEP_SPAN.as_millis();
-        let steps = u32::try_from(steps).unwrap_or(MOST_STEPS).min(MOST_STEPS);
+        let steps = self.age(now).as_millis() / STEP_DURATION.as_millis();
+        let steps = u32::try_from(steps).unwrap_or(MAX_STEPS).min(MAX_STEPS);
         (1 << steps) - 1
     }
 }
--- a/crates/policy/src/freshness/watch_plan.rs
+++ b/crates/policy/src/freshness/watch_plan.rs
@@ -10,7 +10,7 @@
 
 /// A member that didn't answer, or offered nothing useful.
 #[derive(Clone, Copy, Debug)]
-struct PassedMember {
+struct SkippedMember {
     id: DaemonId,
     until: Timestamp,
 }
@@ -26,19 +26,19 @@
     /// The other members of the zone, highest score first.
     zone: Vec<FleetMember>,
     /// The daemons of other zones.
-    beyond: Vec<DaemonId>,
-    avoided: Vec<PassedMember>,
-    postponed: Vec<PassedMember>,
+    other_zones: Vec<DaemonId>,
+    avoided: Vec<SkippedMember>,
+    postponed: Vec<SkippedMember>,
     revision: i64,
     view: Option<ViewAge>,
     /// The age of the view as last confirmed by the platform itself.
     confirmed: Option<ViewAge>,
     following: bool,
     /// When a higher-ranked member last had a fresh view from the platform.
-    relieved: Option<Timestamp>,
-    heard: Vec<DaemonId>,
+    relieved_at: Option<Timestamp>,
+    contacted: Vec<DaemonId>,
     /// Whether the last request was a probe of a member that had been silent.
-    probed: bool,
+    last_was_probe: bool,
     next_ask: Timestamp,
     ready: bool,
 }
@@ -50,16 +50,16 @@
             settings,
             own_score,
             zone: Vec::new(),
-            beyond: Vec::new(),
+            other_zones: Vec::new(),
             avoided: Vec::new(),
             postponed: Vec::new(),
             revision: 0,
             view: None,
             confirmed: None,
             following: false,
-            relieved: None,
-            heard: Vec::new(),
-            probed: false,
+            relieved_at: None,
+            contacted: Vec::new(),
+            last_was_probe: false,
             next_ask: Timestamp::ZERO,
             ready: false,
         }
@@ -70,12 +70,12 @@
         self.zone = members.iter().filter(|it| it.same_zone).copied().collect();
         self.zone
             .sort_unstable_by_key(|it| (std::cmp::Reverse(it.score), it.id));
-        let beyond = members.iter().filter(|it| !it.same_zone);
-        self.beyond = beyond.map(|it| it.id).collect();
+        let other_zones = members.iter().filter(|it| !it.same_zone);
+        self.other_zones = other_zones.map(|it| it.id).collect();
         let known = |id| members.iter().any(|it| it.id == id);
         self.avoided.retain(|it| known(it.id));
         self.postponed.retain(|it| known(it.id));
-        self.heard.retain(|it| known(*it));
+        self.contacted.retain(|it| known(*it));
     }
 
     /// Returns the revision up to which the view contains all changes; 0 without a
@@ -118,7 +118,9 @@
             self.following = true;
         } else if self.following {
             let fresh_within = self.settings.fresh_within;
-            let relieved = self.relieved.is_some_and(|it| now.since(it) < fresh_within);
+            let relieved = self
+                .relieved_at
+                .is_some_and(|it| now.since(it) < fresh_within);
             self.following = !relieved;
         } else {
             self.following = rank < self.followers(now);
@@ -139,7 +141,7 @@
         let target = match self.choose_probe(now) {
             Some(probe) => Some(probe),
             None if self.ready => self.choose_source(now, rng),
-            None => self.choose_unheard(now, rng),
+            None => self.choose_uncontacted(now, rng),
         };
         let interval = match self.view {
             Some(_) => self.settings.ask_interval,
@@ -159,10 +161,10 @@
     /// after `avoid_for`; a higher-ranked member stays skipped until it answers, since
     /// the ranking would otherwise change with each attempt.
     pub fn take_silence(&mut self, member: DaemonId, now: Timestamp) {
-        self.note_heard(member);
+        self.note_contacted(member);
         self.avoided.retain(|it| it.id != member);
         let until = now + self.settings.avoid_for;
-        self.avoided.push(PassedMember { id: member, until });
+        self.avoided.push(SkippedMember { id: member, until });
         self.next_ask = now;
         self.update_ready(now);
     }
@@ -170,7 +172,7 @@
     /// Records that a member answered without a view to offer, for example because it
     /// has just been started like the daemon that queries it.
     pub fn take_nothing(&mut self, member: DaemonId, now: Timestamp) {
-        self.note_heard(member);
+        self.note_contacted(member);
         self.avoided.retain(|it| it.id != member);
         self.update_ready(now);
     }
@@ -187,9 +189,9 @@
         sent: Timestamp,
         now: Timestamp,
     ) -> OfferVerdict {
-        self.note_heard(member);
+        self.note_contacted(member);
         self.avoided.retain(|it| it.id != member);
-        let verdict = self.judge(offer);
+        let verdict = self.compare(offer);
         if verdict == OfferVerdict::Take {
             self.take_view(offer.revision, ViewAge::new(sent, offer.age));
             self.note_relief(member, offer, sent, now);
@@ -208,14 +210,14 @@
     fn postpone(&mut self, member: DaemonId, now: Timestamp) {
         let until = now + self.settings.postpone_for;
         self.postponed.retain(|it| it.until > now);
-        self.postponed.push(PassedMember { id: member, until });
+        self.postponed.push(SkippedMember { id: member, until });
         let age = self.age(now).unwrap_or_default();
         if age > self.settings.fresh_within && age <= self.settings.hurry_within {
             self.next_ask = now + self.settings.first_ask_interval;
         }
     }
 
-    fn judge(&self, offer: ViewOffer) -> OfferVerdict {
+    fn compare(&self, offer: ViewOffer) -> OfferVerdict {
         if offer.revision < self.revision {
             return OfferVerdict::Behind;
         }
@@ -233,7 +235,7 @@
     fn note_relief(&mut self, member: DaemonId, offer: ViewOffer, sent: Timestamp, now: Timestamp) {
         let fresh = self.is_fresh(Some(ViewAge::new(sent, offer.age)), now);
         if offer.direct && fresh && self.is_better_placed(member) {
-            self.relieved = Some(sent);
+            self.relieved_at = Some(sent);
         }
     }
 
@@ -271,11 +273,11 @@
     /// and a newer one from the next, so it collects several answers before it serves
     /// without a fresh view.
     fn update_ready(&mut self, now: Timestamp) {
-        let others = self.zone.len() + self.beyond.len();
+        let others = self.zone.len() + self.other_zones.len();
         let enough = self.settings.enough_answers.min(others);
-        let heard_enough = others > 0 && self.heard.len() >= enough;
+        let contacted_enough = others > 0 && self.contacted.len() >= enough;
         let fresh = self.is_fresh(self.view, now);
-        self.ready |= self.view.is_some() && (fresh || heard_enough);
+        self.ready |= self.view.is_some() && (fresh || contacted_enough);
     }
 
     fn is_fresh(&self, view: Option<ViewAge>, now: Timestamp) -> bool {
@@ -312,8 +314,8 @@
     /// every other request: a large number of hanging members must not prevent requests
     /// to the others.
     fn choose_probe(&mut self, now: Timestamp) -> Option<DaemonId> {
-        self.probed = !self.probed;
-        if !self.probed {
+        self.last_was_probe = !self.last_was_probe;
+        if !self.last_was_probe {
             return None;
         }
         let better = self.zone.iter().filter(|it| it.score > self.own_score);
@@ -322,7 +324,7 @@
             let mut avoided = self.avoided.iter();
             avoided.any(|it| it.id == *id && it.until <= now)
         });
-        self.probed = target.is_some();
+        self.last_was_probe = target.is_some();
         target
     }
 
@@ -331,21 +333,21 @@
         zone.any(|it| it.id == member && it.score > self.own_score)
     }
 
-    fn note_heard(&mut self, member: DaemonId) {
-        if !self.ready && !self.heard.contains(&member) {
-            self.heard.push(member);
+    fn note_contacted(&mut self, member: DaemonId) {
+        if !self.ready && !self.contacted.contains(&member) {
+            self.contacted.push(member);
         }
     }
 
     /// Chooses a source before the daemon is ready: members that haven't answered yet
     /// come first.
-    fn choose_unheard(&self, now: Timestamp, rng: &mut impl Rng) -> Option<DaemonId> {
+    fn choose_uncontacted(&self, now: Timestamp, rng: &mut impl Rng) -> Option<DaemonId> {
         let zone = self.zone.iter().map(|it| it.id);
-        let all = zone.chain(self.beyond.iter().copied());
+        let all = zone.chain(self.other_zones.iter().copied());
         let others: Vec<DaemonId> = all.filter(|it| !self.is_avoided(*it, now)).collect();
-        let unheard = others.iter().filter(|it| !self.heard.contains(it));
-        let unheard: Vec<DaemonId> = unheard.copied().collect();
-        let target = unheard.choose(rng).or_else(|| others.choose(rng));
+        let uncontacted = others.iter().filter(|it| !self.contacted.contains(it));
+        let uncontacted: Vec<DaemonId> = uncontacted.copied().collect();
+        let target = uncontacted.choose(rng).or_else(|| others.choose(rng));
         target.copied()
     }
 
@@ -358,10 +360,13 @@
         if rank < self.settings.watchers && self.is_fresh(self.confirmed, now) {
             return None;
         }
-        if !fresh && !self.beyond.is_empty() && rng.random_bool(0.5) {
-            let beyond = self.beyond.iter().filter(|it| !self.is_avoided(**it, now));
-            let beyond: Vec<DaemonId> = beyond.copied().collect();
-            if let Some(target) = beyond.choose(rng) {
+        if !fresh && !self.other_zones.is_empty() && rng.random_bool(0.5) {
+            let other_zones = self
+                .other_zones
+                .iter()
+                .filter(|it| !self.is_avoided(**it, now));
+            let other_zones: Vec<DaemonId> = other_zones.copied().collect();
+            if let Some(target) = other_zones.choose(rng) {
                 return Some(*target);
             }
         }
--- a/crates/policy/src/members/list.rs
+++ b/crates/policy/src/members/list.rs
@@ -9,7 +9,7 @@
 const MISSING_GRACE: Duration = Duration::from_secs(120);
 
 /// How long the id of a dropped daemon isn't reused.
-const NUMBER_REST: Duration = Duration::from_secs(3600);
+const ID_REUSE_DELAY: Duration = Duration::from_secs(3600);
 
 /// A daemon as listed by the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -55,7 +55,7 @@
         let entry = &mut self.entries[daemon.index()];
         entry.listed = true;
         entry.listed_leaving = vm.leaving;
-        if entry.heard_at.is_none() {
+        if entry.last_received_at.is_none() {
             entry.zone = vm.zone;
             entry.address.clone_from(&vm.address);
         }
@@ -65,8 +65,8 @@
         let mut dropped: Vec<DaemonId> = Vec::new();
         for &daemon in &self.by_name {
             let entry = &mut self.entries[daemon.index()];
-            let heard_at = entry.heard_at.unwrap_or(entry.known_since);
-            let silent = now.since(heard_at) >= MISSING_GRACE;
+            let last_received_at = entry.last_received_at.unwrap_or(entry.known_since);
+            let silent = now.since(last_received_at) >= MISSING_GRACE;
             if silent && !entry.listed && daemon != Self::OWN {
                 entry.dropped_at = Some(now);
                 dropped.push(daemon);
@@ -81,6 +81,6 @@
     /// of the previous daemon could still arrive under it.
     pub(super) fn is_free(&self, now: Timestamp) -> bool {
         self.dropped_at
-            .is_some_and(|at| now.since(at) >= NUMBER_REST)
+            .is_some_and(|at| now.since(at) >= ID_REUSE_DELAY)
     }
 }
--- a/crates/policy/src/members/member_table.rs
+++ b/crates/policy/src/members/member_table.rs
@@ -5,15 +5,15 @@
 use crate::{DaemonId, Incarnation, Timestamp, ZoneId, hash::name_key};
 
 /// The interval between heartbeats to a daemon of the own zone.
-pub(super) const NEAR_BEAT: Duration = Duration::from_secs(2);
+pub(super) const SAME_ZONE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The interval between heartbeats to a daemon of another zone. Most of the fleet is in
 /// other zones, and what depends on these heartbeats is less urgent.
-pub(super) const FAR_BEAT: Duration = Duration::from_secs(20);
+pub(super) const OTHER_ZONE_INTERVAL: Duration = Duration::from_secs(20);
 
 /// The number of heartbeat intervals without a message after which a daemon counts as
 /// gone.
-const MISSED_BEATS: u32 = 3;
+const MAX_MISSED_HEARTBEATS: u32 = 3;
 
 /// A daemon's report about itself. Any other message from the daemon counts as one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -56,12 +56,12 @@
     pub incarnation: Option<Incarnation>,
     pub(super) key: u64,
     pub(super) known_since: Timestamp,
-    pub(super) heard_at: Option<Timestamp>,
-    pub(super) is_cut: bool,
-    pub(super) beaten_at: Option<Timestamp>,
+    pub(super) last_received_at: Option<Timestamp>,
+    pub(super) is_unreachable: bool,
+    pub(super) last_sent_at: Option<Timestamp>,
     pub(super) listed: bool,
     pub(super) listed_leaving: bool,
-    pub(super) said_leaving: bool,
+    pub(super) reported_leaving: bool,
     pub(super) dropped_at: Option<Timestamp>,
 }
 
@@ -103,8 +103,8 @@
     /// The daemon needn't be listed: the list is delayed, and a daemon that sends
     /// messages is running.
     pub fn heartbeat(&mut self, beat: &Heartbeat, now: Timestamp) -> MemberNews {
-        let place = self.position(&beat.name);
-        let daemon = match place {
+        let position = self.position(&beat.name);
+        let daemon = match position {
             Ok(at) => self.by_name[at],
             Err(at) => {
                 let daemon = self.insert(&beat.name, now);
@@ -112,24 +112,24 @@
                 daemon
             }
         };
-        let was_alive = place.is_ok() && self.is_alive(daemon, now);
+        let was_alive = position.is_ok() && self.is_alive(daemon, now);
         let entry = &mut self.entries[daemon.index()];
         let before = entry.incarnation.replace(beat.incarnation);
         let restarted = before.is_some_and(|it| it != beat.incarnation);
         if restarted {
-            entry.said_leaving = false;
+            entry.reported_leaving = false;
         }
-        let leaves = beat.leaving && !entry.said_leaving;
-        entry.said_leaving |= beat.leaving;
+        let leaves = beat.leaving && !entry.reported_leaving;
+        entry.reported_leaving |= beat.leaving;
         entry.zone = beat.zone;
         entry.address.clone_from(&beat.address);
-        entry.heard_at = Some(now);
-        entry.is_cut = false;
+        entry.last_received_at = Some(now);
+        entry.is_unreachable = false;
         if leaves {
             MemberNews::Leaving(daemon)
         } else if restarted {
             MemberNews::Restarted(daemon)
-        } else if !was_alive && !entry.said_leaving {
+        } else if !was_alive && !entry.reported_leaving {
             MemberNews::Joined(daemon)
         } else {
             MemberNews::Known(daemon)
@@ -143,7 +143,7 @@
             return;
         }
         if let Some(entry) = self.entries.get_mut(daemon.index()) {
-            entry.is_cut = true;
+            entry.is_unreachable = true;
         }
     }
 
@@ -152,16 +152,16 @@
         let Some(entry) = self.entry(daemon) else {
             return false;
         };
-        if entry.dropped_at.is_some() || entry.said_leaving || entry.is_cut {
+        if entry.dropped_at.is_some() || entry.reported_leaving || entry.is_unreachable {
             return false;
         }
         if daemon == Self::OWN {
             return true;
         }
-        let limit = self.beat_interval(entry) * MISSED_BEATS;
+        let limit = self.heartbeat_interval(entry) * MAX_MISSED_HEARTBEATS;
         // A listed daemon from which nothing has been received yet may be starting.
-        let heard_at = entry.heard_at.unwrap_or(entry.known_since);
-        !entry.listed_leaving && now.since(heard_at) < limit
+        let last_received_at = entry.last_received_at.unwrap_or(entry.known_since);
+        !entry.listed_leaving && now.since(last_received_at) < limit
     }
 
     /// Returns the daemons that are assumed to be running, including this one, sorted
@@ -179,14 +179,16 @@
         let mut due = Vec::new();
         for &daemon in &self.by_name {
             let entry = &self.entries[daemon.index()];
-            let interval = self.beat_interval(entry);
-            let is_due = entry.beaten_at.is_none_or(|at| now.since(at) >= interval);
+            let interval = self.heartbeat_interval(entry);
+            let is_due = entry
+                .last_sent_at
+                .is_none_or(|at| now.since(at) >= interval);
             if daemon != Self::OWN && is_due {
                 due.push(daemon);
             }
         }
         for daemon in &due {
-            self.entries[daemon.index()].beaten_at = Some(now);
+            self.entries[daemon.index()].last_sent_at = Some(now);
         }
         due
     }
@@ -212,11 +214,11 @@
         DaemonId((self.entries.len() - 1) as u32)
     }
 
-    fn beat_interval(&self, entry: &MemberEntry) -> Duration {
+    fn heartbeat_interval(&self, entry: &MemberEntry) -> Duration {
         if entry.zone == self.entries[Self::OWN.index()].zone {
-            NEAR_BEAT
+            SAME_ZONE_INTERVAL
         } else {
-            FAR_BEAT
+            OTHER_ZONE_INTERVAL
         }
     }
 }
--- a/crates/policy/src/members/roles.rs
+++ b/crates/policy/src/members/roles.rs
@@ -49,9 +49,9 @@
                 continue;
             }
             let mut next = (mix(mix(seed) ^ entry.key), Some(daemon));
-            for place in &mut best {
-                if place.1.is_none() || next.0 > place.0 {
-                    std::mem::swap(place, &mut next);
+            for best_entry in &mut best {
+                if best_entry.1.is_none() || next.0 > best_entry.0 {
+                    std::mem::swap(best_entry, &mut next);
                 }
             }
         }
--- a/crates/policy/src/retries/budget.rs
+++ b/crates/policy/src/retries/budget.rs
@@ -3,16 +3,16 @@
 use crate::Timestamp;
 
 /// The retries that each success adds to the budget.
-const SHARE: f64 = 0.1;
+const TOKENS_PER_SUCCESS: f64 = 0.1;
 
 /// The retries per second that a daemon without successes may still make.
-const FLOOR_PER_SEC: f64 = 0.5;
+const TIME_REFILL_PER_SEC: f64 = 0.5;
 
 /// The budget up to which it is refilled by time alone.
 ///
 /// It covers the requests that were in flight on one dead server, also on a daemon with
 /// little traffic.
-const FLOOR_TOKENS: f64 = 32.0;
+const TIME_REFILL_LIMIT: f64 = 32.0;
 
 /// The maximum of the budget.
 const MAX_TOKENS: f64 = 128.0;
@@ -28,15 +28,15 @@
     /// The retries that each success adds to the budget.
     pub share: f64,
     tokens: f64,
-    filled_at: Timestamp,
+    refilled_at: Timestamp,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         RetryBudget {
-            share: SHARE,
-            tokens: FLOOR_TOKENS,
-            filled_at: Timestamp::ZERO,
+            share: TOKENS_PER_SUCCESS,
+            tokens: TIME_REFILL_LIMIT,
+            refilled_at: Timestamp::ZERO,
         }
     }
 }
@@ -49,7 +49,7 @@
 
     /// Takes one retry from the budget. Returns false if there is none.
     pub fn take(&mut self, now: Timestamp) -> bool {
-        self.fill(now);
+        self.refill(now);
         if self.tokens < 1.0 {
             return false;
         }
@@ -62,11 +62,11 @@
         self.tokens
     }
 
-    fn fill(&mut self, now: Timestamp) {
-        let secs = now.since(self.filled_at).as_secs_f64();
-        self.filled_at = self.filled_at.max(now);
-        if self.tokens < FLOOR_TOKENS {
-            self.tokens = (self.tokens + secs * FLOOR_PER_SEC).min(FLOOR_TOKENS);
+    fn refill(&mut self, now: Timestamp) {
+        let secs = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        if self.tokens < TIME_REFILL_LIMIT {
+            self.tokens = (self.tokens + secs * TIME_REFILL_PER_SEC).min(TIME_REFILL_LIMIT);
         }
     }
 }
--- a/crates/policy/src/retries/decision.rs
+++ b/crates/policy/src/retries/decision.rs
@@ -9,18 +9,18 @@
 use crate::Timestamp;
 
 /// The number of attempts per request at servers that were reached.
-const MAX_ATTEMPTS: u32 = 3;
+const MAX_REACHED_ATTEMPTS: u32 = 3;
 
 /// The maximum number of lost attempts that are compensated by an additional one. A
 /// request that crashes servers gets two runs, and a request that was on the same
 /// server both times must still be answered.
-const GRANTED_LOSSES: u32 = 2;
+const MAX_COMPENSATED_LOSSES: u32 = 2;
 
 /// The total number of attempts per request, including those that reached no server.
-const MOST_SERVERS: u32 = 8;
+const MAX_TOTAL_ATTEMPTS: u32 = 8;
 
 /// The default delay after which a caller may retry, before jitter.
-const RETRY_AFTER: Duration = Duration::from_secs(2);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Whether a request has run, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -133,7 +133,7 @@
     now: Timestamp,
     rng: &mut impl Rng,
 ) -> RetryDecision {
-    let cause = refusal(attempt, now);
+    let cause = final_cause(attempt, now);
     let cause = cause.or_else(|| (!budget.take(now)).then_some(FinalCause::Budget));
     if let Some(cause) = cause {
         return RetryDecision::Final(FinalAnswer {
@@ -162,7 +162,7 @@
     }
 }
 
-fn refusal(attempt: &AttemptReport, now: Timestamp) -> Option<FinalCause> {
+fn final_cause(attempt: &AttemptReport, now: Timestamp) -> Option<FinalCause> {
     if matches!(attempt.suspect, SuspectVerdict::Blocked(_)) {
         return Some(FinalCause::Blocked);
     }
@@ -179,8 +179,9 @@
         return Some(FinalCause::Deadline);
     }
     let reached = attempt.attempts.saturating_sub(attempt.not_sent);
-    let is_used_up = reached >= MAX_ATTEMPTS + attempt.lost.min(GRANTED_LOSSES);
-    if is_used_up || attempt.lost >= MAX_ATTEMPTS || attempt.attempts >= MOST_SERVERS {
+    let is_used_up = reached >= MAX_REACHED_ATTEMPTS + attempt.lost.min(MAX_COMPENSATED_LOSSES);
+    if is_used_up || attempt.lost >= MAX_REACHED_ATTEMPTS || attempt.attempts >= MAX_TOTAL_ATTEMPTS
+    {
         return Some(FinalCause::Attempts);
     }
     None
@@ -190,6 +191,6 @@
 fn retry_after(attempt: &AttemptReport, rng: &mut impl Rng) -> Duration {
     match attempt.suspect {
         SuspectVerdict::Blocked(span) => span,
-        _ => RETRY_AFTER.mul_f64(rng.random_range(0.5..1.5)),
+        _ => DEFAULT_RETRY_AFTER.mul_f64(rng.random_range(0.5..1.5)),
     }
 }
--- a/crates/policy/src/routing/choose.rs
+++ b/crates/policy/src/routing/choose.rs
@@ -154,11 +154,11 @@
         now: Timestamp,
         rng: &mut impl Rng,
     ) -> Option<Candidate> {
-        let usual_others = pool.usual_others(now);
-        let mean = usual_others + pool.in_flight as f32 / pool.servers.len().max(1) as f32;
+        let typical_others = pool.typical_others(now);
+        let mean = typical_others + pool.in_flight as f32 / pool.servers.len().max(1) as f32;
         for server in rendezvous_order(pool, prefix).into_iter().flatten() {
             let entry = &self.entries[server.index()];
-            let load = entry.load.requests(usual_others, now) + 1.0;
+            let load = entry.load.requests(typical_others, now) + 1.0;
             // A prefix that many callers send must not overload one server, but a cached prefix
             // on a server with half its batch free is worth more than even load.
             let batch = entry.load.batch() as f32;
@@ -246,14 +246,14 @@
     fn choose_ejected(&self, query: &RouteQuery<'_>, now: Timestamp) -> Option<Candidate> {
         let mut best: Option<(bool, Candidate)> = None;
         for pool in self.group_pools(query.group) {
-            let away = pool.zone != query.zone;
+            let other_zone = pool.zone != query.zone;
             for &(_, server) in &pool.servers {
                 if query.exclude.contains(&server) {
                     continue;
                 }
                 let found = self.candidate(pool, server, now);
-                if best.is_none_or(|(far, least)| (away, found.wait) < (far, least.wait)) {
-                    best = Some((away, found));
+                if best.is_none_or(|(far, least)| (other_zone, found.wait) < (far, least.wait)) {
+                    best = Some((other_zone, found));
                 }
             }
         }
@@ -262,11 +262,11 @@
 
     fn candidate(&self, pool: &ServerPool, server: ServerId, now: Timestamp) -> Candidate {
         let load = &self.entries[server.index()].load;
-        let usual_others = pool.usual_others(now);
+        let typical_others = pool.typical_others(now);
         Candidate {
             server,
-            wait: load.expected_wait(usual_others, now),
-            saturated: load.is_saturated(usual_others, now),
+            wait: load.expected_wait(typical_others, now),
+            saturated: load.is_saturated(typical_others, now),
         }
     }
 
@@ -291,9 +291,9 @@
     let mut best = [(0, None); PREFIX_CANDIDATES];
     for &(key, server) in &pool.servers {
         let mut next = (mix(prefix ^ key.0), Some(server));
-        for place in &mut best {
-            if place.1.is_none() || next.0 > place.0 {
-                std::mem::swap(place, &mut next);
+        for best_entry in &mut best {
+            if best_entry.1.is_none() || next.0 > best_entry.0 {
+                std::mem::swap(best_entry, &mut next);
             }
             if next.1.is_none() {
                 break;
--- a/crates/policy/src/routing/health.rs
+++ b/crates/policy/src/routing/health.rs
@@ -13,13 +13,13 @@
 const PROBE_WEIGHT: f32 = 1.0 / 16.0;
 
 /// The minimum interval between two doublings of a weight.
-const RETURN_STEP: Duration = Duration::from_secs(1);
+const RAISE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The duration of the first ejection.
 const FIRST_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The maximum duration of an ejection, before jitter.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(60);
+const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
 /// The result of an attempt at a server, as its connection showed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
 
     pub(super) fn succeed(&mut self, now: Timestamp) {
         self.last_ok = Some(now);
-        if self.weight >= 1.0 || now.since(self.raised_at) < RETURN_STEP {
+        if self.weight >= 1.0 || now.since(self.raised_at) < RAISE_INTERVAL {
             return;
         }
         self.raised_at = now;
@@ -118,7 +118,7 @@
     /// zone don't all return to the server at the same time.
     fn backoff(&self, rng: &mut impl Rng) -> Duration {
         let doublings = self.ejections.min(6);
-        let span = (FIRST_BACKOFF * (1 << doublings)).min(LONGEST_BACKOFF);
+        let span = (FIRST_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
         span.mul_f64(rng.random_range(0.75..1.25))
     }
 }
--- a/crates/policy/src/routing/load.rs
+++ b/crates/policy/src/routing/load.rs
@@ -14,7 +14,7 @@
 
 /// The fraction of a bulk request that counts as load for live requests: enough to
 /// prefer a server without bulk work.
-const BULK_PART: f32 = 0.1;
+const BULK_FRACTION: f32 = 0.1;
 
 /// The weight of one sample in the moving averages of a server.
 const SAMPLE_WEIGHT: f32 = 0.1;
@@ -69,7 +69,7 @@
     others: f32,
     reported_at: Option<Timestamp>,
     first_token_secs: f32,
-    held_secs: f32,
+    mean_duration_secs: f32,
 }
 
 impl ServerLoad {
@@ -85,7 +85,7 @@
     /// Estimates the number of requests on the server, from this and all other daemons.
     ///
     /// The own count is exact. The count of other daemons comes from the last report,
-    /// minus the own requests at that time, and converges to `usual_others` (the mean
+    /// minus the own requests at that time, and converges to `typical_others` (the mean
     /// over the zone) as the report ages. If a delayed report were taken at face value,
     /// all requests would go to the server that was idle a moment ago.
     ///
@@ -93,35 +93,36 @@
     /// look full while there is bulk work, and live requests would accumulate on a
     /// server that is full of live requests while another has only bulk requests, which
     /// can be cancelled.
-    pub fn requests(&self, usual_others: f32, now: Timestamp) -> f32 {
-        let bulk = (self.yielding.own + self.yielding.others) as f32 * BULK_PART;
-        self.live_requests(usual_others, now) + bulk
+    pub fn requests(&self, typical_others: f32, now: Timestamp) -> f32 {
+        let bulk = (self.yielding.own + self.yielding.others) as f32 * BULK_FRACTION;
+        self.live_requests(typical_others, now) + bulk
     }
 
     /// Estimates the number of requests that can't be preempted.
-    fn live_requests(&self, usual_others: f32, now: Timestamp) -> f32 {
+    fn live_requests(&self, typical_others: f32, now: Timestamp) -> f32 {
         let live = self.in_flight.saturating_sub(self.yielding.own) as f32;
         let Some(reported_at) = self.reported_at else {
-            return live + usual_others;
+            return live + typical_others;
         };
-        let news = (self.others - usual_others) * belief(now.since(reported_at));
-        live + usual_others + news
+        let correction = (self.others - typical_others) * age_weight(now.since(reported_at));
+        live + typical_others + correction
     }
 
     /// Estimates how many seconds one more request would wait for its first token.
-    pub fn expected_wait(&self, usual_others: f32, now: Timestamp) -> f32 {
-        let requests = self.requests(usual_others, now) + 1.0;
+    pub fn expected_wait(&self, typical_others: f32, now: Timestamp) -> f32 {
+        let requests = self.requests(typical_others, now) + 1.0;
         let batch = self.batch() as f32;
         let queued = (requests - batch).max(0.0);
         let first_token = self.first_token_secs.max(0.001);
-        first_token * (requests / batch).min(1.0) + self.held_secs.max(first_token) * queued / batch
+        first_token * (requests / batch).min(1.0)
+            + self.mean_duration_secs.max(first_token) * queued / batch
     }
 
     /// Returns whether one more request would have to wait for a place in the batch.
     /// Bulk requests don't count: they are cancelled to make a place, and if they held
     /// back a live request, it would wait for as long as bulk work occupies the server.
-    pub fn is_saturated(&self, usual_others: f32, now: Timestamp) -> bool {
-        self.live_requests(usual_others, now) + 1.0 > self.batch() as f32
+    pub fn is_saturated(&self, typical_others: f32, now: Timestamp) -> bool {
+        self.live_requests(typical_others, now) + 1.0 > self.batch() as f32
     }
 
     /// Applies a report and returns the number of requests of other daemons in it.
@@ -143,23 +144,23 @@
         };
     }
 
-    pub(super) fn first_token(&mut self, span: Duration) {
-        average(&mut self.first_token_secs, span);
+    pub(super) fn record_first_token(&mut self, span: Duration) {
+        update_mean(&mut self.first_token_secs, span);
     }
 
-    pub(super) fn held(&mut self, span: Duration) {
-        average(&mut self.held_secs, span);
+    pub(super) fn record_duration(&mut self, span: Duration) {
+        update_mean(&mut self.mean_duration_secs, span);
     }
 }
 
 /// Returns the weight of a report of this age. The decay is rational, which costs only
 /// one division per request.
-pub(super) fn belief(age: Duration) -> f32 {
+pub(super) fn age_weight(age: Duration) -> f32 {
     let half_lives = age.as_secs_f32() / REPORT_HALF_LIFE.as_secs_f32();
     1.0 / (1.0 + half_lives)
 }
 
-fn average(mean: &mut f32, sample: Duration) {
+fn update_mean(mean: &mut f32, sample: Duration) {
     let secs = sample.as_secs_f32();
     if *mean == 0.0 {
         *mean = secs;
--- a/crates/policy/src/routing/server_table.rs
+++ b/crates/policy/src/routing/server_table.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-use super::load::belief;
+use super::load::age_weight;
 use super::{LoadReport, ServerHealth, ServerLoad, ServerOutcome, YieldingLoad, ZoneLoad};
 use crate::{GroupId, ServerId, Timestamp, ZoneId, hash::name_key};
 
@@ -82,13 +82,13 @@
     /// The value decays while no report arrives. Reports come with answers, so a daemon
     /// that permanently considered all servers full would send no requests, receive no
     /// reports, and never detect that the servers are free.
-    pub(super) fn usual_others(&self, now: Timestamp) -> f32 {
-        self.mean_others * belief(now.since(self.reported_at))
+    pub(super) fn typical_others(&self, now: Timestamp) -> f32 {
+        self.mean_others * age_weight(now.since(self.reported_at))
     }
 
     fn report(&mut self, others: f32, now: Timestamp) {
-        let doubt = 1.0 - belief(now.since(self.reported_at));
-        self.mean_others += (others - self.mean_others) * REPORT_WEIGHT.max(doubt);
+        let staleness = 1.0 - age_weight(now.since(self.reported_at));
+        self.mean_others += (others - self.mean_others) * REPORT_WEIGHT.max(staleness);
         self.reported_at = now;
     }
 }
@@ -174,13 +174,13 @@
         }
     }
 
-    /// Counts a request as ended, `held` after the matching [`begin`](Self::begin).
-    pub fn end(&mut self, server: ServerId, held: Duration) {
+    /// Counts a request as ended, `duration` after the matching [`begin`](Self::begin).
+    pub fn end(&mut self, server: ServerId, duration: Duration) {
         let Some(entry) = self.entries.get_mut(server.index()) else {
             return;
         };
         entry.load.in_flight = entry.load.in_flight.saturating_sub(1);
-        entry.load.held(held);
+        entry.load.record_duration(duration);
         if let Some(pool) = self.pool_of(server) {
             pool.in_flight = pool.in_flight.saturating_sub(1);
         }
@@ -207,7 +207,7 @@
     /// Records the time from sending a request to its first token.
     pub fn first_token(&mut self, server: ServerId, span: Duration) {
         if let Some(entry) = self.entries.get_mut(server.index()) {
-            entry.load.first_token(span);
+            entry.load.record_first_token(span);
         }
     }
 
@@ -255,7 +255,7 @@
             let weight = entry.health.weight(now);
             if weight > 0.0 {
                 sum.servers += 1;
-                sum.load += entry.load.requests(pool.usual_others(now), now);
+                sum.load += entry.load.requests(pool.typical_others(now), now);
                 sum.batch += entry.load.batch() as f32 * weight;
             }
         }
--- a/crates/policy/src/suspects/entry.rs
+++ b/crates/policy/src/suspects/entry.rs
@@ -8,22 +8,22 @@
 
 /// Detections of a server's death within this time count as one death, since daemons
 /// detect it at different times, unless the server was restarted in between.
-const SAME_DEATH: Duration = Duration::from_secs(10);
+const SAME_DEATH_WINDOW: Duration = Duration::from_secs(10);
 
 /// The minimum time that a server takes to restart. A run that began later than this
 /// after a death ran on the restarted server. It must exceed the delivery time of
 /// messages, which makes deaths appear later than they were.
-const COMES_BACK_AFTER: Duration = Duration::from_secs(1);
+const MIN_RESTART_TIME: Duration = Duration::from_secs(1);
 
 /// The number of deaths that block a fingerprint.
-const BLOCKING_DEATHS: usize = 2;
+const DEATHS_TO_BLOCK: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Death {
     pub(super) id: DeathId,
     pub(super) server: ServerKey,
     pub(super) seen_at: Timestamp,
-    pub(super) begun_at: Timestamp,
+    pub(super) started_at: Timestamp,
 }
 
 /// The state of a suspect's trial on this daemon. The trial is the one further run that
@@ -39,16 +39,17 @@
     /// The trial is running.
     Running { ask: TrialAsk },
     /// The trial was stopped; its server may still die of it.
-    Quiet { ask: TrialAsk, since: Timestamp },
-    /// Another daemon holds the trial; a new request is useless before `until`.
-    Elsewhere { until: Timestamp },
+    Stopped { ask: TrialAsk, since: Timestamp },
+    /// Another daemon holds the trial, or the records are unavailable; a new request is
+    /// useless before `until`.
+    HeldElsewhere { until: Timestamp },
 }
 
 impl Trial {
     /// Returns the trial if the suspect has started to run in it.
-    pub(super) fn begun(&self) -> Option<TrialAsk> {
+    pub(super) fn started(&self) -> Option<TrialAsk> {
         match *self {
-            Trial::Running { ask } | Trial::Quiet { ask, .. } => Some(ask),
+            Trial::Running { ask } | Trial::Stopped { ask, .. } => Some(ask),
             _ => None,
         }
     }
@@ -56,7 +57,7 @@
 
 /// A peer that has to acknowledge a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Addressee {
+pub(super) struct PendingPeer {
     pub(super) peer: DaemonId,
     pub(super) sent_at: Option<Timestamp>,
     /// Whether the peer reported that a copy runs there, so that it is notified again.
@@ -73,12 +74,13 @@
     pub(super) until: Timestamp,
     pub(super) trial: Trial,
     /// The peers that haven't answered yet or run a copy.
-    pub(super) addressees: Vec<Addressee>,
-    pub(super) addressed_at: Timestamp,
+    pub(super) pending_peers: Vec<PendingPeer>,
+    pub(super) notified_at: Timestamp,
     /// Whether the block has yet to be written to the platform.
     pub(super) unstored: bool,
-    /// Whether this daemon detected a death, so that it notifies peers that join.
-    pub(super) own: bool,
+    /// Whether this daemon detected a death or a finished run, so that it notifies peers
+    /// that join.
+    pub(super) originated_here: bool,
 }
 
 impl Entry {
@@ -90,10 +92,10 @@
             cleared: false,
             until,
             trial: Trial::Idle,
-            addressees: Vec::new(),
-            addressed_at: Timestamp::ZERO,
+            pending_peers: Vec::new(),
+            notified_at: Timestamp::ZERO,
             unstored: false,
-            own: false,
+            originated_here: false,
         }
     }
 
@@ -109,7 +111,7 @@
 
     /// Adds a death unless it is known, and returns whether it is new.
     pub(super) fn add_death(&mut self, death: Death) -> bool {
-        if self.knows(&death) {
+        if self.knows_death(&death) {
             return false;
         }
         if self.cleared {
@@ -118,35 +120,35 @@
             self.deaths.clear();
         }
         self.deaths.push(death);
-        self.blocked |= self.deaths.len() >= BLOCKING_DEATHS;
+        self.blocked |= self.deaths.len() >= DEATHS_TO_BLOCK;
         true
     }
 
-    pub(super) fn knows(&self, death: &Death) -> bool {
+    pub(super) fn knows_death(&self, death: &Death) -> bool {
         self.deaths.iter().any(|it| {
             let apart = it.seen_at.since(death.seen_at) + death.seen_at.since(it.seen_at);
-            let overlap = it.begun_at <= death.seen_at + COMES_BACK_AFTER
-                && death.begun_at <= it.seen_at + COMES_BACK_AFTER;
-            let same = it.server == death.server && apart < SAME_DEATH && overlap;
+            let overlap = it.started_at <= death.seen_at + MIN_RESTART_TIME
+                && death.started_at <= it.seen_at + MIN_RESTART_TIME;
+            let same = it.server == death.server && apart < SAME_DEATH_WINDOW && overlap;
             same || it.id == death.id
         })
     }
 
     /// Returns whether a run was ended by one of the known deaths.
-    pub(super) fn ended(&self, running: &Running) -> bool {
-        let ended = |it: &Death| it.server == running.server && running.begun_at <= it.seen_at;
+    pub(super) fn was_ended(&self, running: &Running) -> bool {
+        let ended = |it: &Death| it.server == running.server && running.started_at <= it.seen_at;
         self.deaths.iter().any(ended)
     }
 
     /// Returns whether the fingerprint is cleared and needs no further action.
     pub(super) fn is_done(&self) -> bool {
-        let idle = matches!(self.trial, Trial::Idle | Trial::Elsewhere { .. });
-        self.cleared && self.addressees.is_empty() && idle
+        let idle = matches!(self.trial, Trial::Idle | Trial::HeldElsewhere { .. });
+        self.cleared && self.pending_peers.is_empty() && idle
     }
 
     /// Returns whether a peer hasn't answered yet.
     pub(super) fn awaits_answer(&self) -> bool {
-        self.addressees.iter().any(|it| !it.running)
+        self.pending_peers.iter().any(|it| !it.running)
     }
 
     /// Ends a trial that this daemon requested or started, and returns it so that it
@@ -156,16 +158,16 @@
             Trial::Asked { ask, .. }
             | Trial::Granted { ask, .. }
             | Trial::Running { ask }
-            | Trial::Quiet { ask, .. } => Some(ask),
-            Trial::Idle | Trial::Elsewhere { .. } => None,
+            | Trial::Stopped { ask, .. } => Some(ask),
+            Trial::Idle | Trial::HeldElsewhere { .. } => None,
         }
     }
 
-    pub(super) fn address(&mut self, peers: &[DaemonId], now: Timestamp) {
-        self.addressed_at = now;
-        self.addressees = peers
+    pub(super) fn notify_peers(&mut self, peers: &[DaemonId], now: Timestamp) {
+        self.notified_at = now;
+        self.pending_peers = peers
             .iter()
-            .map(|&peer| Addressee {
+            .map(|&peer| PendingPeer {
                 peer,
                 sent_at: None,
                 running: false,
@@ -184,7 +186,7 @@
                     id: it.id,
                     server: it.server,
                     age: now.since(it.seen_at),
-                    ran: it.seen_at.since(it.begun_at),
+                    ran: it.seen_at.since(it.started_at),
                 })
                 .collect(),
             lifetime: self.until.since(now),
@@ -199,7 +201,7 @@
             id: fact.id,
             server: fact.server,
             seen_at,
-            begun_at: seen_at - fact.ran,
+            started_at: seen_at - fact.ran,
         }
     }
 }
--- a/crates/policy/src/suspects/exchange.rs
+++ b/crates/policy/src/suspects/exchange.rs
@@ -37,10 +37,10 @@
             };
             let cleared: Vec<Death> = deaths.collect();
             let entry = &mut self.entries[at];
-            let mut covering = Entry::new(fact.fingerprint, now);
-            covering.deaths = cleared;
+            let mut clearing = Entry::new(fact.fingerprint, now);
+            clearing.deaths = cleared;
             // A fact clears only the deaths that its sender knew of.
-            if !entry.blocked && entry.deaths.iter().all(|it| covering.knows(it)) {
+            if !entry.blocked && entry.deaths.iter().all(|it| clearing.knows_death(it)) {
                 entry.cleared = true;
             }
             return;
--- a/crates/policy/src/suspects/messages.rs
+++ b/crates/policy/src/suspects/messages.rs
@@ -160,7 +160,7 @@
     },
     /// Another suspect is on trial on the server.
     ServerTaken,
-    /// No record could be read or written.
+    /// The trial records are unavailable.
     Unavailable,
 }
 
--- a/crates/policy/src/suspects/running.rs
+++ b/crates/policy/src/suspects/running.rs
@@ -20,7 +20,7 @@
     pub(super) fingerprint: Fingerprint,
     pub(super) run: RunId,
     pub(super) server: ServerKey,
-    pub(super) begun_at: Timestamp,
+    pub(super) started_at: Timestamp,
 }
 
 /// The runs of this daemon, sorted by fingerprint and run.
--- a/crates/policy/src/suspects/suspect_table.rs
+++ b/crates/policy/src/suspects/suspect_table.rs
@@ -18,10 +18,10 @@
 pub(super) const TRIAL_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// The delay after which a notice is resent to a peer that hasn't answered.
-const RESEND_AFTER: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a server must survive a stopped trial for the trial to count as harmless.
-const QUIET: Duration = Duration::from_secs(10);
+const SURVIVAL_WINDOW: Duration = Duration::from_secs(10);
 
 /// The maximum number of entries; beyond it, those that expire first are removed.
 const MAX_ENTRIES: usize = 65_536;
@@ -46,8 +46,8 @@
     pub(super) entries: Vec<Entry>,
     pub(super) peers: Vec<DaemonId>,
     pub(super) settlements: Vec<TrialSettlement>,
-    pub(super) asks: u64,
-    sightings: u64,
+    pub(super) trial_requests: u64,
+    detections: u64,
 }
 
 impl SuspectTable {
@@ -66,12 +66,12 @@
     pub fn set_peers(&mut self, peers: &[DaemonId]) {
         let known = std::mem::replace(&mut self.peers, peers.to_vec());
         for entry in &mut self.entries {
-            entry.addressees.retain(|it| peers.contains(&it.peer));
-            if !entry.own {
+            entry.pending_peers.retain(|it| peers.contains(&it.peer));
+            if !entry.originated_here {
                 continue;
             }
             for &peer in peers.iter().filter(|it| !known.contains(it)) {
-                entry.addressees.push(super::entry::Addressee {
+                entry.pending_peers.push(super::entry::PendingPeer {
                     peer,
                     sent_at: None,
                     running: false,
@@ -89,10 +89,10 @@
             _ if entry.until <= now => SuspectVerdict::Clear,
             (SuspectStage::Cleared, _) => SuspectVerdict::Clear,
             (SuspectStage::Blocked, _) => SuspectVerdict::Blocked(entry.until.since(now)),
-            (_, Trial::Elsewhere { until }) if now < until => {
+            (_, Trial::HeldElsewhere { until }) if now < until => {
                 SuspectVerdict::Blocked(until.since(now))
             }
-            (_, Trial::Idle | Trial::Elsewhere { .. }) => SuspectVerdict::NeedsTrial,
+            (_, Trial::Idle | Trial::HeldElsewhere { .. }) => SuspectVerdict::NeedsTrial,
             _ => SuspectVerdict::Blocked(TRIAL_RETRY_AFTER),
         }
     }
@@ -116,7 +116,7 @@
                 fingerprint,
                 run,
                 server,
-                begun_at: now,
+                started_at: now,
             });
         }
         verdict
@@ -141,15 +141,15 @@
         match (end, entry.trial) {
             (RunEnd::Finished, _) if !entry.blocked => {
                 entry.cleared = true;
-                entry.own = true;
-                entry.address(&self.peers, now);
+                entry.originated_here = true;
+                entry.notify_peers(&self.peers, now);
                 if let Some(ask) = entry.take_trial() {
                     let end = TrialEnd::Released;
                     self.settlements.push(TrialSettlement { ask, end });
                 }
             }
             (RunEnd::Stopped, Trial::Running { ask }) => {
-                entry.trial = Trial::Quiet { ask, since: now };
+                entry.trial = Trial::Stopped { ask, since: now };
             }
             (RunEnd::NotSent, Trial::Running { ask }) => {
                 entry.trial = Trial::Idle;
@@ -168,14 +168,14 @@
         for entry in &self.entries {
             // A trial that was stopped shortly before the death isn't running any more, but may
             // still have caused it.
-            if let Trial::Quiet { ask, since } = entry.trial
+            if let Trial::Stopped { ask, since } = entry.trial
                 && ask.server == server
             {
                 stopped.push(Running {
                     fingerprint: entry.fingerprint,
                     run: RunId::default(),
                     server,
-                    begun_at: since,
+                    started_at: since,
                 });
             }
         }
@@ -194,18 +194,18 @@
     fn add_death(&mut self, running: &Running, now: Timestamp) {
         let at = self.insert(running.fingerprint, now + SUSPECT_LIFETIME);
         let entry = &mut self.entries[at];
-        self.sightings += 1;
+        self.detections += 1;
         let death = Death {
             id: DeathId {
                 seen_by: self.incarnation,
-                number: self.sightings,
+                number: self.detections,
             },
             server: running.server,
             seen_at: now,
-            begun_at: running.begun_at,
+            started_at: running.started_at,
         };
         let mut changed = entry.add_death(death);
-        if let Some(ask) = entry.trial.begun()
+        if let Some(ask) = entry.trial.started()
             && ask.server == running.server
         {
             changed = true;
@@ -216,9 +216,9 @@
         }
         if changed {
             entry.until = now + SUSPECT_LIFETIME;
-            entry.own = true;
+            entry.originated_here = true;
             entry.unstored = entry.blocked;
-            entry.address(&self.peers, now);
+            entry.notify_peers(&self.peers, now);
         }
     }
 
@@ -240,17 +240,17 @@
     pub fn notices(&mut self, now: Timestamp) -> Vec<(DaemonId, SuspectNotice)> {
         let mut notices: Vec<(DaemonId, SuspectNotice)> = Vec::new();
         for entry in &mut self.entries {
-            if entry.addressees.is_empty() {
+            if entry.pending_peers.is_empty() {
                 continue;
             }
             let fact = entry.fact(now);
-            for addressee in &mut entry.addressees {
-                let sent_at = addressee.sent_at;
-                if sent_at.is_some_and(|at| now.since(at) < RESEND_AFTER) {
+            for pending in &mut entry.pending_peers {
+                let sent_at = pending.sent_at;
+                if sent_at.is_some_and(|at| now.since(at) < RESEND_INTERVAL) {
                     continue;
                 }
-                addressee.sent_at = Some(now);
-                let peer = addressee.peer;
+                pending.sent_at = Some(now);
+                let peer = pending.peer;
                 let at = notices.binary_search_by_key(&peer, |it| it.0);
                 let at = at.unwrap_or_else(|at| {
                     notices.insert(at, (peer, SuspectNotice::default()));
@@ -272,7 +272,7 @@
                 continue;
             };
             let runs = self.runs.of(fact.fingerprint);
-            if runs.iter().any(|it| !entry.ended(it)) {
+            if runs.iter().any(|it| !entry.was_ended(it)) {
                 ack.running.push(fact.fingerprint);
             }
             if entry.deaths.len() > fact.deaths.len() || entry.stage() != fact.stage {
@@ -294,12 +294,12 @@
             let entry = &mut self.entries[at];
             let runs = ack.running.contains(&fingerprint) && !entry.blocked && !entry.cleared;
             if runs {
-                let asked = entry.addressees.iter_mut().find(|it| it.peer == peer);
-                if let Some(addressee) = asked {
-                    addressee.running = true;
+                let asked = entry.pending_peers.iter_mut().find(|it| it.peer == peer);
+                if let Some(pending) = asked {
+                    pending.running = true;
                 }
             } else {
-                entry.addressees.retain(|it| it.peer != peer);
+                entry.pending_peers.retain(|it| it.peer != peer);
             }
         }
     }
@@ -313,8 +313,8 @@
     pub fn poll(&mut self, now: Timestamp) {
         self.poll_trials(now);
         for entry in &mut self.entries {
-            if let Trial::Quiet { ask, since } = entry.trial
-                && now.since(since) >= QUIET
+            if let Trial::Stopped { ask, since } = entry.trial
+                && now.since(since) >= SURVIVAL_WINDOW
             {
                 entry.trial = Trial::Idle;
                 let end = TrialEnd::Released;
--- a/crates/policy/src/suspects/trials.rs
+++ b/crates/policy/src/suspects/trials.rs
@@ -20,11 +20,11 @@
 /// How long a failure is withheld from a caller until the peers have been notified. A
 /// peer that is cut off can't be notified at all, and must not delay callers for
 /// longer.
-const TELL_PEERS_WITHIN: Duration = Duration::from_secs(2);
+const PEER_NOTICE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The age at which a trial without a known end is assumed to have crashed its server,
 /// with its daemon lost as well.
-const LONGEST_TRIAL: Duration = Duration::from_secs(600);
+const MAX_TRIAL_DURATION: Duration = Duration::from_secs(600);
 
 /// The next step for a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,8 +52,8 @@
             (SuspectVerdict::Clear, _) | (_, None) => TrialStep::Run,
             (SuspectVerdict::NeedsTrial, Some(entry)) => {
                 let runs_here = !self.runs.of(fingerprint).is_empty();
-                let waited = now.since(entry.addressed_at) >= TELL_PEERS_WITHIN;
-                if entry.addressees.is_empty() && !runs_here {
+                let waited = now.since(entry.notified_at) >= PEER_NOTICE_TIMEOUT;
+                if entry.pending_peers.is_empty() && !runs_here {
                     TrialStep::Ask
                 } else if waited && entry.awaits_answer() {
                     TrialStep::Refuse(TRIAL_RETRY_AFTER)
@@ -72,21 +72,21 @@
     /// Returns whether the failure of an interrupted run may be reported to its caller.
     pub fn may_tell_caller(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         self.entry(fingerprint).is_none_or(|entry| {
-            let waited = now.since(entry.addressed_at) >= TELL_PEERS_WITHIN;
+            let waited = now.since(entry.notified_at) >= PEER_NOTICE_TIMEOUT;
             waited || entry.blocked || !entry.awaits_answer()
         })
     }
 
     /// Returns the servers on which this daemon has a suspect on trial.
     pub fn servers_on_trial(&self) -> Vec<ServerKey> {
-        let asks = self.entries.iter().filter_map(|entry| match entry.trial {
+        let servers = self.entries.iter().filter_map(|entry| match entry.trial {
             Trial::Asked { ask, .. }
             | Trial::Granted { ask, .. }
             | Trial::Running { ask }
-            | Trial::Quiet { ask, .. } => Some(ask.server),
-            Trial::Idle | Trial::Elsewhere { .. } => None,
+            | Trial::Stopped { ask, .. } => Some(ask.server),
+            Trial::Idle | Trial::HeldElsewhere { .. } => None,
         });
-        asks.collect()
+        servers.collect()
     }
 
     /// Requests a trial on `server`, if that is the suspect's next step.
@@ -102,13 +102,13 @@
             return None;
         }
         let at = self.position(fingerprint).ok()?;
-        self.asks += 1;
+        self.trial_requests += 1;
         let ask = TrialAsk {
             fingerprint,
             server,
             ticket: TrialTicket {
                 holder: self.incarnation,
-                number: self.asks,
+                number: self.trial_requests,
             },
         };
         self.entries[at].trial = Trial::Asked { ask, sent_at: now };
@@ -136,8 +136,8 @@
                 ask: asked,
                 until: sent_at + TRIAL_VALIDITY,
             },
-            TrialAnswer::Held { age, left } => Trial::Elsewhere {
-                until: now + held_for(age, left),
+            TrialAnswer::Held { age, left } => Trial::HeldElsewhere {
+                until: now + held_duration(age, left),
             },
             TrialAnswer::Blocked { left } => {
                 entry.blocked = true;
@@ -145,7 +145,7 @@
                 Trial::Idle
             }
             TrialAnswer::ServerTaken => Trial::Idle,
-            TrialAnswer::Unavailable => Trial::Elsewhere {
+            TrialAnswer::Unavailable => Trial::HeldElsewhere {
                 until: now + TRIAL_RETRY_AFTER,
             },
         };
@@ -172,7 +172,7 @@
             fingerprint,
             run,
             server: ask.server,
-            begun_at: now,
+            started_at: now,
         });
         Some(ask.server)
     }
@@ -181,12 +181,12 @@
     /// answer.
     pub(super) fn poll_trials(&mut self, now: Timestamp) {
         for entry in &mut self.entries {
-            let lapsed = match entry.trial {
+            let expired = match entry.trial {
                 Trial::Asked { ask, sent_at } if now.since(sent_at) >= TRIAL_VALIDITY => Some(ask),
                 Trial::Granted { ask, until } if now >= until => Some(ask),
                 _ => None,
             };
-            if let Some(ask) = lapsed {
+            if let Some(ask) = expired {
                 entry.trial = Trial::Idle;
                 let end = TrialEnd::Released;
                 self.settlements.push(TrialSettlement { ask, end });
@@ -195,8 +195,8 @@
     }
 }
 
-fn held_for(age: Duration, left: Duration) -> Duration {
-    if age < LONGEST_TRIAL {
+fn held_duration(age: Duration, left: Duration) -> Duration {
+    if age < MAX_TRIAL_DURATION {
         left.min(TRIAL_RETRY_AFTER)
     } else {
         left
--- a/crates/policy/src/urgency.rs
+++ b/crates/policy/src/urgency.rs
@@ -4,7 +4,7 @@
 //! more than persons could. Bulk work sent through that interface loses this rank only
 //! for the requests beyond that limit. See `docs/DESIGN.md`.
 
-mod habit;
+mod key_traffic;
 mod urgency_table;
 
 pub use urgency_table::{CallTraits, CallerDoor, CallerKey, Urgency, UrgencyTable};
--- a/crates/policy/src/urgency/urgency_table.rs
+++ b/crates/policy/src/urgency/urgency_table.rs
@@ -2,11 +2,11 @@
 
 use std::{mem::size_of, time::Duration};
 
-use super::habit::Habit;
+use super::key_traffic::KeyTraffic;
 use crate::Timestamp;
 
 /// How long the traffic of an idle key is remembered.
-const KEPT: Duration = Duration::from_secs(3600);
+const IDLE_LIFETIME: Duration = Duration::from_secs(3600);
 
 /// Identifies a key in the urgency table by a part of the key's hash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct UrgencyTable {
     /// Sorted by key, then by whether the requests stream.
-    habits: Vec<((CallerKey, bool), Habit)>,
+    traffic: Vec<((CallerKey, bool), KeyTraffic)>,
 }
 
 impl UrgencyTable {
@@ -65,13 +65,13 @@
         if traits.door == CallerDoor::Lots {
             return Urgency::Lot;
         }
-        let place = self.position(key, traits);
-        let at = place.unwrap_or_else(|at| {
-            let habit = ((key, traits.streaming), Habit::new(now));
-            self.habits.insert(at, habit);
+        let position = self.position(key, traits);
+        let at = position.unwrap_or_else(|at| {
+            let traffic = ((key, traits.streaming), KeyTraffic::new(now));
+            self.traffic.insert(at, traffic);
             at
         });
-        if self.habits[at].1.begin(now) {
+        if self.traffic[at].1.begin(now) {
             Urgency::Person
         } else {
             Urgency::Bulk
@@ -84,29 +84,29 @@
             return;
         }
         if let Ok(at) = self.position(key, traits) {
-            let habit = &mut self.habits[at].1;
-            habit.in_flight = habit.in_flight.saturating_sub(1);
+            let traffic = &mut self.traffic[at].1;
+            traffic.in_flight = traffic.in_flight.saturating_sub(1);
         }
     }
 
     /// Removes keys that have been idle for long. Has to be called every few minutes.
     pub fn poll(&mut self, now: Timestamp) {
-        self.habits
-            .retain(|(_, it)| it.in_flight > 0 || now.since(it.seen_at) < KEPT);
+        self.traffic
+            .retain(|(_, it)| it.in_flight > 0 || now.since(it.seen_at) < IDLE_LIFETIME);
     }
 
     /// Returns the number of entries: one or two for each key in use.
     pub fn habits(&self) -> usize {
-        self.habits.len()
+        self.traffic.len()
     }
 
     /// Returns the memory usage of the table in bytes.
     pub fn memory(&self) -> usize {
-        self.habits.capacity() * size_of::<((CallerKey, bool), Habit)>()
+        self.traffic.capacity() * size_of::<((CallerKey, bool), KeyTraffic)>()
     }
 
     fn position(&self, key: CallerKey, traits: CallTraits) -> Result<usize, usize> {
         let wanted = (key, traits.streaming);
-        self.habits.binary_search_by_key(&wanted, |&(key, _)| key)
+        self.traffic.binary_search_by_key(&wanted, |&(key, _)| key)
     }
 }
