--- a/crates/policy/src/claims.rs
+++ b/crates/policy/src/claims.rs
@@ -6,12 +6,12 @@
 //! daemon that was lost right after its claim may have sent the request, and no other
 //! daemon can tell. See `docs/DESIGN.md`.
 
-mod claim_book;
+mod claim_tracker;
 mod entry;
 mod messages;
 mod writes;
 
-pub use claim_book::ClaimBook;
+pub use claim_tracker::ClaimBook;
 pub use messages::{
     AnswerRef, ClaimCause, ClaimChange, ClaimGroup, ClaimKey, ClaimRecord, ClaimRefusal,
     ClaimState, ClaimTicket, ClaimVerdict, GroupAnswer,
--- a/crates/policy/src/claims/writes.rs
+++ b/crates/policy/src/claims/writes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::claim_book::CLAIM_VALIDITY;
+use super::claim_tracker::CLAIM_VALIDITY;
 use super::entry::Stage;
 use super::{ClaimBook, ClaimCause, ClaimChange, ClaimGroup, GroupAnswer};
 use crate::Timestamp;
@@ -61,8 +61,8 @@
         Some(after.unwrap_or(Timestamp::ZERO))
     }
 
-    /// Returns the number of consecutive groups whose answers were lost. The timeout of
-    /// the next group should grow with it.
+    /// Returns the number of consecutive groups whose answers were lost. The
+    /// delay before the next group should grow with it.
     pub fn losses(&self) -> u32 {
         self.losses
     }
--- a/crates/policy/src/freshness/freshness_settings.rs
+++ b/crates/policy/src/freshness/freshness_settings.rs
@@ -24,8 +24,8 @@
     /// request to another daemon. A greater age means an outage, in which requests
     /// above the normal rate would only load daemons that have nothing newer.
     pub hurry_within: Duration,
-    /// The number of other daemons that must have answered before a daemon that finds
-    /// no fresh view serves with the newest one it received.
+    /// The number of other daemons that must have answered or timed out before a daemon
+    /// that finds no fresh view serves with the newest one it received.
     pub enough_answers: usize,
 }
 
--- a/crates/policy/src/freshness/passed_sources.rs
+++ b/crates/policy/src/freshness/paused_sources.rs
@@ -21,36 +21,34 @@
 /// for as long as the fault lasts.
 #[derive(Clone, Debug)]
 pub struct PassedSources<T> {
-    skipped: Vec<(T, Timestamp)>,
+    paused: Vec<(T, Timestamp)>,
 }
 
 impl<T> Default for PassedSources<T> {
     fn default() -> Self {
-        PassedSources {
-            skipped: Vec::new(),
-        }
+        PassedSources { paused: Vec::new() }
     }
 }
 
 impl<T: Copy + PartialEq> PassedSources<T> {
-    /// Returns whether a peer is to be skipped at present.
+    /// Returns whether a peer is to be paused at present.
     pub fn is_passed(&self, source: T, now: Timestamp) -> bool {
-        self.skipped.iter().any(|it| it.0 == source && it.1 > now)
+        self.paused.iter().any(|it| it.0 == source && it.1 > now)
     }
 
     /// Records that a peer didn't answer.
     pub fn note_silent(&mut self, source: T, now: Timestamp) {
-        self.skip(source, now + SILENT_BACKOFF, now);
+        self.pause(source, now + SILENT_BACKOFF, now);
     }
 
     /// Records that a peer rejected a request because it is busy.
     pub fn note_busy(&mut self, source: T, now: Timestamp, random: &mut impl Rng) {
         let backoff = MAX_BUSY_BACKOFF.mul_f64(random.random_range(0.3..1.0));
-        self.skip(source, now + backoff, now);
+        self.pause(source, now + backoff, now);
     }
 
-    fn skip(&mut self, source: T, until: Timestamp, now: Timestamp) {
-        self.skipped.retain(|it| it.0 != source && it.1 > now);
-        self.skipped.push((source, until));
+    fn pause(&mut self, source: T, until: Timestamp, now: Timestamp) {
+        self.paused.retain(|it| it.0 != source && it.1 > now);
+        self.paused.push((source, until));
     }
 }
--- a/crates/policy/src/freshness/watch_plan.rs
+++ b/crates/policy/src/freshness/watch_plan.rs
@@ -339,7 +339,7 @@
         }
     }
 
-    /// Chooses a source before the daemon is ready: members that haven't answered yet
+    /// Chooses a source before the daemon is ready: members that haven't been contacted yet
     /// come first.
     fn choose_uncontacted(&self, now: Timestamp, rng: &mut impl Rng) -> Option<DaemonId> {
         let zone = self.zone.iter().map(|it| it.id);
--- a/crates/policy/src/routing/choose.rs
+++ b/crates/policy/src/routing/choose.rs
@@ -69,8 +69,8 @@
     /// its load is too far above the mean, then the better of two servers drawn at
     /// random. Other zones get the request only if the own zone has no healthy server
     /// or no free capacity. If every server of the group is ejected, the one with the
-    /// shortest wait gets the request: rejecting it would be a certain failure, sending
-    /// it isn't.
+    /// shortest wait gets the request, preferably in the own zone: rejecting it would be
+    /// a certain failure, sending it isn't.
     pub fn choose(
         &self,
         query: &RouteQuery<'_>,
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -19,7 +19,7 @@
 mod messages;
 mod running;
 mod suspect_table;
-mod trial_book;
+mod trial_tracker;
 mod trials;
 
 pub use messages::{
@@ -28,5 +28,5 @@
 };
 pub use running::RunEnd;
 pub use suspect_table::{Suspect, SuspectTable};
-pub use trial_book::TrialBook;
+pub use trial_tracker::TrialBook;
 pub use trials::TrialStep;
--- a/crates/policy/src/suspects/entry.rs
+++ b/crates/policy/src/suspects/entry.rs
@@ -23,7 +23,7 @@
     pub(super) id: DeathId,
     pub(super) server: ServerKey,
     pub(super) seen_at: Timestamp,
-    pub(super) started_at: Timestamp,
+    pub(super) run_started_at: Timestamp,
 }
 
 /// The state of a suspect's trial on this daemon. The trial is the one further run that
@@ -127,8 +127,8 @@
     pub(super) fn knows_death(&self, death: &Death) -> bool {
         self.deaths.iter().any(|it| {
             let apart = it.seen_at.since(death.seen_at) + death.seen_at.since(it.seen_at);
-            let overlap = it.started_at <= death.seen_at + MIN_RESTART_TIME
-                && death.started_at <= it.seen_at + MIN_RESTART_TIME;
+            let overlap = it.run_started_at <= death.seen_at + MIN_RESTART_TIME
+                && death.run_started_at <= it.seen_at + MIN_RESTART_TIME;
             let same = it.server == death.server && apart < SAME_DEATH_WINDOW && overlap;
             same || it.id == death.id
         })
@@ -186,7 +186,7 @@
                     id: it.id,
                     server: it.server,
                     age: now.since(it.seen_at),
-                    ran: it.seen_at.since(it.started_at),
+                    ran: it.seen_at.since(it.run_started_at),
                 })
                 .collect(),
             lifetime: self.until.since(now),
@@ -201,7 +201,7 @@
             id: fact.id,
             server: fact.server,
             seen_at,
-            started_at: seen_at - fact.ran,
+            run_started_at: seen_at - fact.ran,
         }
     }
 }
--- a/crates/policy/src/suspects/suspect_table.rs
+++ b/crates/policy/src/suspects/suspect_table.rs
@@ -202,7 +202,7 @@
             },
             server: running.server,
             seen_at: now,
-            started_at: running.started_at,
+            run_started_at: running.started_at,
         };
         let mut changed = entry.add_death(death);
         if let Some(ask) = entry.trial.started()
