--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -14,8 +14,8 @@
 
 mod fleet_member;
 mod freshness_settings;
-mod paused_sources;
-mod send_budget;
+mod passed_sources;
+mod show_budget;
 mod store_contact;
 mod view_age;
 mod view_lag;
@@ -24,8 +24,8 @@
 
 pub use fleet_member::{FleetMember, member_score};
 pub use freshness_settings::FreshnessSettings;
-pub use paused_sources::PassedSources;
-pub use send_budget::ShowBudget;
+pub use passed_sources::PassedSources;
+pub use show_budget::ShowBudget;
 pub use store_contact::StoreContact;
 pub use view_age::ViewAge;
 pub use view_lag::ViewLag;
--- a/crates/policy/src/freshness/paused_sources.rs
+++ b/crates/policy/src/freshness/passed_sources.rs
@@ -31,7 +31,7 @@
 }
 
 impl<T: Copy + PartialEq> PassedSources<T> {
-    /// Returns whether a peer is to be paused at present.
+    /// Returns whether requests to a peer are paused at present.
     pub fn is_passed(&self, source: T, now: Timestamp) -> bool {
         self.paused.iter().any(|it| it.0 == source && it.1 > now)
     }
