--- a/crates/policy/src/freshness/watch_plan.rs
+++ b/crates/policy/src/freshness/watch_plan.rs
@@ -39,7 +39,7 @@
     contacted: Vec<DaemonId>,
     /// Whether the last request was a probe of a member that had been silent.
     last_was_probe: bool,
-    next_ask: Timestamp,
+    next_request_at: Timestamp,
     ready: bool,
 }
 
@@ -60,7 +60,7 @@
             relieved_at: None,
             contacted: Vec::new(),
             last_was_probe: false,
-            next_ask: Timestamp::ZERO,
+            next_request_at: Timestamp::ZERO,
             ready: false,
         }
     }
@@ -130,7 +130,7 @@
 
     /// Returns whether the next request to a peer is due.
     pub fn is_ask_due(&self, now: Timestamp) -> bool {
-        now >= self.next_ask
+        now >= self.next_request_at
     }
 
     /// Returns the peer to query now, if a request is due.
@@ -147,7 +147,7 @@
             Some(_) => self.settings.ask_interval,
             None => self.settings.first_ask_interval,
         };
-        self.next_ask = now + interval;
+        self.next_request_at = now + interval;
         target
     }
 
@@ -165,7 +165,7 @@
         self.avoided.retain(|it| it.id != member);
         let until = now + self.settings.avoid_for;
         self.avoided.push(SkippedMember { id: member, until });
-        self.next_ask = now;
+        self.next_request_at = now;
         self.update_ready(now);
     }
 
@@ -213,7 +213,7 @@
         self.postponed.push(SkippedMember { id: member, until });
         let age = self.age(now).unwrap_or_default();
         if age > self.settings.fresh_within && age <= self.settings.hurry_within {
-            self.next_ask = now + self.settings.first_ask_interval;
+            self.next_request_at = now + self.settings.first_ask_interval;
         }
     }
 
