--- a/crates/policy/src/claims/writes.rs
+++ b/crates/policy/src/claims/writes.rs
@@ -61,8 +61,8 @@
         Some(after.unwrap_or(Timestamp::ZERO))
     }
 
-    /// Returns the number of consecutive groups whose answers were lost. The
-    /// delay before the next group should grow with it.
+    /// Returns the number of consecutive groups whose answers were lost. The delay
+    /// before the next group should grow with it.
     pub fn losses(&self) -> u32 {
         self.losses
     }
--- a/crates/policy/src/freshness/passed_sources.rs
+++ b/crates/policy/src/freshness/passed_sources.rs
@@ -16,7 +16,7 @@
 /// Peers that temporarily get no requests for a view.
 ///
 /// The only up-to-date daemon of a zone may send heartbeats and still answer no
-/// requests, because its process hangs or its connection is congested. If it were asked
+/// requests, because its process hangs or its connection is congested. If it were queried
 /// again and again instead of daemons of other zones, its zone would keep old settings
 /// for as long as the fault lasts.
 #[derive(Clone, Debug)]
--- a/crates/policy/src/freshness/watch_plan.rs
+++ b/crates/policy/src/freshness/watch_plan.rs
@@ -157,9 +157,9 @@
     }
 
     /// Records that a member didn't answer. It is skipped as a source and in the
-    /// ranking, so the member ranked next replaces it at once. It is queried again
-    /// after `avoid_for`; a higher-ranked member stays skipped until it answers, since
-    /// the ranking would otherwise change with each attempt.
+    /// ranking, so the member ranked next replaces it at once. It is queried again after
+    /// a delay; a higher-ranked member stays skipped until it answers, since the ranking
+    /// would otherwise change with each attempt.
     pub fn take_silence(&mut self, member: DaemonId, now: Timestamp) {
         self.note_contacted(member);
         self.avoided.retain(|it| it.id != member);
--- a/crates/policy/src/routing/list.rs
+++ b/crates/policy/src/routing/list.rs
@@ -8,8 +8,8 @@
 /// How long a server may be missing from the list before it is dropped.
 const MISSING_GRACE: Duration = Duration::from_secs(30);
 
-/// The same while the list lacks more than half of the known servers. Such a list is
-/// probably wrong; connection failures reveal dead servers sooner.
+/// The grace period while the list lacks more than half of the known servers. Such a
+/// list is probably wrong; connection failures reveal dead servers sooner.
 const SHORT_LIST_GRACE: Duration = Duration::from_secs(600);
 
 /// How long the list must show a leaving server as live before it is reinstated. Lists
--- a/crates/policy/src/routing/server_table.rs
+++ b/crates/policy/src/routing/server_table.rs
@@ -187,9 +187,9 @@
     }
 
     /// Sets the number of bulk requests on the server, which live requests preempt.
-    pub fn set_yielding(&mut self, server: ServerId, yielding: YieldingLoad) {
+    pub fn set_yielding(&mut self, server: ServerId, preemptible: YieldingLoad) {
         if let Some(entry) = self.entries.get_mut(server.index()) {
-            entry.load.yielding = yielding;
+            entry.load.yielding = preemptible;
         }
     }
 
--- a/crates/policy/src/suspects/suspect_table.rs
+++ b/crates/policy/src/suspects/suspect_table.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Sets the peers that were heard from recently. They are notified of suspects, and
+    /// Sets the peers that sent a message recently. They are notified of suspects, and
     /// no trial starts before they have answered, so a peer that has been unreachable
     /// for some seconds has to be left out. Peers that join or return are notified of
     /// the deaths detected here.
@@ -101,7 +101,7 @@
     /// sent, and the verdict says why.
     ///
     /// It has to be called before the first byte is sent, under the same lock as
-    /// [`note`](Self::note): a copy started after a peer was told that none runs here
+    /// [`note`](Self::note): a copy started after a peer was notified that none runs here
     /// could cost a third server.
     pub fn begin(
         &mut self,
