--- a/crates/policy/src/claims/writes.rs
+++ b/crates/policy/src/claims/writes.rs
@@ -1,29 +1,31 @@
-//! Which claims are written together, and what the answers mean.
+//! Grouping of claims into transactions, and handling of the answers.
 
 use std::time::Duration;
 
-use super::claim_book::CLAIM_VALIDITY;
+use super::claim_tracker::CLAIM_VALIDITY;
 use super::entry::Stage;
 use super::{ClaimBook, ClaimCause, ClaimChange, ClaimGroup, GroupAnswer};
 use crate::Timestamp;
 
-/// The claims in one group at most. A transaction compares and writes each.
-const GROUP_CLAIMS: usize = 48;
+/// The maximum number of claims in one group. A transaction compares and writes each of
+/// them.
+const MAX_GROUP_CLAIMS: usize = 48;
 
-/// How long calls are refused at once after the platform wasn't reached.
-const OUTAGE_PAUSE: Duration = Duration::from_secs(1);
+/// How long calls are rejected at once after the platform was found to be unavailable.
+const OUTAGE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The lost answers in a row that count as an outage. One alone is an ordinary
-/// event; a platform that accepts connections and answers nothing would
-/// otherwise hold each call up for as long as it may wait for its claim.
-const OUTAGE_LOSSES: u32 = 3;
+/// The number of consecutive lost answers that count as an outage. A single one is
+/// normal; a platform that accepts connections and answers nothing would otherwise
+/// delay each call for as long as it may wait for its claim.
+const OUTAGE_LOST_ANSWERS: u32 = 3;
 
 impl ClaimBook {
-    /// The next group to write, if it is time for one.
+    /// Returns the next group to write, if one is due.
     ///
-    /// A claim whose answer was lost goes with a later group under the same
-    /// ticket. If the first write took effect, the transaction is refused and
-    /// reads the own record back; if it comes late, it is refused in turn.
+    /// A claim whose answer was lost is written again in a later group under the same
+    /// ticket. If the first write took effect, the second transaction fails its
+    /// comparison and reads the own record back; if the first write arrives late, it
+    /// fails instead.
     pub fn next_group(&mut self, now: Timestamp) -> Option<ClaimGroup> {
         let last = self.group_sent_at;
         if last.is_some_and(|at| now.since(at) < self.spacing) {
@@ -35,7 +37,7 @@
         let mut waiting: Vec<_> = waiting.collect();
         waiting.sort_unstable_by_key(|it| it.record.ticket.number);
         let mut records = Vec::new();
-        for entry in waiting.into_iter().take(GROUP_CLAIMS) {
+        for entry in waiting.into_iter().take(MAX_GROUP_CLAIMS) {
             entry.stage = Stage::Writing {
                 group: number,
                 sent_at: now,
@@ -51,7 +53,7 @@
         Some(ClaimGroup { number, records })
     }
 
-    /// When the next group may be written, or none if nothing waits.
+    /// Returns when the next group may be written, or none if no claim is waiting.
     pub fn group_due(&self) -> Option<Timestamp> {
         let mut entries = self.entries.iter();
         entries.find(|it| it.stage == Stage::Waiting)?;
@@ -59,15 +61,15 @@
         Some(after.unwrap_or(Timestamp::ZERO))
     }
 
-    /// The groups in a row whose answers were lost. The next one had better
-    /// wait the longer, the more there were.
+    /// Returns the number of consecutive groups whose answers were lost. The delay
+    /// before the next group should grow with it.
     pub fn losses(&self) -> u32 {
         self.losses
     }
 
-    /// Takes in what became of a group.
+    /// Applies the result of writing a group.
     pub fn group_answer(&mut self, number: u64, answer: &GroupAnswer, now: Timestamp) {
-        self.note_platform(answer, now);
+        self.track_outage(answer, now);
         for entry in &mut self.entries {
             let Stage::Writing { group, sent_at } = entry.stage else {
                 continue;
@@ -84,7 +86,7 @@
                     let found = records.iter().find(|it| it.key == entry.record.key);
                     match found {
                         Some(found) if found.ticket == entry.record.ticket => entry.stage = granted,
-                        Some(found) => entry.meet(found),
+                        Some(found) => entry.resolve(found),
                         None => entry.stage = Stage::Waiting,
                     }
                 }
@@ -104,26 +106,26 @@
         }
     }
 
-    fn note_platform(&mut self, answer: &GroupAnswer, now: Timestamp) {
+    fn track_outage(&mut self, answer: &GroupAnswer, now: Timestamp) {
         self.losses = match answer {
             GroupAnswer::Lost => self.losses + 1,
             _ => 0,
         };
-        let is_out = *answer == GroupAnswer::Unreachable || self.losses >= OUTAGE_LOSSES;
-        self.out_until = match is_out {
-            true => now + OUTAGE_PAUSE,
+        let is_outage = *answer == GroupAnswer::Unreachable || self.losses >= OUTAGE_LOST_ANSWERS;
+        self.outage_until = match is_outage {
+            true => now + OUTAGE_BACKOFF,
             false => Timestamp::ZERO,
         };
     }
 
-    /// The changes to make to records, `limit` at most. Give those that failed
-    /// back with [`return_changes`](Self::return_changes).
+    /// Removes and returns up to `limit` pending changes of records. Those that failed
+    /// have to be returned with [`return_changes`](Self::return_changes).
     pub fn take_changes(&mut self, limit: usize) -> Vec<ClaimChange> {
         let count = self.changes.len().min(limit);
         self.changes.drain(..count).collect()
     }
 
-    /// Takes changes back that couldn't be made, or may not have been.
+    /// Requeues changes that failed or whose result is unknown.
     pub fn return_changes(&mut self, changes: Vec<ClaimChange>) {
         self.changes.splice(0..0, changes);
     }
--- a/crates/policy/src/suspects/entry.rs
+++ b/crates/policy/src/suspects/entry.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of one fingerprint.
+//! The state of one fingerprint in a daemon's table of suspects.
 
 use std::time::Duration;
 
@@ -6,59 +6,61 @@
 use super::{DeathFact, DeathId, Fingerprint, SuspectFact, SuspectStage, TrialAsk};
 use crate::{DaemonId, ServerKey, Timestamp};
 
-/// Sightings of one server's death within this time are one death, as daemons
-/// see it at different moments, unless the server had come back between.
-const SAME_DEATH: Duration = Duration::from_secs(10);
+/// Detections of a server's death within this time count as one death, since daemons
+/// detect it at different times, unless the server was restarted in between.
+const SAME_DEATH_WINDOW: Duration = Duration::from_secs(10);
 
-/// The time that a server takes at least to come back. A run that began later
-/// than this after a death was on the server that came back. It must exceed the
-/// time that messages take, which makes deaths look later than they were.
-const COMES_BACK_AFTER: Duration = Duration::from_secs(1);
+/// The minimum time that a server takes to restart. A run that began later than this
+/// after a death ran on the restarted server. It must exceed the delivery time of
+/// messages, which makes deaths appear later than they were.
+const MIN_RESTART_TIME: Duration = Duration::from_secs(1);
 
-/// The deaths that block a fingerprint.
-const BLOCKING_DEATHS: usize = 2;
+/// The number of deaths that block a fingerprint.
+const DEATHS_TO_BLOCK: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Death {
     pub(super) id: DeathId,
     pub(super) server: ServerKey,
     pub(super) seen_at: Timestamp,
-    pub(super) begun_at: Timestamp,
+    pub(super) run_started_at: Timestamp,
 }
 
-/// How far this daemon is with the one run that a suspect may still have.
+/// The state of a suspect's trial on this daemon. The trial is the one further run that
+/// a suspect may have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Trial {
     #[default]
     Idle,
-    /// The request for it is on its way.
+    /// The trial has been requested.
     Asked { ask: TrialAsk, sent_at: Timestamp },
-    /// It may begin until then.
+    /// The trial has been granted and may start until `until`.
     Granted { ask: TrialAsk, until: Timestamp },
-    /// It runs.
+    /// The trial is running.
     Running { ask: TrialAsk },
-    /// It was stopped; its server may still die of it.
-    Quiet { ask: TrialAsk, since: Timestamp },
-    /// Another daemon has it; asking again is of no use until then.
-    Elsewhere { until: Timestamp },
+    /// The trial was stopped; its server may still die of it.
+    Stopped { ask: TrialAsk, since: Timestamp },
+    /// Another daemon holds the trial, or the records are unavailable; a new request is
+    /// useless before `until`.
+    HeldElsewhere { until: Timestamp },
 }
 
 impl Trial {
-    /// The trial, if the suspect has begun to run in it.
-    pub(super) fn begun(&self) -> Option<TrialAsk> {
+    /// Returns the trial if the suspect has started to run in it.
+    pub(super) fn started(&self) -> Option<TrialAsk> {
         match *self {
-            Trial::Running { ask } | Trial::Quiet { ask, .. } => Some(ask),
+            Trial::Running { ask } | Trial::Stopped { ask, .. } => Some(ask),
             _ => None,
         }
     }
 }
 
-/// A peer that has to answer a notice.
+/// A peer that has to acknowledge a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Addressee {
+pub(super) struct PendingPeer {
     pub(super) peer: DaemonId,
     pub(super) sent_at: Option<Timestamp>,
-    /// Whether the peer said that a copy runs there, so it is asked again.
+    /// Whether the peer reported that a copy runs there, so that it is notified again.
     pub(super) running: bool,
 }
 
@@ -67,17 +69,18 @@
     pub(super) fingerprint: Fingerprint,
     pub(super) deaths: Vec<Death>,
     pub(super) blocked: bool,
-    /// Whether the fingerprint ran to its end since the deaths.
+    /// Whether a run of the fingerprint finished after the deaths.
     pub(super) cleared: bool,
     pub(super) until: Timestamp,
     pub(super) trial: Trial,
-    /// The peers that haven't answered, or run a copy.
-    pub(super) addressees: Vec<Addressee>,
-    pub(super) addressed_at: Timestamp,
-    /// Whether its block has yet to be kept in the platform.
+    /// The peers that haven't answered yet or run a copy.
+    pub(super) pending_peers: Vec<PendingPeer>,
+    pub(super) notified_at: Timestamp,
+    /// Whether the block has yet to be written to the platform.
     pub(super) unstored: bool,
-    /// Whether a death was seen here, so that newcomers are told from here.
-    pub(super) own: bool,
+    /// Whether this daemon detected a death or a finished run, so that it notifies peers
+    /// that join.
+    pub(super) originated_here: bool,
 }
 
 impl Entry {
@@ -89,10 +92,10 @@
             cleared: false,
             until,
             trial: Trial::Idle,
-            addressees: Vec::new(),
-            addressed_at: Timestamp::ZERO,
+            pending_peers: Vec::new(),
+            notified_at: Timestamp::ZERO,
             unstored: false,
-            own: false,
+            originated_here: false,
         }
     }
 
@@ -106,64 +109,65 @@
         }
     }
 
-    /// Adds a death unless it is known, and says whether it is new.
+    /// Adds a death unless it is known, and returns whether it is new.
     pub(super) fn add_death(&mut self, death: Death) -> bool {
-        if self.knows(&death) {
+        if self.knows_death(&death) {
             return false;
         }
         if self.cleared {
-            // The deaths before were not its doing.
+            // The suspect has been cleared of the earlier deaths.
             self.cleared = false;
             self.deaths.clear();
         }
         self.deaths.push(death);
-        self.blocked |= self.deaths.len() >= BLOCKING_DEATHS;
+        self.blocked |= self.deaths.len() >= DEATHS_TO_BLOCK;
         true
     }
 
-    pub(super) fn knows(&self, death: &Death) -> bool {
+    pub(super) fn knows_death(&self, death: &Death) -> bool {
         self.deaths.iter().any(|it| {
             let apart = it.seen_at.since(death.seen_at) + death.seen_at.since(it.seen_at);
-            let overlap = it.begun_at <= death.seen_at + COMES_BACK_AFTER
-                && death.begun_at <= it.seen_at + COMES_BACK_AFTER;
-            let same = it.server == death.server && apart < SAME_DEATH && overlap;
+            let overlap = it.run_started_at <= death.seen_at + MIN_RESTART_TIME
+                && death.run_started_at <= it.seen_at + MIN_RESTART_TIME;
+            let same = it.server == death.server && apart < SAME_DEATH_WINDOW && overlap;
             same || it.id == death.id
         })
     }
 
-    /// Whether a run is one of those that the known deaths ended.
-    pub(super) fn ended(&self, running: &Running) -> bool {
-        let ended = |it: &Death| it.server == running.server && running.begun_at <= it.seen_at;
+    /// Returns whether a run was ended by one of the known deaths.
+    pub(super) fn was_ended(&self, running: &Running) -> bool {
+        let ended = |it: &Death| it.server == running.server && running.started_at <= it.seen_at;
         self.deaths.iter().any(ended)
     }
 
-    /// Whether nothing is left to be done about a cleared fingerprint.
+    /// Returns whether the fingerprint is cleared and needs no further action.
     pub(super) fn is_done(&self) -> bool {
-        let idle = matches!(self.trial, Trial::Idle | Trial::Elsewhere { .. });
-        self.cleared && self.addressees.is_empty() && idle
+        let idle = matches!(self.trial, Trial::Idle | Trial::HeldElsewhere { .. });
+        self.cleared && self.pending_peers.is_empty() && idle
     }
 
-    /// Whether a peer hasn't answered yet.
+    /// Returns whether a peer hasn't answered yet.
     pub(super) fn awaits_answer(&self) -> bool {
-        self.addressees.iter().any(|it| !it.running)
+        self.pending_peers.iter().any(|it| !it.running)
     }
 
-    /// Ends what this daemon had asked for or begun, to be settled.
+    /// Ends a trial that this daemon requested or started, and returns it so that it
+    /// can be settled.
     pub(super) fn take_trial(&mut self) -> Option<TrialAsk> {
         match std::mem::take(&mut self.trial) {
             Trial::Asked { ask, .. }
             | Trial::Granted { ask, .. }
             | Trial::Running { ask }
-            | Trial::Quiet { ask, .. } => Some(ask),
-            Trial::Idle | Trial::Elsewhere { .. } => None,
+            | Trial::Stopped { ask, .. } => Some(ask),
+            Trial::Idle | Trial::HeldElsewhere { .. } => None,
         }
     }
 
-    pub(super) fn address(&mut self, peers: &[DaemonId], now: Timestamp) {
-        self.addressed_at = now;
-        self.addressees = peers
+    pub(super) fn notify_peers(&mut self, peers: &[DaemonId], now: Timestamp) {
+        self.notified_at = now;
+        self.pending_peers = peers
             .iter()
-            .map(|&peer| Addressee {
+            .map(|&peer| PendingPeer {
                 peer,
                 sent_at: None,
                 running: false,
@@ -182,7 +186,7 @@
                     id: it.id,
                     server: it.server,
                     age: now.since(it.seen_at),
-                    ran: it.seen_at.since(it.begun_at),
+                    ran: it.seen_at.since(it.run_started_at),
                 })
                 .collect(),
             lifetime: self.until.since(now),
@@ -197,7 +201,7 @@
             id: fact.id,
             server: fact.server,
             seen_at,
-            begun_at: seen_at - fact.ran,
+            run_started_at: seen_at - fact.ran,
         }
     }
 }
--- a/crates/policy/src/suspects/trials.rs
+++ b/crates/policy/src/suspects/trials.rs
@@ -1,4 +1,4 @@
-//! The one run that a suspect may still have.
+//! The trial of a suspect: the one further run that it may have.
 
 use std::time::Duration;
 
@@ -10,49 +10,50 @@
 };
 use crate::{ServerKey, SuspectVerdict, Timestamp};
 
-/// How long after it was asked for a trial may begin.
+/// How long after its request was sent a trial may start.
 ///
-/// A daemon that is paused here finds its grant lapsed by its own clock. The
-/// record in the platform lives far longer, so nobody else has got the grant
-/// while this one is valid.
+/// A daemon that is paused in between finds the grant expired by its own clock. The
+/// record in the platform lives far longer, so no other daemon can hold the grant while
+/// this one is valid.
 const TRIAL_VALIDITY: Duration = Duration::from_secs(2);
 
-/// How long a caller isn't told of a failure for the peers' sake. A peer that
-/// is cut off can't be told at all, and must not hold up callers for longer.
-const TELL_PEERS_WITHIN: Duration = Duration::from_secs(2);
+/// How long a failure is withheld from a caller until the peers have been notified. A
+/// peer that is cut off can't be notified at all, and must not delay callers for
+/// longer.
+const PEER_NOTICE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The age from which a trial without a known end is taken for a killer of
-/// servers whose daemon was lost too.
-const LONGEST_TRIAL: Duration = Duration::from_secs(600);
+/// The age at which a trial without a known end is assumed to have crashed its server,
+/// with its daemon lost as well.
+const MAX_TRIAL_DURATION: Duration = Duration::from_secs(600);
 
-/// What a suspect's daemon has to do next.
+/// The next step for a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrialStep {
-    /// Run it as any other request: it was cleared meanwhile.
+    /// The suspect has been cleared: run it like any other request.
     Run,
-    /// Wait: not every peer has said yet that no copy runs there, or the answer
-    /// to a request for a trial is still out.
+    /// Wait, since a peer hasn't confirmed yet that no copy runs there, or a request
+    /// for a trial hasn't been answered yet.
     Wait,
-    /// Choose a server without a suspect on it and ask for a trial there.
+    /// Choose a server without a suspect on it and request a trial there.
     Ask,
-    /// Begin the trial; see [`SuspectTable::start_trial`].
+    /// Start the trial; see [`SuspectTable::start_trial`].
     Start,
-    /// Give the caller its last word; it may come back after this long.
+    /// Give the caller a final answer; it may retry after this long.
     Refuse(Duration),
 }
 
 impl SuspectTable {
-    /// What has to be done next for a suspect.
+    /// Returns the next step for a suspect.
     ///
-    /// A caller that hears of the failure sends its request again, perhaps to
-    /// every daemon at once. So it doesn't hear of it before the peers have.
+    /// A caller that learns of the failure resends its request, possibly to every
+    /// daemon at once. So the peers are notified before the caller is.
     pub fn trial_step(&self, fingerprint: Fingerprint, now: Timestamp) -> TrialStep {
         match (self.verdict(fingerprint, now), self.entry(fingerprint)) {
             (SuspectVerdict::Clear, _) | (_, None) => TrialStep::Run,
             (SuspectVerdict::NeedsTrial, Some(entry)) => {
                 let runs_here = !self.runs.of(fingerprint).is_empty();
-                let waited = now.since(entry.addressed_at) >= TELL_PEERS_WITHIN;
-                if entry.addressees.is_empty() && !runs_here {
+                let waited = now.since(entry.notified_at) >= PEER_NOTICE_TIMEOUT;
+                if entry.pending_peers.is_empty() && !runs_here {
                     TrialStep::Ask
                 } else if waited && entry.awaits_answer() {
                     TrialStep::Refuse(TRIAL_RETRY_AFTER)
@@ -68,27 +69,27 @@
         }
     }
 
-    /// Whether the caller of a run that broke off may be told so.
+    /// Returns whether the failure of an interrupted run may be reported to its caller.
     pub fn may_tell_caller(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         self.entry(fingerprint).is_none_or(|entry| {
-            let waited = now.since(entry.addressed_at) >= TELL_PEERS_WITHIN;
+            let waited = now.since(entry.notified_at) >= PEER_NOTICE_TIMEOUT;
             waited || entry.blocked || !entry.awaits_answer()
         })
     }
 
-    /// The servers that have a suspect of this daemon on trial.
+    /// Returns the servers on which this daemon has a suspect on trial.
     pub fn servers_on_trial(&self) -> Vec<ServerKey> {
-        let asks = self.entries.iter().filter_map(|entry| match entry.trial {
+        let servers = self.entries.iter().filter_map(|entry| match entry.trial {
             Trial::Asked { ask, .. }
             | Trial::Granted { ask, .. }
             | Trial::Running { ask }
-            | Trial::Quiet { ask, .. } => Some(ask.server),
-            Trial::Idle | Trial::Elsewhere { .. } => None,
+            | Trial::Stopped { ask, .. } => Some(ask.server),
+            Trial::Idle | Trial::HeldElsewhere { .. } => None,
         });
-        asks.collect()
+        servers.collect()
     }
 
-    /// Asks for a trial on `server`, if it is time to.
+    /// Requests a trial on `server`, if that is the suspect's next step.
     pub fn ask_trial(
         &mut self,
         fingerprint: Fingerprint,
@@ -101,20 +102,20 @@
             return None;
         }
         let at = self.position(fingerprint).ok()?;
-        self.asks += 1;
+        self.trial_requests += 1;
         let ask = TrialAsk {
             fingerprint,
             server,
             ticket: TrialTicket {
                 holder: self.incarnation,
-                number: self.asks,
+                number: self.trial_requests,
             },
         };
         self.entries[at].trial = Trial::Asked { ask, sent_at: now };
         Some(ask)
     }
 
-    /// Takes in the answer to a request for a trial.
+    /// Applies the answer to a request for a trial.
     pub fn trial_answer(&mut self, ask: &TrialAsk, answer: TrialAnswer, now: Timestamp) {
         let Ok(at) = self.position(ask.fingerprint) else {
             return;
@@ -135,8 +136,8 @@
                 ask: asked,
                 until: sent_at + TRIAL_VALIDITY,
             },
-            TrialAnswer::Held { age, left } => Trial::Elsewhere {
-                until: now + held_for(age, left),
+            TrialAnswer::Held { age, left } => Trial::HeldElsewhere {
+                until: now + held_duration(age, left),
             },
             TrialAnswer::Blocked { left } => {
                 entry.blocked = true;
@@ -144,14 +145,14 @@
                 Trial::Idle
             }
             TrialAnswer::ServerTaken => Trial::Idle,
-            TrialAnswer::Unavailable => Trial::Elsewhere {
+            TrialAnswer::Unavailable => Trial::HeldElsewhere {
                 until: now + TRIAL_RETRY_AFTER,
             },
         };
     }
 
-    /// Begins a trial that was granted, and says on which server, or none if
-    /// it may not begin any more. This is the last check before the first byte.
+    /// Starts a trial that was granted. Returns its server, or none if the trial may
+    /// not start any more. This is the last check before the first byte is sent.
     pub fn start_trial(
         &mut self,
         fingerprint: Fingerprint,
@@ -171,20 +172,21 @@
             fingerprint,
             run,
             server: ask.server,
-            begun_at: now,
+            started_at: now,
         });
         Some(ask.server)
     }
 
-    /// Gives back what was granted and not used, or asked for in vain.
+    /// Releases trials that were granted and not used in time, or requested without an
+    /// answer.
     pub(super) fn poll_trials(&mut self, now: Timestamp) {
         for entry in &mut self.entries {
-            let lapsed = match entry.trial {
+            let expired = match entry.trial {
                 Trial::Asked { ask, sent_at } if now.since(sent_at) >= TRIAL_VALIDITY => Some(ask),
                 Trial::Granted { ask, until } if now >= until => Some(ask),
                 _ => None,
             };
-            if let Some(ask) = lapsed {
+            if let Some(ask) = expired {
                 entry.trial = Trial::Idle;
                 let end = TrialEnd::Released;
                 self.settlements.push(TrialSettlement { ask, end });
@@ -193,8 +195,8 @@
     }
 }
 
-fn held_for(age: Duration, left: Duration) -> Duration {
-    if age < LONGEST_TRIAL {
+fn held_duration(age: Duration, left: Duration) -> Duration {
+    if age < MAX_TRIAL_DURATION {
         left.min(TRIAL_RETRY_AFTER)
     } else {
         left
