--- a/crates/serving/src/fleet/announcer.rs
+++ b/crates/serving/src/fleet/announcer.rs
@@ -1,4 +1,4 @@
-//! Telling the other daemons how things are, and hearing the same of them.
+//! Sends state reports to the other daemons over UDP and receives theirs.
 
 use std::{io::ErrorKind, mem::MaybeUninit, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -10,16 +10,19 @@
 use super::{ArrivalClock, MESSAGE_PADDING, PeerMessage, QUIET_LOOK};
 use crate::{dialect::Dialect, node::Node};
 
-/// After a change of load the daemons nearby hear of it this soon. In between,
-/// changes gather: each message is a system call and a wake-up at either end.
-const GATHER_SPAN: Duration = Duration::from_millis(30);
-/// With many daemons nearby changes gather for longer, by this much for each:
-/// what one daemon sends stays below 200 messages a second.
-const GATHER_FOR_EACH: Duration = Duration::from_millis(5);
-/// The longest datagram that is read.
-const LONGEST_MESSAGE: usize = 60_000;
+/// Shortest delay between a change of load and the report of it to near peers. Changes
+/// within it go out together: each message costs a system call and a wake-up at either end.
+const MIN_BATCH_DELAY: Duration = Duration::from_millis(30);
+/// Batching delay for each near peer. It keeps what one daemon sends below
+/// 200 messages a second, however many near peers it has.
+const BATCH_DELAY_PER_PEER: Duration = Duration::from_millis(5);
+/// The largest datagram that is read, in bytes.
+const MAX_MESSAGE_BYTES: usize = 60_000;
 
-/// Tells the other daemons how things are here until `stop` is cancelled.
+/// Reports this daemon's state to the other daemons until `stop` is cancelled.
+///
+/// Near peers get every batch of changes; far peers get a report at intervals, or at
+/// once if it is urgent.
 pub async fn run_announcer<D: Dialect>(
     node: Rc<Node<D>>,
     socket: Rc<UdpSocket>,
@@ -35,29 +38,31 @@
         };
         let peers = node.peer_addresses();
         if !is_urgent {
-            let gathered = GATHER_FOR_EACH * peers.near.len() as u32;
+            let batch_delay = BATCH_DELAY_PER_PEER * peers.near.len() as u32;
             is_urgent = tokio::select! {
                 () = node.tell_wanted.notified() => true,
-                () = tokio::time::sleep(gathered.max(GATHER_SPAN)) => false,
+                () = tokio::time::sleep(batch_delay.max(MIN_BATCH_DELAY)) => false,
             };
         }
         node.tick();
         let now = node.clock.now();
         let is_far_due = is_urgent || schedule.is_due(now);
         if is_far_due {
-            let interval = node.quiet_interval() - GATHER_SPAN;
+            let interval = node.quiet_interval() - MIN_BATCH_DELAY;
             schedule.speak(interval, now, &mut rand::rng());
         }
         let far = peers.far.iter().filter(|_| is_far_due);
-        announce(&node, &socket, peers.near.iter().chain(far), false);
+        send_report(&node, &socket, peers.near.iter().chain(far), false);
     }
-    // The last word: others take no account of it any more.
+    // The last report of a daemon that stops is marked as leaving, so that peers no
+    // longer count on it.
     let peers = node.peer_addresses();
-    announce(&node, &socket, peers.near.iter().chain(&peers.far), false);
+    send_report(&node, &socket, peers.near.iter().chain(&peers.far), false);
 }
 
-/// Tells daemons at once whose items a live request waits for, and asks others for a
-/// word on which a request depends, until `stop` is cancelled.
+/// Sends reports that can't wait for the regular schedule, until `stop` is cancelled:
+/// to daemons whose items a live request waits for, and to daemons whose own report a
+/// request depends on, which are asked to reply at once.
 pub async fn run_prompt_words<D: Dialect>(
     node: Rc<Node<D>>,
     socket: Rc<UdpSocket>,
@@ -68,13 +73,13 @@
             () = node.prompt_wanted.notified() => {}
             () = stop.cancelled() => return,
         }
-        let (told, asked) = node.take_prompt_words();
-        announce(&node, &socket, told.iter(), false);
-        announce(&node, &socket, asked.iter(), true);
+        let (report_to, request_from) = node.take_prompt_words();
+        send_report(&node, &socket, report_to.iter(), false);
+        send_report(&node, &socket, request_from.iter(), true);
     }
 }
 
-fn announce<'a, D: Dialect>(
+fn send_report<'a, D: Dialect>(
     node: &Node<D>,
     socket: &UdpSocket,
     peers: impl Iterator<Item = &'a SocketAddr>,
@@ -91,59 +96,62 @@
     let bytes = match postcard::to_stdvec(&message) {
         Ok(bytes) => bytes,
         Err(error) => {
-            log::error!(error:% = error; "peers: a message can't be written");
+            log::error!(error:% = error; "peers: failed to encode a message");
             return;
         }
     };
     for peer in peers {
-        // A datagram that can't be sent is one that is lost: the next one says
-        // the same and more.
+        // A datagram that can't be sent counts as lost: the next one has the same
+        // totals, brought up to date.
         let _ = socket.try_send_to(&bytes, *peer);
     }
 }
 
-/// Takes in what other daemons say until `stop` is cancelled.
+/// Receives the reports of other daemons until `stop` is cancelled.
 pub async fn listen_to_peers<D: Dialect>(
     node: Rc<Node<D>>,
     socket: Rc<UdpSocket>,
     stop: CancellationToken,
 ) {
-    let mut buffer = vec![0; LONGEST_MESSAGE + MESSAGE_PADDING];
+    let mut buffer = vec![0; MAX_MESSAGE_BYTES + MESSAGE_PADDING];
     let mut arrivals = ArrivalClock::new(node.clock.now());
     loop {
-        let woken = tokio::select! {
-            woken = tokio::time::timeout(QUIET_LOOK, socket.readable()) => woken,
+        let wakeup = tokio::select! {
+            wakeup = tokio::time::timeout(QUIET_LOOK, socket.readable()) => wakeup,
             () = stop.cancelled() => return,
         };
         let now = node.clock.now();
-        let length = match socket.try_recv_from(&mut buffer[..LONGEST_MESSAGE]) {
+        let length = match socket.try_recv_from(&mut buffer[..MAX_MESSAGE_BYTES]) {
             Ok((length, _)) => length,
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                if is_quiet(&socket, woken.is_ok()) {
+                if is_queue_empty(&socket, wakeup.is_ok()) {
                     arrivals.note_quiet(now);
                 }
                 continue;
             }
-            // An earlier datagram couldn't be delivered; nothing was received.
+            // The error reports that an earlier datagram couldn't be delivered; nothing
+            // was received.
             Err(_) => continue,
         };
         let padded = length + MESSAGE_PADDING;
         buffer[length..padded].fill(0);
         match postcard::from_bytes::<PeerMessage>(&buffer[..padded]) {
             Ok(message) => node.hear_peer(&message, arrivals.arrival(now)),
-            Err(error) => log::warn!(error:% = error; "peers: a message can't be read"),
+            Err(error) => log::warn!(error:% = error; "peers: failed to decode a message"),
         }
     }
 }
 
-/// Whether no datagram waits to be read, after an attempt that brought none. Where the
-/// runtime said that there is something to read, the system itself was asked. Else the
-/// runtime may not have heard yet of what came in while this process stood still.
-fn is_quiet(socket: &UdpSocket, was_readable: bool) -> bool {
+/// Returns whether the socket's receive queue is empty, after a read that brought nothing.
+///
+/// If the runtime had reported the socket as readable, the read reached the operating
+/// system and its result holds. Otherwise the runtime may not have seen yet what arrived
+/// while this process was suspended, so the socket is peeked directly.
+fn is_queue_empty(socket: &UdpSocket, was_readable: bool) -> bool {
     if was_readable {
         return true;
     }
-    let mut first = [MaybeUninit::uninit()];
-    let looked = SockRef::from(socket).peek(&mut first);
-    looked.is_err_and(|it| it.kind() == ErrorKind::WouldBlock)
+    let mut first_byte = [MaybeUninit::uninit()];
+    let peeked = SockRef::from(socket).peek(&mut first_byte);
+    peeked.is_err_and(|it| it.kind() == ErrorKind::WouldBlock)
 }
--- a/crates/serving/src/fleet/arrival_clock.rs
+++ b/crates/serving/src/fleet/arrival_clock.rs
@@ -1,38 +1,41 @@
-//! When a datagram came in that is read only now.
+//! Estimates when a datagram arrived that is read late.
 
 use std::time::Duration;
 
 use comfreyramp_policy::Timestamp;
 
-/// How often a daemon looks at least whether a datagram waits to be read. It hears others
-/// more often than that as a rule, and is woken up for nothing else.
+/// The longest time between two checks for a waiting datagram. Datagrams usually arrive
+/// more often than that, so that the check causes no wake-ups of its own.
 pub const QUIET_LOOK: Duration = Duration::from_millis(150);
 
-/// Tells when a datagram came in that is read only now.
+/// Estimates when a datagram arrived that is read now.
 ///
-/// A VM that stood still, or has no processor time, reads datagrams long after they
-/// came in, and its queue keeps the oldest. Taken for news they have daemons heard that
-/// are lost, and results denied that others have shown by now. A datagram came in after
-/// the moment at which none waited, and while the daemon runs such moments are frequent.
+/// A VM that was suspended, or gets no CPU time, reads datagrams long after they arrived,
+/// and its queue keeps the oldest. If they counted as current, lost daemons would seem
+/// alive, and results that others have delivered by now would be reported as missing.
+/// A datagram arrived after the last moment at which the queue was empty; while the
+/// daemon runs, such moments are frequent.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivalClock {
-    quiet_at: Timestamp,
+    queue_empty_at: Timestamp,
 }
 
 impl ArrivalClock {
-    /// A clock of a daemon that begins to listen.
+    /// Returns a clock for a daemon that starts to listen at `now`, with an empty queue.
     pub fn new(now: Timestamp) -> Self {
-        ArrivalClock { quiet_at: now }
+        ArrivalClock {
+            queue_empty_at: now,
+        }
     }
 
-    /// Notes that no datagram waits to be read.
+    /// Records that the receive queue is empty at `now`.
     pub fn note_quiet(&mut self, now: Timestamp) {
-        self.quiet_at = now;
+        self.queue_empty_at = now;
     }
 
-    /// The moment that counts for a datagram which is read now. It may have come in
-    /// earlier by [`QUIET_LOOK`] at most.
+    /// Returns the arrival time to use for a datagram that is read at `now`. The actual
+    /// arrival may be earlier, by [`QUIET_LOOK`] at most.
     pub fn arrival(&self, now: Timestamp) -> Timestamp {
-        now.min(self.quiet_at + QUIET_LOOK)
+        now.min(self.queue_empty_at + QUIET_LOOK)
     }
 }
--- a/crates/serving/src/fleet/contact_desk.rs
+++ b/crates/serving/src/fleet/contact_desk.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers, as all parts of a daemon report and ask.
+//! Tracks whether the store answers, from the calls of all parts of a daemon.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -8,7 +8,10 @@
 
 use crate::clock::BootClock;
 
-/// Whether the store answers, as all parts of a daemon report and ask.
+/// Tracks whether the store answers, from the calls of all parts of a daemon.
+///
+/// All clones share one state. The store is silent while it answers nothing within the
+/// timeout.
 #[derive(Clone, Debug)]
 pub struct ContactDesk {
     state: Arc<Mutex<StoreContact>>,
@@ -17,7 +20,7 @@
 }
 
 impl ContactDesk {
-    /// A desk that nothing was reported to yet.
+    /// Returns a monitor that knows of no calls yet.
     pub fn new(clock: BootClock) -> Self {
         ContactDesk {
             state: Arc::default(),
@@ -26,17 +29,17 @@
         }
     }
 
-    /// The present time.
+    /// Returns the current time of the daemon's clock.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// What is known of the store.
+    /// Returns a copy of the tracked state.
     pub fn contact(&self) -> StoreContact {
         *self.lock()
     }
 
-    /// Notes that a call is asked that waits for a change. Returns when.
+    /// Records the start of a call that waits for a change. Returns the time of it.
     pub fn note_waiting(&self) -> Timestamp {
         let now = self.now();
         self.lock().note_waiting(now);
@@ -44,46 +47,46 @@
         now
     }
 
-    /// Notes that a probe is asked. Returns when.
+    /// Records the start of a probe. Returns the time of it.
     pub(super) fn note_probe(&self) -> Timestamp {
         let now = self.now();
         self.lock().note_probe(&mut rand::rng(), now);
         now
     }
 
-    /// Notes how a call ended that was `asked` then.
-    pub fn note_end<T>(&self, asked: Timestamp, end: &Result<T, StoreError>) {
+    /// Records the result of a call that was sent at `sent_at`.
+    pub fn note_end<T>(&self, sent_at: Timestamp, end: &Result<T, StoreError>) {
         if is_answered(end) {
-            self.regain(|it, now| it.note_answer(asked, now));
+            self.record_answer(|it, now| it.note_answer(sent_at, now));
         } else {
-            self.note_lost(asked);
+            self.note_lost_call(sent_at);
         }
     }
 
-    /// Notes how a call ended that had waited for a change since it was `asked`.
-    pub fn note_wait_end<T>(&self, asked: Timestamp, end: &Result<T, StoreError>) {
+    /// Records the result of a call that was sent at `sent_at` to wait for a change.
+    pub fn note_wait_end<T>(&self, sent_at: Timestamp, end: &Result<T, StoreError>) {
         if is_answered(end) {
-            self.regain(|it, now| it.note_news(asked, now));
+            self.record_answer(|it, now| it.note_news(sent_at, now));
         } else {
-            self.note_lost(asked);
+            self.note_lost_call(sent_at);
         }
     }
 
-    /// Notes that a probe got no answer.
-    pub(super) fn note_lost_probe(&self, asked: Timestamp) {
-        let is_silence = self.silence(|it, now| it.note_lost_probe(asked, now));
+    /// Records that a probe sent at `sent_at` got no answer.
+    pub(super) fn note_lost_probe(&self, sent_at: Timestamp) {
+        let is_silence = self.record_loss(|it, now| it.note_lost_probe(sent_at, now));
         if !is_silence {
             log::info!("store: a probe was lost, calls that wait are asked anew");
             self.changed.send_replace(());
         }
     }
 
-    fn note_lost(&self, asked: Timestamp) {
-        self.silence(|it, now| it.note_lost_call(asked, now));
+    fn note_lost_call(&self, sent_at: Timestamp) {
+        self.record_loss(|it, now| it.note_lost_call(sent_at, now));
     }
 
-    /// Notes a lost call, and returns whether the store is known to be silent now.
-    fn silence(&self, note: impl FnOnce(&mut StoreContact, Timestamp) -> bool) -> bool {
+    /// Records a lost call, and returns whether the store is now considered silent.
+    fn record_loss(&self, note: impl FnOnce(&mut StoreContact, Timestamp) -> bool) -> bool {
         let now = self.now();
         let mut state = self.lock();
         let was_silent = state.silent_since().is_some();
@@ -98,14 +101,14 @@
         is_silent
     }
 
-    /// Notes an answer, and tells those who wait if a silence ended with it.
-    fn regain(&self, note: impl FnOnce(&mut StoreContact, Timestamp) -> bool) {
+    /// Records an answer, and wakes the waiting tasks if it ends a silence.
+    fn record_answer(&self, note: impl FnOnce(&mut StoreContact, Timestamp) -> bool) {
         let now = self.now();
         let mut state = self.lock();
         let silent_since = state.silent_since();
-        let is_regained = note(&mut state, now);
+        let ends_silence = note(&mut state, now);
         drop(state);
-        if !is_regained {
+        if !ends_silence {
             return;
         }
         let silence = silent_since.map_or(0, |it| now.since(it).as_millis() as u64);
@@ -113,37 +116,41 @@
         self.changed.send_replace(());
     }
 
-    /// Waits until a call that was `asked` then, and waits still, is to be asked anew.
-    pub async fn doubted(&self, asked: Timestamp) {
-        self.until(|contact| contact.is_doubtful(asked)).await;
+    /// Waits until a call that was sent at `sent_at`, and still has no answer, has to be
+    /// reissued.
+    pub async fn reissue_due(&self, sent_at: Timestamp) {
+        self.wait_until(|contact| contact.is_doubtful(sent_at))
+            .await;
     }
 
-    /// Waits while the store is known to be silent.
-    pub async fn answering(&self) {
-        self.until(|contact| contact.silent_since().is_none()).await;
+    /// Waits until the store is no longer considered silent.
+    pub async fn silence_ended(&self) {
+        self.wait_until(|contact| contact.silent_since().is_none())
+            .await;
     }
 
-    /// Waits until something was reported that may change when the next probe is due.
+    /// Waits for a state change that may affect when the next probe is due.
     pub(super) async fn changed(&self) {
-        // The sender is this desk's own, so that the channel stays open.
+        // `self` holds the sender, so that the channel stays open.
         let _ = self.changed.subscribe().changed().await;
     }
 
-    async fn until(&self, holds: impl Fn(StoreContact) -> bool) {
+    async fn wait_until(&self, is_met: impl Fn(StoreContact) -> bool) {
         let mut changes = self.changed.subscribe();
-        while !holds(self.contact()) {
-            // The sender is this desk's own, so that the channel stays open.
+        while !is_met(self.contact()) {
+            // `self` holds the sender, so that the channel stays open.
             let _ = changes.changed().await;
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, StoreContact> {
-        // Nothing under this lock can be left half done.
+        // No update under this lock can be interrupted halfway, so that a poisoned state
+        // is still consistent.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Whether the store said anything to a call.
+/// Returns whether the store answered a call, be it with an error.
 pub(super) fn is_answered<T>(end: &Result<T, StoreError>) -> bool {
     !matches!(
         end,
--- a/crates/serving/src/fleet/fleet_view.rs
+++ b/crates/serving/src/fleet/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The operators' settings in force, ready to be looked up.
+//! The operators' settings in force, indexed for look-ups.
 
 use std::sync::Arc;
 
@@ -8,29 +8,29 @@
 
 use crate::model::{CustomerSettings, FleetSettings, RouteSettings};
 
-/// A customer with the number that daemons exchange for it.
+/// A customer and the number by which daemons refer to it in their messages.
 #[derive(Clone, Debug)]
 pub struct KnownCustomer {
-    /// Its settings.
+    /// The settings that operators wrote for the customer.
     pub settings: CustomerSettings,
-    /// The hash of its name.
+    /// The hash of the customer's name.
     pub number: u64,
 }
 
-/// The operators' settings in force, ready to be looked up.
+/// The operators' settings in force, indexed for look-ups.
 #[derive(Clone, Debug)]
 pub struct FleetView {
-    /// The settings.
+    /// The settings as operators wrote them.
     pub settings: FleetSettings,
-    /// Sorted by host, then the longest prefix first.
+    /// Sorted by host, then by prefix length, the longest first.
     routes: Vec<Arc<RouteSettings>>,
     customers: Vec<Arc<KnownCustomer>>,
-    /// Hashes of keys with their customers' places, sorted.
+    /// Hashes of API keys, each with its customer's index in `customers`, sorted.
     keys: Vec<([u8; 32], usize)>,
 }
 
 impl FleetView {
-    /// Sorts the settings for look-ups.
+    /// Builds the indexes for `settings`.
     pub fn new(settings: FleetSettings) -> Self {
         let mut routes: Vec<Arc<RouteSettings>> =
             settings.routes.iter().cloned().map(Arc::new).collect();
@@ -46,12 +46,12 @@
         });
         let customers: Vec<Arc<KnownCustomer>> = customers.collect();
         let mut keys = Vec::new();
-        for (place, customer) in customers.iter().enumerate() {
+        for (index, customer) in customers.iter().enumerate() {
             let hashes = customer
                 .settings
                 .keys
                 .iter()
-                .map(|it| (hash_key(it), place));
+                .map(|it| (hash_key(it), index));
             keys.extend(hashes);
         }
         keys.sort_unstable();
@@ -63,38 +63,39 @@
         }
     }
 
-    /// The route of a request: of the host's routes the one with the longest
-    /// prefix that begins the path.
+    /// Returns the route of a request: of the host's routes, the one with the longest
+    /// prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<Arc<RouteSettings>> {
         let begin = self.routes.partition_point(|it| it.host.as_str() < host);
         let of_host = self.routes[begin..].iter().take_while(|it| it.host == host);
-        let mut fitting = of_host.filter(|it| path.starts_with(&it.prefix));
-        fitting.next().cloned()
+        let mut matching = of_host.filter(|it| path.starts_with(&it.prefix));
+        matching.next().cloned()
     }
 
-    /// Whether any route has this host.
+    /// Returns whether any route has this host.
     pub fn knows_host(&self, host: &str) -> bool {
         self.routes
             .binary_search_by(|it| it.host.as_str().cmp(host))
             .is_ok()
     }
 
-    /// The customer to whom a key belongs.
+    /// Returns the customer to whom an API key belongs.
     ///
-    /// Keys are compared by their hashes, so that the time of a look-up tells
-    /// nothing of how much of a key was guessed.
+    /// Keys are compared by their hashes, so that the duration of a look-up doesn't
+    /// reveal how much of a key was guessed.
     pub fn customer_of_key(&self, key: &str) -> Option<Arc<KnownCustomer>> {
         let hash = hash_key(key);
-        let place = self.keys.binary_search_by(|it| it.0.cmp(&hash)).ok()?;
-        self.customers.get(self.keys[place].1).cloned()
+        let index = self.keys.binary_search_by(|it| it.0.cmp(&hash)).ok()?;
+        self.customers.get(self.keys[index].1).cloned()
     }
 
-    /// Whether callers have to show a key.
+    /// Returns whether callers have to send an API key.
     pub fn asks_for_keys(&self) -> bool {
         !self.customers.is_empty()
     }
 
-    /// The limits of all customers.
+    /// Returns the rate limits of all customers. A rate of 0 means that the customer has
+    /// none.
     pub fn limits(&self) -> Vec<CustomerLimit> {
         let limits = self.customers.iter().map(|it| CustomerLimit {
             customer: it.number,
@@ -105,29 +106,29 @@
     }
 }
 
-/// Draws one of a route's services by their weights, out of those that have a
-/// server.
+/// Chooses one of a route's services at random by their weights, out of those that
+/// have a server.
 pub fn draw_service<'a>(
     route: &'a RouteSettings,
     has_server: impl Fn(&str) -> bool,
     random: &mut impl Rng,
 ) -> Option<&'a str> {
-    let usable = || {
+    let candidates = || {
         route
             .services
             .iter()
             .filter(|it| it.weight > 0 && has_server(&it.service))
     };
-    let total: u32 = usable().map(|it| it.weight).sum();
+    let total: u32 = candidates().map(|it| it.weight).sum();
     if total == 0 {
         return None;
     }
-    let mut drawn = random.random_range(0..total);
-    for choice in usable() {
-        if drawn < choice.weight {
+    let mut offset = random.random_range(0..total);
+    for choice in candidates() {
+        if offset < choice.weight {
             return Some(&choice.service);
         }
-        drawn -= choice.weight;
+        offset -= choice.weight;
     }
     None
 }
--- a/crates/serving/src/fleet/follow.rs
+++ b/crates/serving/src/fleet/follow.rs
@@ -1,4 +1,4 @@
-//! Following a prefix of the store.
+//! Follows the keys under a prefix of the store by a list and a watch.
 
 use std::time::Duration;
 
@@ -8,40 +8,41 @@
 
 use super::{ContactDesk, WholeList};
 
-/// The pause after a first failed call, and the longest after several in a row.
-/// Each call is billed, refused ones too, and a store that is down needs no load.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_000);
-/// How often a daemon that doesn't watch looks whether it has to.
-const IDLE_LOOK: Duration = Duration::from_millis(500);
-/// After a change others often follow: servers that are replaced one by one, or
-/// a fleet that starts. Each call of a watch is billed, so it waits this long
-/// before it asks again. An operator's change has two seconds to be in force.
-const GATHER_SPAN: Duration = Duration::from_millis(400);
-/// A daemon that starts has listed everything, and watches operators' keys and the
-/// directory only once it has had the time to hear who else does. In a large fleet
-/// each of them would open watches of its own just to leave them: 2 of 8 calls of a
-/// start. The daemons it watches at once: those that start together need each other.
+/// Backoff after a first failed call, and its maximum after several in a row. Each call
+/// is billed, rejected ones too, and a store that is down needs no further load.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
+/// How often a daemon that doesn't watch checks whether it has to.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay after a change before the next call of the watch. Further changes often follow,
+/// as when servers are replaced one by one or a fleet starts, and each call is billed.
+/// An operator's change has two seconds to be in force.
+const BATCH_DELAY: Duration = Duration::from_millis(400);
+/// Delay between the first list and the first watch of the operators' keys and of the
+/// server directory. In that time a daemon that starts learns from its peers' reports
+/// which of them watch already. Without it each daemon of a large fleet would open
+/// watches that it soon leaves: 2 of the 8 calls of a start. The list of daemons is
+/// watched without this delay, since daemons that start together have to find each other.
 pub const SETTLE_SPAN: Duration = Duration::from_millis(1_000);
 
-/// What following a prefix brings.
+/// An update from following a prefix.
 #[derive(Debug)]
 pub enum FollowNews {
-    /// All pairs, as listed anew.
+    /// All pairs under the prefix, from a new list.
     Whole(WholeList),
-    /// Changes since.
+    /// The changes since the last update.
     Changed(WatchBatch),
-    /// The store can't be reached, or turned the call away.
+    /// A call failed: the store can't be reached, or rejected it.
     Lost {
-        /// Why.
+        /// Why the call failed.
         error: StoreError,
-        /// How long the call had waited.
+        /// How long the call waited before it failed.
         waited: Duration,
     },
 }
 
 impl FollowNews {
-    /// Up to which revision all is known with it.
+    /// Returns the revision up to which this update is complete.
     fn revision(&self) -> Option<Revision> {
         match self {
             FollowNews::Whole(list) => Some(list.revision),
@@ -50,112 +51,113 @@
         }
     }
 
-    /// How long to gather further changes before the store is asked again.
-    fn gather_span(&self) -> Duration {
+    /// Returns how long to wait for further changes before the next call to the store.
+    fn batch_delay(&self) -> Duration {
         match self {
-            FollowNews::Changed(batch) if batch.changed > 0 => GATHER_SPAN,
+            FollowNews::Changed(batch) if batch.changed > 0 => BATCH_DELAY,
             _ => Duration::ZERO,
         }
     }
 }
 
-/// A store that is followed, and whether it answers.
+/// A store to follow, and the monitor of whether it answers.
 #[derive(Clone, Debug)]
 pub struct FollowedStore<S> {
-    /// The store, without a way round.
+    /// The store, called directly and not through other daemons.
     pub store: S,
-    /// Whether it answers.
+    /// Tracks whether the store answers this daemon.
     pub contact: ContactDesk,
 }
 
-/// Follows a prefix until `stop` is cancelled: lists it, then waits for changes
-/// as long as this daemon is one of those that watch; after the first list only once
-/// `settle` has passed.
+/// Follows a prefix until `stop` is cancelled, and passes each update to `sink`: lists the
+/// prefix, then watches it while `is_watcher` holds. The first watch starts once
+/// `initial_delay` has passed since the first list.
 ///
-/// A watch that lost its history may have missed changes, so the prefix is
-/// listed anew, and from the store itself, never from a copy that may be behind. One that
-/// may have been lost while the store was silent goes on from the last known revision.
+/// If the store has dropped the history that a watch needs, changes may have been missed.
+/// The prefix is then listed again, from the store itself and never from a copy that may
+/// be behind. A watch that may have been lost while the store was silent is reissued
+/// from the last known revision.
 pub async fn follow_store<S: PlatformStore>(
     followed: FollowedStore<S>,
     prefix: &'static str,
     mut sink: impl FnMut(FollowNews),
     is_watcher: impl Fn() -> bool,
-    settle: Duration,
+    initial_delay: Duration,
     stop: CancellationToken,
 ) {
     let contact = &followed.contact;
-    let mut pause = FIRST_PAUSE;
-    let mut settle = Some(settle);
-    let mut shown = None;
+    let mut backoff = MIN_BACKOFF;
+    let mut initial_delay = Some(initial_delay);
+    let mut known = None;
     let mut is_known = false;
     let mut was_idle = false;
     while !stop.is_cancelled() {
         if is_known && !is_watcher() {
             was_idle = true;
-            shown = None;
-            tokio::time::sleep(IDLE_LOOK).await;
+            known = None;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
             continue;
         }
         if std::mem::take(&mut was_idle) {
             log::info!(prefix = prefix; "store: asked in place of others");
         }
         is_known = true;
-        let asked = contact.note_waiting();
-        let news = tokio::select! {
-            news = followed.next_news(prefix, shown) => news,
-            () = contact.doubted(asked) => continue,
+        let sent_at = contact.note_waiting();
+        let update = tokio::select! {
+            update = followed.next_update(prefix, known) => update,
+            () = contact.reissue_due(sent_at) => continue,
             () = stop.cancelled() => return,
         };
-        match shown {
-            Some(_) => contact.note_wait_end(asked, &news),
-            None => contact.note_end(asked, &news),
+        match known {
+            Some(_) => contact.note_wait_end(sent_at, &update),
+            None => contact.note_end(sent_at, &update),
         }
-        let error = match news {
-            Ok(news) => {
-                shown = news.revision();
-                pause = FIRST_PAUSE;
-                let rest = settle.take().unwrap_or(news.gather_span());
-                sink(news);
-                tokio::time::sleep(rest).await;
+        let error = match update {
+            Ok(update) => {
+                known = update.revision();
+                backoff = MIN_BACKOFF;
+                let delay = initial_delay.take().unwrap_or(update.batch_delay());
+                sink(update);
+                tokio::time::sleep(delay).await;
                 continue;
             }
             Err(error) => error,
         };
         let is_compacted = matches!(error, StoreError::Compacted(_));
         if is_compacted || matches!(error, StoreError::Rejected(_)) {
-            shown = None;
+            known = None;
         }
-        let waited = contact.now().since(asked);
+        let waited = contact.now().since(sent_at);
         sink(FollowNews::Lost { error, waited });
         if is_compacted {
             continue;
         }
         tokio::select! {
-            () = pause_after_failure(pause, contact) => {}
+            () = wait_after_failure(backoff, contact) => {}
             () = stop.cancelled() => return,
         }
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
-/// Waits for a while, and as long as probes find the store silent: they are cheaper than
-/// calls that find it still away.
-async fn pause_after_failure(pause: Duration, contact: &ContactDesk) {
-    // Daemons that lost the store together must not come back together.
-    let part = rand::rng().random_range(0.5..1.0);
-    tokio::time::sleep(pause.mul_f64(part)).await;
-    contact.answering().await;
+/// Waits for the backoff, and then for as long as the store is silent: the probes that
+/// find it so are cheaper than further calls that fail.
+async fn wait_after_failure(backoff: Duration, contact: &ContactDesk) {
+    // Daemons that lost the store at the same time must not retry at the same time.
+    let jitter = rand::rng().random_range(0.5..1.0);
+    tokio::time::sleep(backoff.mul_f64(jitter)).await;
+    contact.silence_ended().await;
 }
 
 impl<S: PlatformStore> FollowedStore<S> {
-    /// The changes after the revision `shown`, or the whole prefix.
-    async fn next_news(
+    /// Returns the changes after the revision `known`, or the whole prefix if there is none.
+    async fn next_update(
         &self,
         prefix: &str,
-        shown: Option<Revision>,
+        known: Option<Revision>,
     ) -> Result<FollowNews, StoreError> {
         let range = KeyRange::Prefix(prefix.to_owned());
-        let Some(shown) = shown else {
+        let Some(known) = known else {
             let listed = self.store.range(range, 0).await?;
             return Ok(FollowNews::Whole(WholeList {
                 pairs: listed.pairs,
@@ -163,7 +165,7 @@
                 changed: None,
             }));
         };
-        let mut watch = self.store.watch(range, shown + 1).await?;
+        let mut watch = self.store.watch(range, known + 1).await?;
         Ok(FollowNews::Changed(watch.next().await?))
     }
 }
--- a/crates/serving/src/fleet/known_member.rs
+++ b/crates/serving/src/fleet/known_member.rs
@@ -1,4 +1,4 @@
-//! Another daemon, and which of its lives is the present one.
+//! What is known of another daemon, and which of its incarnations is the current one.
 
 use std::time::Duration;
 
@@ -7,31 +7,33 @@
 use super::{MemberRecord, ViewRevisions};
 use crate::lots::LotProgress;
 
-/// So many former lives of a daemon are known by their numbers, so that what they
-/// said, and comes late, isn't taken for news.
-const MOST_FORMER: usize = 8;
+/// How many former incarnations of a daemon are remembered, so that late reports of them
+/// aren't taken for current ones.
+const MAX_FORMER_INCARNATIONS: usize = 8;
 
-/// Another daemon, in the life of it that is known.
+/// Another daemon, with the state of its incarnation that is taken for the current one.
+///
+/// An incarnation is one run of a daemon's process.
 #[derive(Clone, Debug)]
 pub(super) struct KnownMember {
     pub(super) id: PeerId,
     pub(super) record: MemberRecord,
-    /// The life that the store's list names, if it is registered.
-    pub(super) listed_life: Option<u64>,
-    /// The lives before this one, the latest last.
-    pub(super) former_lives: Vec<u64>,
-    pub(super) heard_at: Option<Timestamp>,
-    /// The number of the last message; 0 while none was heard of this life.
-    pub(super) number: u64,
+    /// The incarnation in the store's list, if the daemon is registered.
+    pub(super) listed_incarnation: Option<u64>,
+    /// The incarnations before this one, the latest last.
+    pub(super) former_incarnations: Vec<u64>,
+    pub(super) last_received_at: Option<Timestamp>,
+    /// The number of this incarnation's last message; 0 before the first.
+    pub(super) last_number: u64,
     pub(super) revisions: ViewRevisions,
-    /// What it says of lots, sorted by lot: in a flood there are hundreds, and each lot
-    /// that waits is looked up among those of all daemons.
+    /// The progress of lots that it reports, sorted by lot: under heavy load there are
+    /// hundreds, and each waiting lot is looked up among those of all daemons.
     pub(super) progress: Vec<LotProgress>,
     pub(super) reaches_store: bool,
     pub(super) is_leaving: bool,
-    /// The items of lots that it has to run still, as it said.
+    /// The number of items of lots that it reports as still to run.
     pub(super) items: u32,
-    /// Whether it uses servers first that this daemon uses first.
+    /// Whether it shares a home server with this daemon: one that both use first.
     pub(super) shares_servers: bool,
 }
 
@@ -40,10 +42,10 @@
         KnownMember {
             id,
             record: record.clone(),
-            listed_life: None,
-            former_lives: Vec::new(),
-            heard_at: None,
-            number: 0,
+            listed_incarnation: None,
+            former_incarnations: Vec::new(),
+            last_received_at: None,
+            last_number: 0,
             revisions: ViewRevisions::default(),
             progress: Vec::new(),
             reaches_store: false,
@@ -53,46 +55,53 @@
         }
     }
 
-    /// Forgets what was known of the life before this one, but for its number.
-    pub(super) fn begin_life(&mut self, record: &MemberRecord) {
-        let mut former_lives = std::mem::take(&mut self.former_lives);
-        former_lives.retain(|it| *it != record.incarnation);
-        former_lives.push(self.record.incarnation);
-        let excess = former_lives.len().saturating_sub(MOST_FORMER);
-        former_lives.drain(..excess);
+    /// Replaces the known incarnation by that of `record`. All reported state is dropped,
+    /// and the old incarnation is remembered as a former one.
+    pub(super) fn start_incarnation(&mut self, record: &MemberRecord) {
+        let mut former_incarnations = std::mem::take(&mut self.former_incarnations);
+        former_incarnations.retain(|it| *it != record.incarnation);
+        former_incarnations.push(self.record.incarnation);
+        let excess = former_incarnations
+            .len()
+            .saturating_sub(MAX_FORMER_INCARNATIONS);
+        former_incarnations.drain(..excess);
         *self = KnownMember {
-            listed_life: self.listed_life,
-            former_lives,
+            listed_incarnation: self.listed_incarnation,
+            former_incarnations,
             ..KnownMember::new(self.id, record)
         };
     }
 
-    /// Whether a life came before the one that is known.
+    /// Returns whether an incarnation came before the known one.
     pub(super) fn is_former(&self, incarnation: u64) -> bool {
-        self.former_lives.contains(&incarnation)
+        self.former_incarnations.contains(&incarnation)
     }
 
-    /// Whether the life that is known was heard, and not just listed.
-    pub(super) fn speaks(&self, within: Duration, now: Timestamp) -> bool {
-        self.number > 0 && self.was_heard(within, now)
+    /// Returns whether the known incarnation has itself reported `within` the given time,
+    /// and wasn't just listed by the store.
+    pub(super) fn incarnation_reported_within(&self, within: Duration, now: Timestamp) -> bool {
+        self.last_number > 0 && self.reported_within(within, now)
     }
 
-    /// Whether the life that is known is the present one. Where it is neither heard nor
-    /// registered, a life that was taken for a former one may be: the order in which
-    /// datagrams arrive was all that told them apart.
-    pub(super) fn is_certain(&self, within: Duration, now: Timestamp) -> bool {
-        self.speaks(within, now) || self.listed_life == Some(self.record.incarnation)
+    /// Returns whether the known incarnation is confirmed as the current one, by its own
+    /// reports `within` the given time or by the store's list. Otherwise an incarnation
+    /// that counts as former may be the current one, since only the order in which
+    /// datagrams arrived told them apart.
+    pub(super) fn is_confirmed(&self, within: Duration, now: Timestamp) -> bool {
+        self.incarnation_reported_within(within, now)
+            || self.listed_incarnation == Some(self.record.incarnation)
     }
 
-    /// What it says of a lot.
-    pub(super) fn told_of(&self, lot: &str) -> Option<&LotProgress> {
-        let place = self
+    /// Returns the progress that it reports of a lot.
+    pub(super) fn progress_of(&self, lot: &str) -> Option<&LotProgress> {
+        let index = self
             .progress
             .binary_search_by(|it| it.lot.as_str().cmp(lot));
-        Some(&self.progress[place.ok()?])
+        Some(&self.progress[index.ok()?])
     }
 
-    pub(super) fn was_heard(&self, within: Duration, now: Timestamp) -> bool {
-        self.heard_at.is_some_and(|it| now.since(it) < within)
+    pub(super) fn reported_within(&self, within: Duration, now: Timestamp) -> bool {
+        self.last_received_at
+            .is_some_and(|it| now.since(it) < within)
     }
 }
--- a/crates/serving/src/fleet/member_list.rs
+++ b/crates/serving/src/fleet/member_list.rs
@@ -1,4 +1,4 @@
-//! The other daemons: those that are registered, and those that are heard.
+//! The other daemons: those registered in the store, and those that send reports.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,121 +7,127 @@
 
 use super::{MemberRecord, PeerMessage, ViewRevisions, known_member::KnownMember};
 
-/// A daemon that isn't registered is still spoken to while it is heard, and for
-/// so long after. The store may have turned it away, so that its lease lapsed:
-/// then others are all that it can learn from.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(6);
-/// A daemon was heard lately if no more than this many intervals ago.
-const HEARD_INTERVALS: f64 = 3.6;
-/// How often a daemon speaks at least, to daemons far away and where nothing
+/// How long after its last report an unregistered daemon is forgotten. Until then this
+/// daemon keeps reporting to it: its lease may have expired because the store rejects its
+/// calls, and then it can learn only from other daemons.
+const FORGET_TIMEOUT: Duration = Duration::from_secs(6);
+/// A daemon counts as reporting if its last report is at most this many report intervals
+/// old.
+const REPORTING_INTERVALS: f64 = 3.6;
+/// Longest interval between two reports of a daemon, to far peers and while nothing
 /// changes.
-const QUIET_INTERVAL: Duration = Duration::from_millis(250);
-/// The same in a large fleet, so that a daemon sends some 250 messages a second
-/// and not 600 (88 daemons in 3 zones).
-const LARGE_INTERVAL: Duration = Duration::from_millis(750);
-/// So many daemons of a large fleet watch the store at least; the others learn from
-/// them, those of other zones included. Each call of a watch is billed; with three,
-/// two may be lost or turned away before anybody has to wait for another to take
-/// over. Each zone has one in any case, since it may be cut off from the others.
-const LEAST_WATCHERS: usize = 3;
-/// While the store turns daemons away, the next ones of their zone ask it in their
-/// place, but no more than so many for each that is wanted. Were all to follow, a store
-/// that is away for all would be called by the whole fleet each second. Others learn
-/// from other zones, or stand in once they know that something is missing.
-const MOST_TRYING: usize = 4;
-/// In a large fleet so many daemons for callers use a server first, and so many
-/// for lots. Fewer would leave a daemon with many callers too few servers; more
-/// would have more to tell each other.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// The same in a large fleet. With it a daemon of 88 in 3 zones sends some 250 messages
+/// a second and not 600.
+const LARGE_FLEET_REPORT_INTERVAL: Duration = Duration::from_millis(750);
+/// Minimum number of daemons of a large fleet that watch the store. All others learn
+/// from them, also across zones, as each call of a watch is billed. With three, two may be
+/// lost or rejected by the store before the fleet has to wait for another to take over.
+/// Each zone has at least one, since it may be cut off from the others.
+const MIN_WATCHERS: usize = 3;
+/// Maximum number of daemons of a zone that try to watch, for each watcher that it needs.
+/// While the store rejects some daemons, the next ones of their zone try in their place.
+/// Without this limit a store that is down for all would be called by the whole fleet
+/// each second. The remaining daemons learn from other zones, or stand in for the watchers
+/// once they know that a change is missing.
+const MAX_ATTEMPTS_PER_WATCHER: usize = 4;
+/// How many entry daemons and how many lot-running daemons of a large fleet have a server
+/// as one of their home servers, which they use first. Fewer would leave a daemon with many
+/// callers too few servers; more would mean more reports between those that share one.
 const ENTRIES_PER_SERVER: usize = 4;
 const RUNNERS_PER_SERVER: usize = 2;
 
-/// In a fleet of so many daemons each speaks to all others with every change.
-const SMALL_FLEET: usize = 16;
+/// Up to this many other daemons the fleet is small: each daemon reports every change to
+/// all others.
+const MAX_SMALL_FLEET_PEERS: usize = 16;
 
-/// Where the other daemons are reached.
+/// The addresses of the other daemons, by how often they get reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerAddresses {
-    /// Those who hear of every change.
+    /// The daemons that get a report of every change.
     pub near: Vec<SocketAddr>,
-    /// Those who hear at intervals.
+    /// The daemons that get reports at intervals.
     pub far: Vec<SocketAddr>,
 }
 
-/// The other daemons.
+/// The other daemons of the fleet, as registered in the store and as they report.
 #[derive(Clone, Debug)]
 pub struct MemberList {
-    own: PeerId,
+    own_id: PeerId,
     /// Sorted by id.
     pub(super) members: Vec<KnownMember>,
-    regained_at: Option<Timestamp>,
-    /// Items of lots that this daemon placed not long ago, and where.
-    pub(super) placed: Vec<(PeerId, u32, Timestamp)>,
+    last_reconnected_at: Option<Timestamp>,
+    /// Where this daemon placed lots within the last report interval: the daemon, the number
+    /// of items and the time.
+    pub(super) recent_placements: Vec<(PeerId, u32, Timestamp)>,
 }
 
 impl MemberList {
-    /// A list of a daemon that knows no others yet.
+    /// Returns an empty list for the daemon `own_name`, which is never part of it.
     pub fn new(own_name: &str) -> Self {
         MemberList {
-            own: PeerId::of_name(own_name),
+            own_id: PeerId::of_name(own_name),
             members: Vec::new(),
-            regained_at: None,
-            placed: Vec::new(),
+            last_reconnected_at: None,
+            recent_placements: Vec::new(),
         }
     }
 
-    /// When a daemon was last heard that had been out of touch.
+    /// Returns when a daemon last reported again after it had been out of touch.
     pub fn regained_at(&self) -> Option<Timestamp> {
-        self.regained_at
+        self.last_reconnected_at
     }
 
-    /// How often daemons speak at least.
+    /// Returns the longest interval between two reports of a daemon.
     pub fn interval(&self) -> Duration {
         match self.is_small() {
-            true => QUIET_INTERVAL,
-            false => LARGE_INTERVAL,
+            true => REPORT_INTERVAL,
+            false => LARGE_FLEET_REPORT_INTERVAL,
         }
     }
 
     fn is_small(&self) -> bool {
-        self.members.len() <= SMALL_FLEET
+        self.members.len() <= MAX_SMALL_FLEET_PEERS
     }
 
-    pub(super) fn heard_lately(&self) -> Duration {
-        self.interval().mul_f64(HEARD_INTERVALS)
+    pub(super) fn reporting_timeout(&self) -> Duration {
+        self.interval().mul_f64(REPORTING_INTERVALS)
     }
 
-    /// Whether the daemon `own` is one of those that watch the store. In a small
-    /// fleet all are; in a large one the first of each zone by a hash, out of
-    /// those that are heard and reach the store, and `stand_ins` after these.
+    /// Returns whether the daemon `own` is one of those that watch the store. In a small
+    /// fleet all are; in a large one the first of each zone by the hash of their names, out
+    /// of those that report and reach the store, and the next `stand_ins` after these.
     pub fn is_watcher(&self, own: &MemberRecord, stand_ins: usize, now: Timestamp) -> bool {
         if self.is_small() {
             return true;
         }
-        let before = self.before(own, now);
-        let (reaching, turned_away): (Vec<_>, Vec<_>) = before.partition(|it| it.reaches_store);
-        let wanted = LEAST_WATCHERS.div_ceil(self.zones(&own.zone)) + stand_ins;
-        reaching.len() < wanted && reaching.len() + turned_away.len() < wanted * MOST_TRYING
+        let preceding = self.preceding(own, now);
+        let (reaching, rejected): (Vec<_>, Vec<_>) = preceding.partition(|it| it.reaches_store);
+        let wanted = MIN_WATCHERS.div_ceil(self.zone_count(&own.zone)) + stand_ins;
+        reaching.len() < wanted
+            && reaching.len() + rejected.len() < wanted * MAX_ATTEMPTS_PER_WATCHER
     }
 
-    /// Whether the daemon `own` is the first of its zone, out of those that are heard and
-    /// reach the store.
+    /// Returns whether the daemon `own` is the first of its zone, out of those that report
+    /// and reach the store.
     pub fn is_first_of_zone(&self, own: &MemberRecord, now: Timestamp) -> bool {
-        !self.before(own, now).any(|it| it.reaches_store)
+        !self.preceding(own, now).any(|it| it.reaches_store)
     }
 
-    /// The daemons of a zone that are heard and come before the daemon `own`, by a hash.
-    fn before(&self, own: &MemberRecord, now: Timestamp) -> impl Iterator<Item = &KnownMember> {
-        let own_score = PeerId::of_name(&own.name);
+    /// Returns the reporting daemons of `own`'s zone that come before it by the hash of their
+    /// names.
+    fn preceding(&self, own: &MemberRecord, now: Timestamp) -> impl Iterator<Item = &KnownMember> {
+        let own_id = PeerId::of_name(&own.name);
         self.members.iter().filter(move |it| {
             it.record.zone == own.zone
                 && !it.is_leaving
-                && it.was_heard(self.heard_lately(), now)
-                && it.id < own_score
+                && it.reported_within(self.reporting_timeout(), now)
+                && it.id < own_id
         })
     }
 
-    /// How many zones the fleet has, that of this daemon included.
-    fn zones(&self, own: &str) -> usize {
+    /// Returns how many zones the fleet has, that of this daemon included.
+    fn zone_count(&self, own: &str) -> usize {
         let others = self.members.iter().map(|it| it.record.zone.as_str());
         let mut zones: Vec<&str> = others.chain([own]).collect();
         zones.sort_unstable();
@@ -129,53 +135,55 @@
         zones.len()
     }
 
-    /// Takes over the daemons that are registered.
+    /// Takes over the daemons that are registered in the store.
     ///
-    /// The entry of a lost daemon stays until its lease lapses, and its next life
-    /// speaks before it registers. So a list tells of another life only where none is
-    /// heard: else the living one, and what it said of its lots, would be forgotten.
+    /// The entry of a lost daemon stays until its lease expires, and its next incarnation
+    /// reports before it registers. So the list replaces a known incarnation only if that
+    /// one doesn't report. Otherwise the running incarnation, and what it reported of its
+    /// lots, would be forgotten.
     pub fn set_listed(&mut self, records: &[MemberRecord], now: Timestamp) {
-        let lately = self.heard_lately();
+        let timeout = self.reporting_timeout();
         for member in &mut self.members {
-            member.listed_life = None;
+            member.listed_incarnation = None;
         }
         for record in records {
-            let Some(member) = self.member_of(record) else {
+            let Some(member) = self.member_entry(record) else {
                 continue;
             };
-            let is_behind = member.is_former(record.incarnation) || member.speaks(lately, now);
+            let is_outdated = member.is_former(record.incarnation)
+                || member.incarnation_reported_within(timeout, now);
             if member.record.incarnation == record.incarnation {
                 member.record.clone_from(record);
-            } else if !is_behind {
-                member.begin_life(record);
+            } else if !is_outdated {
+                member.start_incarnation(record);
             }
-            member.listed_life = Some(record.incarnation);
-            member.heard_at.get_or_insert(now);
+            member.listed_incarnation = Some(record.incarnation);
+            member.last_received_at.get_or_insert(now);
         }
         self.forget_silent(now);
     }
 
-    /// Takes in what a daemon says, in a message that came in now. Returns its id, or
-    /// nothing if the message is this daemon's own, or older than one that came before.
+    /// Takes over a report that was received at `now`. Returns the sender's id, or `None`
+    /// if the report is this daemon's own or older than one that was received before.
     pub fn hear(&mut self, message: &PeerMessage, now: Timestamp) -> Option<PeerId> {
-        let lately = self.heard_lately();
-        let member = self.member_of(&message.from)?;
-        let life = message.from.incarnation;
-        if member.record.incarnation != life {
-            // A datagram that was on its way for long tells how it was in a life that
-            // is over: lots that run no more, and too few results.
-            if member.is_former(life) && member.is_certain(lately, now) {
+        let timeout = self.reporting_timeout();
+        let member = self.member_entry(&message.from)?;
+        let incarnation = message.from.incarnation;
+        if member.record.incarnation != incarnation {
+            // A datagram that was long under way describes an incarnation that has ended:
+            // lots that no longer run, and too few results.
+            if member.is_former(incarnation) && member.is_confirmed(timeout, now) {
                 return None;
             }
-            member.begin_life(&message.from);
+            member.start_incarnation(&message.from);
         }
-        if member.number >= message.number {
+        if member.last_number >= message.number {
             return None;
         }
         member.record.clone_from(&message.from);
-        let is_regained = was_out_of_touch(member.heard_at, now);
-        member.number = message.number;
-        member.heard_at = Some(now);
+        let is_reconnected = was_out_of_touch(member.last_received_at, now);
+        member.last_number = message.number;
+        member.last_received_at = Some(now);
         member.revisions = message.revisions;
         member.progress.clone_from(&message.progress);
         member
@@ -185,42 +193,43 @@
         member.is_leaving = message.is_leaving;
         member.items = message.items;
         let id = member.id;
-        if is_regained {
-            self.regained_at = Some(now);
+        if is_reconnected {
+            self.last_reconnected_at = Some(now);
         }
         Some(id)
     }
 
-    /// What is known of a daemon, in whichever of its lives.
-    fn member_of(&mut self, record: &MemberRecord) -> Option<&mut KnownMember> {
+    /// Returns the entry of a daemon, whichever incarnation it is in, and adds it if there
+    /// is none. Returns `None` for this daemon itself.
+    fn member_entry(&mut self, record: &MemberRecord) -> Option<&mut KnownMember> {
         let id = PeerId::of_name(&record.name);
-        if id == self.own {
+        if id == self.own_id {
             return None;
         }
-        let place = match self.members.binary_search_by_key(&id, |it| it.id) {
-            Ok(place) => place,
-            Err(place) => {
-                self.members.insert(place, KnownMember::new(id, record));
-                place
+        let index = match self.members.binary_search_by_key(&id, |it| it.id) {
+            Ok(index) => index,
+            Err(index) => {
+                self.members.insert(index, KnownMember::new(id, record));
+                index
             }
         };
-        Some(&mut self.members[place])
+        Some(&mut self.members[index])
     }
 
-    /// Forgets daemons that are neither registered nor heard. Returns whether
-    /// there were any.
+    /// Removes daemons that are neither registered nor reporting. Returns whether there
+    /// were any.
     pub fn forget_silent(&mut self, now: Timestamp) -> bool {
-        let before = self.members.len();
+        let count_before = self.members.len();
         self.members.retain(|it| {
-            let is_heard = it
-                .heard_at
-                .is_some_and(|at| now.since(at) < FORGOTTEN_AFTER);
-            it.listed_life.is_some() || (is_heard && !it.is_leaving)
+            let is_remembered = it
+                .last_received_at
+                .is_some_and(|at| now.since(at) < FORGET_TIMEOUT);
+            it.listed_incarnation.is_some() || (is_remembered && !it.is_leaving)
         });
-        self.members.len() != before
+        self.members.len() != count_before
     }
 
-    /// The ids of all other daemons that let requests in.
+    /// Returns the ids of all other entry daemons, which admit requests.
     pub fn entries(&self) -> Vec<PeerId> {
         self.members
             .iter()
@@ -229,8 +238,8 @@
             .collect()
     }
 
-    /// Where the daemons are reached. In a small fleet all are near; in a large
-    /// one those that use the same servers.
+    /// Returns the addresses of all other daemons. In a small fleet all are near; in a
+    /// large one those that share a home server with this daemon.
     pub fn addresses(&self) -> PeerAddresses {
         let is_near = |it: &&KnownMember| self.is_small() || it.shares_servers;
         let (near, far): (Vec<&KnownMember>, Vec<&KnownMember>) =
@@ -241,9 +250,10 @@
         }
     }
 
-    /// Works out which of a zone's servers, by the hashes of their names and apart for
-    /// each service, the daemon `own` uses first, and which others use the same.
-    /// Returns nothing in a small fleet, where everybody uses all.
+    /// Computes the home servers of the daemon `own`, which it uses first, and which other
+    /// daemons share them. `services` has the servers of its zone for each service, by the
+    /// hashes of their names. Returns the home servers, or `None` in a small fleet, where
+    /// each daemon uses all servers.
     pub fn share_servers(&mut self, own: &MemberRecord, services: &[Vec<u64>]) -> Option<Vec<u64>> {
         if self.is_small() {
             return None;
@@ -252,7 +262,7 @@
             let members = self.members.iter().filter(|it| {
                 it.record.zone == own.zone && it.record.runs_lots == runs_lots && !it.is_leaving
             });
-            let own = (own.runs_lots == runs_lots).then_some(self.own);
+            let own = (own.runs_lots == runs_lots).then_some(self.own_id);
             members.map(|it| it.id).chain(own).collect()
         };
         let (entries, runners) = (of_zone(false), of_zone(true));
@@ -261,7 +271,7 @@
             pairs.extend(home_pairs(servers, &entries, ENTRIES_PER_SERVER));
             pairs.extend(home_pairs(servers, &runners, RUNNERS_PER_SERVER));
         }
-        let own_pairs = pairs.iter().filter(|it| it.1 == self.own);
+        let own_pairs = pairs.iter().filter(|it| it.1 == self.own_id);
         let homes: Vec<u64> = own_pairs.map(|it| it.0).collect();
         let sharing = pairs.iter().filter(|it| homes.contains(&it.0));
         let sharing: Vec<PeerId> = sharing.map(|it| it.1).collect();
@@ -271,30 +281,31 @@
         Some(homes)
     }
 
-    /// Where some daemons are reached.
+    /// Returns the addresses of the daemons `ids`.
     pub fn addresses_of(&self, ids: &[PeerId]) -> Vec<SocketAddr> {
         let named = self.members.iter().filter(|it| ids.contains(&it.id));
         named.map(|it| it.record.address).collect()
     }
 
-    /// Where the daemons are reached that say they reach the store.
+    /// Returns the addresses of the daemons that report to reach the store, which can relay
+    /// calls to it.
     pub fn store_ways(&self, now: Timestamp) -> Vec<SocketAddr> {
-        let fit = |it: &&KnownMember| {
-            it.reaches_store && !it.is_leaving && it.was_heard(self.heard_lately(), now)
+        let is_usable = |it: &&KnownMember| {
+            it.reaches_store && !it.is_leaving && it.reported_within(self.reporting_timeout(), now)
         };
         self.members
             .iter()
-            .filter(fit)
+            .filter(is_usable)
             .map(|it| it.record.address)
             .collect()
     }
 
-    /// A daemon that acts by a newer view than one with these revisions: any of
-    /// `zone` if there is one, else of another. Were all who are behind to ask the
-    /// same one, a small VM would be busy with them alone. Those that gave nothing a
-    /// moment ago are passed over, and where these are all of `zone`, it is another's.
-    /// One that is lost stays known until its lease lapses, and a question to it takes
-    /// its whole timeout.
+    /// Returns the address of a daemon that has a newer view than the revisions `known`,
+    /// chosen at random from `zone` if possible, else from another zone. If all daemons
+    /// that are behind sent their requests to the same one, a small VM would be busy with
+    /// them alone. Daemons for which `is_passed` holds, as they gave no view a moment ago,
+    /// are skipped: a lost daemon stays known until its lease expires, and a request to it
+    /// takes its whole timeout.
     pub fn ahead_of(
         &self,
         known: ViewRevisions,
@@ -305,7 +316,7 @@
     ) -> Option<SocketAddr> {
         let is_ahead = |it: &&KnownMember| {
             it.revisions.is_ahead_of(known)
-                && it.was_heard(self.heard_lately(), now)
+                && it.reported_within(self.reporting_timeout(), now)
                 && !is_passed(it.record.address)
         };
         let (near, far): (Vec<&KnownMember>, Vec<&KnownMember>) = self
@@ -317,22 +328,24 @@
         Some(chosen.record.address)
     }
 
-    /// The newest changes that any daemon acts by.
+    /// Returns, for each view, the newest revision that any other daemon has.
     pub fn newest_revisions(&self) -> ViewRevisions {
-        let told = self.members.iter().map(|it| it.revisions);
-        told.fold(ViewRevisions::default(), ViewRevisions::newest)
+        let reported = self.members.iter().map(|it| it.revisions);
+        reported.fold(ViewRevisions::default(), ViewRevisions::newest)
     }
 
-    /// Whether a life of a daemon is certainly over: a later one was heard after it,
-    /// and goes on speaking. That another life is listed or heard proves nothing, since
-    /// this one may be later still. Its claim would be taken from it while it lives, and
-    /// two daemons would each say that they know of all results of a lot.
+    /// Returns whether an incarnation of a daemon has certainly ended: a later one reported
+    /// after it, and still reports. It isn't enough that another incarnation is listed or
+    /// was heard, since this one may be later still. Its claim would then be taken from it
+    /// while it runs, and two daemons would each report that they know all results of a
+    /// lot.
     pub fn is_former_life(&self, daemon: &str, incarnation: u64, now: Timestamp) -> bool {
         let id = PeerId::of_name(daemon);
-        let place = self.members.binary_search_by_key(&id, |it| it.id);
-        place.is_ok_and(|it| {
+        let index = self.members.binary_search_by_key(&id, |it| it.id);
+        index.is_ok_and(|it| {
             let member = &self.members[it];
-            member.is_former(incarnation) && member.speaks(self.heard_lately(), now)
+            member.is_former(incarnation)
+                && member.incarnation_reported_within(self.reporting_timeout(), now)
         })
     }
 }
--- a/crates/serving/src/fleet/member_lots.rs
+++ b/crates/serving/src/fleet/member_lots.rs
@@ -1,4 +1,4 @@
-//! What other daemons say of lots, and who does what with them.
+//! What other daemons report of lots, and which daemon lists, runs or is given a lot.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,116 +12,128 @@
 use super::{MemberList, known_member::KnownMember};
 use crate::lots::LotStage;
 
-/// So many daemons look at all open lots. Another takes over as soon as it is no
-/// longer heard.
-const LISTERS: usize = 1;
-/// A daemon holds its lots for so long after it was last heard; then its lease
-/// has lapsed, or nearly.
-const HOLDS_LOTS_FOR: Duration = Duration::from_secs(3);
+/// How many daemons list all open lots. If one no longer reports, the next takes over.
+const LISTER_COUNT: usize = 1;
+/// How long after its last report a daemon counts as holding its lots. By then its lease
+/// has expired, or is about to.
+const LOT_HOLD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a daemon says of a lot that it runs or ran.
+/// The last report of a daemon of a lot that it runs or ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerWord {
-    /// The daemon.
+    /// The daemon's name.
     pub daemon: String,
-    /// Which of its lives.
+    /// The daemon's incarnation that reported it.
     pub incarnation: u64,
-    /// How many results it says there are.
+    /// The number of results.
     pub results: usize,
-    /// What it has to do with the lot.
+    /// How the daemon relates to the lot, as whether it runs it or has left it.
     pub stage: LotStage,
-    /// How long ago it said so.
+    /// The time since the report was received.
     pub age: Duration,
 }
 
 impl MemberList {
-    /// Whether the daemon `own` is one of those that look for lots which nobody
-    /// runs: the first by name that are heard and reach the store. One that is turned
-    /// away may have no lease, and lists nothing then.
+    /// Returns whether the daemon `own` is one of those that look for lots which no daemon
+    /// runs: the first by name that report and reach the store. A daemon that the store
+    /// rejects may have no lease, and lists nothing then.
     pub fn is_lister(&self, own: &str, now: Timestamp) -> bool {
-        let before = self.members.iter().filter(|it| {
+        let preceding = self.members.iter().filter(|it| {
             it.record.runs_lots
                 && it.reaches_store
                 && !it.is_leaving
-                && it.was_heard(self.heard_lately(), now)
+                && it.reported_within(self.reporting_timeout(), now)
                 && it.record.name.as_str() < own
         });
-        before.count() < LISTERS
+        preceding.count() < LISTER_COUNT
     }
 
-    /// Where the daemon is reached that knows of all results of a lot. One that ran it
-    /// before may know of fewer, and one whose claim may be gone too.
+    /// Returns the address of the daemon that knows all results of a lot. A daemon that ran
+    /// it before may know fewer, and so may one whose claim may be gone.
     pub fn lot_runner(&self, lot: &str, now: Timestamp) -> Option<SocketAddr> {
         let knows = |it: &&KnownMember| {
-            let told = it.told_of(lot);
-            it.was_heard(self.heard_lately(), now) && told.is_some_and(|it| it.stage.knows_all())
+            let progress = it.progress_of(lot);
+            it.reported_within(self.reporting_timeout(), now)
+                && progress.is_some_and(|it| it.stage.knows_all())
+        };
+        // Of two, as after a hand-over, the one with more results counts, or else the one
+        // with the later report.
+        let rank = |it: &&KnownMember| {
+            (
+                it.progress_of(lot).map(|progress| progress.results),
+                it.last_received_at,
+            )
         };
-        // Of two, as after a hand-over, the one with more results, or the later word.
-        let rank = |it: &&KnownMember| (it.told_of(lot).map(|told| told.results), it.heard_at);
         let runner = self.members.iter().filter(knows).max_by_key(rank)?;
         Some(runner.record.address)
     }
 
-    /// What the daemon says that knows of all results of a lot. What a former life of
-    /// it said was forgotten with that life.
+    /// Returns the report of the daemon that knows all results of a lot. Reports of a former
+    /// incarnation are gone, since they are dropped together with it.
     pub fn runner_vouch(&self, lot: &str) -> Option<RunnerVouch> {
-        let vouches = self.members.iter().filter_map(|member| {
-            let told = member.told_of(lot).filter(|it| it.stage.knows_all())?;
+        let confirmations = self.members.iter().filter_map(|member| {
+            let progress = member.progress_of(lot).filter(|it| it.stage.knows_all())?;
             Some(RunnerVouch {
-                results: usize::from(told.results),
-                heard_at: member.heard_at?,
+                results: usize::from(progress.results),
+                heard_at: member.last_received_at?,
             })
         });
-        vouches.max_by_key(|it| (it.results, it.heard_at))
+        confirmations.max_by_key(|it| (it.results, it.heard_at))
     }
 
-    /// What is said of a lot: by the daemon that knows of all results, if there is one.
+    /// Returns the report of a lot, if possible that of the daemon that knows all results.
     pub fn runner_word(&self, lot: &str, now: Timestamp) -> Option<RunnerWord> {
-        let words = self.members.iter().filter_map(|member| {
-            let told = member.told_of(lot)?;
+        let reports = self.members.iter().filter_map(|member| {
+            let progress = member.progress_of(lot)?;
             Some(RunnerWord {
                 daemon: member.record.name.clone(),
                 incarnation: member.record.incarnation,
-                results: usize::from(told.results),
-                stage: told.stage,
-                age: now.since(member.heard_at?),
+                results: usize::from(progress.results),
+                stage: progress.stage,
+                age: now.since(member.last_received_at?),
             })
         });
-        words.max_by_key(|it| (it.stage.knows_all(), it.results))
+        reports.max_by_key(|it| (it.stage.knows_all(), it.results))
     }
 
-    /// Whether a daemon tells that it ran a lot to its end.
+    /// Returns whether a daemon reports that it has finished a lot.
     pub fn told_finished(&self, lot: &str) -> bool {
-        let mut told = self.members.iter().filter_map(|it| it.told_of(lot));
-        told.any(|it| it.stage == LotStage::Finished)
+        let mut reported = self.members.iter().filter_map(|it| it.progress_of(lot));
+        reported.any(|it| it.stage == LotStage::Finished)
     }
 
-    /// Whether a daemon that was heard not long ago runs a lot.
+    /// Returns whether a daemon that reported recently runs a lot.
     pub fn is_held(&self, lot: &str, now: Timestamp) -> bool {
-        let mut told = self.heard_runners(now).filter_map(|it| it.told_of(lot));
-        told.any(|it| it.stage.is_running())
+        let mut reported = self
+            .recent_runners(now)
+            .filter_map(|it| it.progress_of(lot));
+        reported.any(|it| it.stage.is_running())
     }
 
-    /// The lots that daemons heard not long ago say they run.
+    /// Returns the lots that recently reporting daemons run.
     pub fn held_lots(&self, now: Timestamp) -> Vec<String> {
-        let told = self.heard_runners(now).flat_map(|it| &it.progress);
-        let running = told.filter(|it| it.stage.is_running());
+        let reported = self.recent_runners(now).flat_map(|it| &it.progress);
+        let running = reported.filter(|it| it.stage.is_running());
         running.map(|it| it.lot.clone()).collect()
     }
 
-    /// The daemons that hold the lots of which they tell, if they hold any.
-    fn heard_runners(&self, now: Timestamp) -> impl Iterator<Item = &KnownMember> {
+    /// Returns the daemons that have lot progress to report and whose last report is recent
+    /// enough that they still hold the lots they run.
+    fn recent_runners(&self, now: Timestamp) -> impl Iterator<Item = &KnownMember> {
         let members = self.members.iter();
-        members.filter(move |it| !it.progress.is_empty() && it.was_heard(HOLDS_LOTS_FOR, now))
+        members
+            .filter(move |it| !it.progress.is_empty() && it.reported_within(LOT_HOLD_TIMEOUT, now))
     }
 
-    /// Whether a lot falls to the daemon `own`, out of those that run lots.
+    /// Returns whether a lot is assigned to the daemon `own`, out of those that run lots.
     ///
-    /// Daemons whose lists differ may each take a lot for theirs; the claim in
-    /// the store decides.
+    /// Daemons whose lists differ may each regard a lot as their own; the claim in the
+    /// store decides.
     pub fn is_own_lot(&self, lot: &str, own: &str, now: Timestamp) -> bool {
         let runs = |it: &&KnownMember| {
-            it.record.runs_lots && !it.is_leaving && it.was_heard(self.heard_lately(), now)
+            it.record.runs_lots
+                && !it.is_leaving
+                && it.reported_within(self.reporting_timeout(), now)
         };
         let others = self
             .members
@@ -132,7 +144,7 @@
         home_daemon(lot, &daemons) == Some(own)
     }
 
-    /// Chooses a daemon for an accepted lot of so many items.
+    /// Chooses a daemon to run an accepted lot of `items` items.
     pub fn place_lot(
         &mut self,
         items: u32,
@@ -140,26 +152,31 @@
         now: Timestamp,
     ) -> Option<PeerId> {
         let runner = choose_runner(&self.runner_loads(now), random)?;
-        self.placed.push((runner, items, now));
+        self.recent_placements.push((runner, items, now));
         Some(runner)
     }
 
-    /// Chooses a daemon to which this one, with `own` items to run, hands over `items`.
+    /// Chooses a daemon to which this one, with `own` items to run, hands over `items` of
+    /// them.
     pub fn hand_over(&mut self, own: u32, items: u32, now: Timestamp) -> Option<PeerId> {
         let runner = choose_successor(own, items, &self.runner_loads(now))?;
-        self.placed.push((runner, items, now));
+        self.recent_placements.push((runner, items, now));
         Some(runner)
     }
 
-    /// The other daemons that run lots, with what they told and what was placed there
-    /// since they can have told it.
+    /// Returns the load of the other daemons that run lots: the items that each reports, and
+    /// those placed there too recently to be in its report.
     fn runner_loads(&mut self, now: Timestamp) -> Vec<RunnerLoad> {
         let interval = self.interval();
-        self.placed.retain(|it| now.since(it.2) < interval);
+        self.recent_placements
+            .retain(|it| now.since(it.2) < interval);
         let runners = self.members.iter().filter(|it| self.is_runner(it, now));
         runners
             .map(|it| {
-                let placed = self.placed.iter().filter(|placed| placed.0 == it.id);
+                let placed = self
+                    .recent_placements
+                    .iter()
+                    .filter(|placed| placed.0 == it.id);
                 RunnerLoad {
                     runner: it.id,
                     items: it.items + placed.map(|it| it.1).sum::<u32>(),
@@ -168,27 +185,27 @@
             .collect()
     }
 
-    /// Whether a daemon is there to run lots.
+    /// Returns whether a daemon is available to run lots.
     pub fn takes_lots(&self, id: PeerId, now: Timestamp) -> bool {
-        let place = self.members.binary_search_by_key(&id, |it| it.id);
-        place.is_ok_and(|place| self.is_runner(&self.members[place], now))
+        let index = self.members.binary_search_by_key(&id, |it| it.id);
+        index.is_ok_and(|index| self.is_runner(&self.members[index], now))
     }
 
-    /// The name of a daemon, for logs.
+    /// Returns the name of a daemon, for logs, or an empty text if it is unknown.
     pub fn name_of(&self, id: PeerId) -> &str {
-        let place = self.members.binary_search_by_key(&id, |it| it.id);
-        place.map_or("", |place| &self.members[place].record.name)
+        let index = self.members.binary_search_by_key(&id, |it| it.id);
+        index.map_or("", |index| &self.members[index].record.name)
     }
 
-    /// Whether a daemon is there to run lots, and can claim them.
+    /// Returns whether a daemon is available to run lots and can claim them.
     fn is_runner(&self, member: &KnownMember, now: Timestamp) -> bool {
         member.record.runs_lots
             && member.reaches_store
             && !member.is_leaving
-            && member.was_heard(self.heard_lately(), now)
+            && member.reported_within(self.reporting_timeout(), now)
     }
 
-    /// Whether the daemon `own` is the first by name of those that run lots.
+    /// Returns whether the daemon `own` is the first by name of those that run lots.
     pub fn is_first_lot_runner(&self, own: &str) -> bool {
         let mut runners = self.members.iter().filter(|it| it.record.runs_lots);
         runners.all(|it| it.record.name.as_str() > own)
--- a/crates/serving/src/fleet/membership.rs
+++ b/crates/serving/src/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! This daemon's entry in the store, and the lease that it hangs on.
+//! This daemon's entry in the store, and the lease that the entry depends on.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,72 +9,74 @@
 use super::MemberRecord;
 use crate::{dialect::Dialect, node::Node};
 
-/// Keys of daemons, by their names.
+/// Prefix of the daemons' keys, which the name of the daemon follows.
 pub const MEMBERS: &str = "fleet/members/";
 
-/// How long a daemon counts as there without a renewal. Shorter would cost more
-/// calls; longer would leave lots of a lost daemon lying.
-const LEASE_TERM: Duration = Duration::from_secs(4);
-/// A lease is renewed so often, so that two lost calls in a row don't end it.
-const RENEW_INTERVAL: Duration = Duration::from_millis(1_300);
-/// The same for daemons on whose lease no claim hangs: others hear them, and the
-/// entry only has to go some time after they are gone.
-const LONG_TERM: Duration = Duration::from_secs(10);
-const LONG_RENEW_INTERVAL: Duration = Duration::from_millis(3_000);
-/// The pause after a call that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(400);
+/// Lease term of a daemon that runs lots: how long it counts as running without a renewal.
+/// A shorter term would cost more calls; with a longer one the lots of a lost daemon would
+/// wait longer for another.
+const RUNNER_LEASE_TERM: Duration = Duration::from_secs(4);
+/// Renewal interval of that lease, short enough that two lost calls in a row don't end it.
+const RUNNER_RENEW_INTERVAL: Duration = Duration::from_millis(1_300);
+/// Lease term of entry daemons, whose leases no claims depend on. Peers know from reports
+/// that they run, and the entry only has to disappear some time after they are gone.
+const ENTRY_LEASE_TERM: Duration = Duration::from_secs(10);
+const ENTRY_RENEW_INTERVAL: Duration = Duration::from_millis(3_000);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// The lease that this daemon's entry, and its claims, hang on.
+/// The lease that this daemon's entry and its claims depend on.
 #[derive(Clone, Debug)]
 pub struct HeldLease {
-    /// The lease.
+    /// The id of the lease.
     pub id: LeaseId,
-    /// Until when it certainly holds, counted from before it was asked for.
+    /// When the lease may expire at the earliest, counted from before it was requested.
     pub until: Timestamp,
-    /// Cancelled when the lease has lapsed, or may have.
+    /// Cancelled when the lease has expired, or may have.
     pub lapsed: CancellationToken,
 }
 
-/// Keeps this daemon registered until `stop` is cancelled.
+/// Keeps this daemon registered in the store until `stop` is cancelled, and then removes
+/// its entry.
 pub async fn keep_membership<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
     while !stop.is_cancelled() {
-        let round = registered_round(&node, &stop).await;
-        // The lease is lapsed, or about to be given back: from now on this daemon speaks
-        // for no lot on the strength of it.
+        let held = hold_registration(&node, &stop).await;
+        // The lease has expired, or is about to be revoked: from now on this daemon
+        // doesn't report that it runs lots by it.
         node.set_lease(None);
-        match round {
-            Ok(lease) => return leave(&node, lease).await,
+        match held {
+            Ok(lease) => return deregister(&node, lease).await,
             Err(error) => {
                 node.note_store_trouble();
                 log::warn!(error:% = error; "membership: lost the lease");
             }
         }
         if !stop.is_cancelled() {
-            tokio::time::sleep(FAILED_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Registers, and renews the lease until that fails or `stop` is cancelled. Returns the
-/// lease that still holds then.
-async fn registered_round<D: Dialect>(
+/// Registers this daemon and renews the lease until that fails or `stop` is cancelled.
+/// Returns the lease, still valid, if it was stopped.
+async fn hold_registration<D: Dialect>(
     node: &Rc<Node<D>>,
     stop: &CancellationToken,
 ) -> Result<LeaseId, StoreError> {
     let (term, interval) = match node.settings.runs_lots {
-        true => (LEASE_TERM, RENEW_INTERVAL),
-        false => (LONG_TERM, LONG_RENEW_INTERVAL),
+        true => (RUNNER_LEASE_TERM, RUNNER_RENEW_INTERVAL),
+        false => (ENTRY_LEASE_TERM, ENTRY_RENEW_INTERVAL),
     };
     let term = term.max(node.settings.store.shortest_lease_s);
-    let asked = node.clock.now();
+    let requested_at = node.clock.now();
     let id = node.store.grant(term).await?;
     register(node, id).await?;
     let mut lease = HeldLease {
         id,
-        until: asked + term,
+        until: requested_at + term,
         lapsed: CancellationToken::new(),
     };
-    let _lapses = lease.lapsed.clone().drop_guard();
+    let _expire_on_return = lease.lapsed.clone().drop_guard();
     node.set_lease(Some(lease.clone()));
     log::info!(lease = id.0; "membership: registered");
     loop {
@@ -82,12 +84,12 @@
             () = tokio::time::sleep(interval) => {}
             () = stop.cancelled() => return Ok(id),
         }
-        let asked = node.clock.now();
-        // A VM that was suspended wakes up here: its lease may be gone.
+        let requested_at = node.clock.now();
+        // A VM that was suspended resumes here, and its lease may be gone by then.
         match node.store.renew(id).await {
             Ok(_) => {
                 node.note_store_answer();
-                lease.until = asked + term;
+                lease.until = requested_at + term;
                 node.set_lease(Some(lease.clone()));
             }
             Err(StoreError::LeaseLapsed) => return Err(StoreError::LeaseLapsed),
@@ -96,7 +98,7 @@
                 if node.clock.now() >= lease.until {
                     return Err(error);
                 }
-                tokio::time::sleep(FAILED_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -116,10 +118,10 @@
     node.store.transact(batch).await.map(|_| ())
 }
 
-/// Takes the entry away, and the claims that are left, so that others needn't wait for
-/// the lease to lapse.
-async fn leave<D: Dialect>(node: &Rc<Node<D>>, lease: LeaseId) {
+/// Revokes the lease, which removes the entry and any remaining claims, so that others
+/// needn't wait for the lease to expire.
+async fn deregister<D: Dialect>(node: &Rc<Node<D>>, lease: LeaseId) {
     if let Err(error) = node.store.revoke(lease).await {
-        log::warn!(error:% = error; "membership: the entry stays until its lease lapses");
+        log::warn!(error:% = error; "membership: failed to revoke the lease; the entry stays until it expires");
     }
 }
--- a/crates/serving/src/fleet/mod.rs
+++ b/crates/serving/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! What a daemon knows of the fleet: settings, servers, other daemons.
+//! A daemon's local copies of the fleet's state (settings, servers, other daemons) and the
+//! exchange with the store and with peers that keeps them current.
 
 mod announcer;
 mod arrival_clock;
--- a/crates/serving/src/fleet/peer_door.rs
+++ b/crates/serving/src/fleet/peer_door.rs
@@ -1,4 +1,4 @@
-//! What other daemons ask for.
+//! Handles the HTTP requests of other daemons.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    peer_views::{VIEWS_PATH, show_views},
+    peer_views::{VIEWS_PATH, encode_newer_views},
     store_relay::RELAY_PATH,
 };
 use crate::{
@@ -18,11 +18,11 @@
     path::FrontBody,
 };
 
-/// The longest call that is made for another daemon: a lot with all its bodies.
-const CALL_LIMIT: usize = 12 << 20;
+/// Maximum size in bytes of a relayed store call: a lot with all its request bodies.
+const MAX_CALL_BYTES: usize = 12 << 20;
 
-/// Answers other daemons: views for those behind, calls to the store for those
-/// that don't reach it, results of lots for those that callers ask.
+/// Answers a request of another daemon: for newer views, for a store call on behalf of a
+/// daemon that can't reach the store, or for the results of a lot that a caller reads there.
 pub async fn answer_peer<D: Dialect>(
     node: Rc<Node<D>>,
     request: Request<Incoming>,
@@ -30,35 +30,35 @@
     let path = request.uri().path();
     if let Some(rest) = path.strip_prefix(LOT_PATH) {
         return match show_lot(&node, rest) {
-            Some(shown) => Response::new(FrontBody::whole(shown)),
-            None => with_status(StatusCode::NOT_FOUND),
+            Some(results) => Response::new(FrontBody::whole(results)),
+            None => empty_response(StatusCode::NOT_FOUND),
         };
     }
     let is_view = path == VIEWS_PATH;
     if !is_view && path != RELAY_PATH {
-        return with_status(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
-    let call = match collect_limited(request.into_body(), CALL_LIMIT).await {
+    let call = match collect_limited(request.into_body(), MAX_CALL_BYTES).await {
         Ok(call) => call,
         Err(error) => {
-            log::warn!(error:% = error; "peers: a call can't be read");
-            return with_status(StatusCode::BAD_REQUEST);
+            log::warn!(error:% = error; "peers: failed to read a request body");
+            return empty_response(StatusCode::BAD_REQUEST);
         }
     };
     if !is_view {
         return node.store.answer(&call).await.map(FrontBody::whole);
     }
     match postcard::from_bytes(&call) {
-        Ok(known) => Response::new(FrontBody::whole(show_views(&node, known))),
+        Ok(known) => Response::new(FrontBody::whole(encode_newer_views(&node, known))),
         Err(error) => {
-            log::warn!(error:% = error; "peers: a question for views can't be read");
-            with_status(StatusCode::BAD_REQUEST)
+            log::warn!(error:% = error; "peers: failed to decode a request for views");
+            empty_response(StatusCode::BAD_REQUEST)
         }
     }
 }
 
-fn with_status<D: Dialect>(status: StatusCode) -> Response<FrontBody<D>> {
-    let mut answer = Response::new(FrontBody::whole(Bytes::new()));
-    *answer.status_mut() = status;
-    answer
+fn empty_response<D: Dialect>(status: StatusCode) -> Response<FrontBody<D>> {
+    let mut response = Response::new(FrontBody::whole(Bytes::new()));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/serving/src/fleet/peer_message.rs
+++ b/crates/serving/src/fleet/peer_message.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other, several times a second.
+//! The report that daemons send each other several times a second.
 
 use std::net::SocketAddr;
 
@@ -11,50 +11,52 @@
 
 use crate::lots::{LotNotice, LotProgress, PlacedLot};
 
-/// A daemon as it registers in the store, under its lease.
+/// A daemon's entry in the store, which is bound to its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its name.
+    /// The daemon's name, unique in the fleet.
     pub name: String,
-    /// Its zone.
+    /// The availability zone that the daemon runs in.
     pub zone: String,
-    /// Where other daemons reach it.
+    /// The address at which other daemons reach it.
     pub address: SocketAddr,
-    /// Drawn anew at each start.
+    /// A random number, new at each start, that tells the runs of the daemon apart.
     pub incarnation: u64,
     /// Whether it runs items of lots.
     pub runs_lots: bool,
 }
 
-/// How often servers broke off while they ran a request.
+/// How often backend servers broke the connection while they ran a certain request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectCount {
-    /// The hash of customer, path and body.
+    /// The hash of the request's customer, path and body.
     pub fingerprint: u64,
-    /// How often, as this daemon saw it.
+    /// The number of such failures that the sender observed.
     pub crashes: u8,
 }
 
-/// The store's revisions at the last change of each view that a daemon acts by.
+/// The store's revision at the last change of each of a daemon's views.
+///
+/// A view is a local copy of store data.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRevisions {
-    /// What operators wrote.
+    /// The view of the operators' settings.
     pub operators: i64,
-    /// The directory of servers.
+    /// The view of the server directory.
     pub servers: i64,
-    /// The daemons.
+    /// The view of the registered daemons.
     pub members: i64,
 }
 
 impl ViewRevisions {
-    /// Whether any view is newer than another daemon's.
+    /// Returns whether any view is newer than in `other`.
     pub fn is_ahead_of(self, other: ViewRevisions) -> bool {
         self.operators > other.operators
             || self.servers > other.servers
             || self.members > other.members
     }
 
-    /// The newer one of each.
+    /// Returns the newer revision of each view.
     pub fn newest(self, other: ViewRevisions) -> ViewRevisions {
         ViewRevisions {
             operators: self.operators.max(other.operators),
@@ -64,20 +66,20 @@
     }
 }
 
-/// For how long each view has been behind what others act by.
+/// For how long each view has been behind those of other daemons.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ViewLags {
-    /// What operators wrote.
+    /// The lag of the view of the operators' settings.
     pub operators: ViewLag,
-    /// The directory of servers.
+    /// The lag of the view of the server directory.
     pub servers: ViewLag,
-    /// The daemons.
+    /// The lag of the view of the registered daemons.
     pub members: ViewLag,
 }
 
 impl ViewLags {
-    /// Notes up to which revisions the views are complete, and at which the newest
-    /// changes are that others act by.
+    /// Updates the lags: `own` has the revisions up to which the views are complete, and
+    /// `newest` those of the newest changes that other daemons have.
     pub fn note(&mut self, own: ViewRevisions, newest: ViewRevisions, now: Timestamp) {
         self.operators.note(own.operators, newest.operators, now);
         self.servers.note(own.servers, newest.servers, now);
@@ -85,51 +87,52 @@
     }
 }
 
-/// What a daemon tells the others. Counts are totals, not differences, so that a
-/// lost datagram costs nothing but time.
+/// A daemon's report of its state to the others. Counts are totals, not differences, so
+/// that the next report makes up for a lost datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerMessage {
-    /// Who speaks.
+    /// The sender.
     pub from: MemberRecord,
-    /// Grows with each message of an incarnation.
+    /// Sequence number, which grows with each message of an incarnation.
     pub number: u64,
-    /// The views that it acts by.
+    /// The revisions of the sender's views.
     pub revisions: ViewRevisions,
-    /// What it has on servers, by the hash of their names.
+    /// The load that the sender has on servers, by the hash of their names.
     pub shares: Vec<(u64, LoadShare)>,
-    /// What it let in of each customer's requests.
+    /// The requests that it admitted for each customer.
     pub usage: Vec<UsageCount>,
-    /// Requests at which servers broke off.
+    /// The requests during which servers broke the connection.
     pub suspects: Vec<SuspectCount>,
-    /// What happened to lots.
+    /// Notices of events of lots.
     pub lots: Vec<LotNotice>,
-    /// How far the lots are that it runs.
+    /// The progress of the lots that it runs or ran.
     pub progress: Vec<LotProgress>,
-    /// Whether it reaches the store.
+    /// Whether the sender reaches the store directly.
     pub reaches_store: bool,
-    /// Whether it is about to stop.
+    /// Whether the sender is about to stop.
     pub is_leaving: bool,
-    /// The items of lots that it has to run still.
+    /// The number of items of lots that it still has to run.
     pub items: u32,
-    /// Lots that it accepted, and who is asked to run them.
+    /// Lots that it accepted, and the daemons that are to run them.
     pub placed: Vec<PlacedLot>,
-    /// Whether it wants to hear from who reads this, at once.
+    /// Whether the receiver is asked to send its own report at once.
     pub asks_word: bool,
-    /// When it let in the requests that `usage` counts, in the same order.
+    /// When the requests in `usage` were admitted, in the same order.
     pub usage_times: UsageTimes,
 }
 
-/// When a daemon let customers' requests in, as in [`SpendingTimes`].
+/// When a daemon admitted customers' requests, in the form of [`SpendingTimes`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageTimes {
-    /// The time at which it says so.
+    /// The time of the report.
     pub told: u16,
-    /// The sum of the times of each customer's requests; none from a former version.
+    /// The sum of the admission times of each customer's requests; empty in a message of an
+    /// older version.
     pub sums: Vec<u16>,
 }
 
 impl PeerMessage {
-    /// What it let in of each customer's requests, and when.
+    /// Returns `usage` with the times of `usage_times`.
     pub fn timed_usage(&self) -> Vec<UsageCount> {
         let told = self.usage_times.told;
         let sums = self.usage_times.sums.iter().map(Some);
@@ -143,7 +146,7 @@
 }
 
 impl UsageTimes {
-    /// The times of these counts.
+    /// Collects the times of `counts`, in the same order.
     pub fn of(counts: &[UsageCount]) -> Self {
         let times = counts.iter().map(|it| it.times.unwrap_or_default());
         UsageTimes {
@@ -153,5 +156,6 @@
     }
 }
 
-/// Zeros behind a message of a former version stand for the fields that it lacks.
+/// Number of zero bytes appended to a received message. They stand for the fields that a
+/// message of an older version lacks.
 pub const MESSAGE_PADDING: usize = 5;
--- a/crates/serving/src/fleet/peer_views.rs
+++ b/crates/serving/src/fleet/peer_views.rs
@@ -1,4 +1,5 @@
-//! Settings and directory from other daemons, where the store can't be asked.
+//! Takes over newer views of settings, servers and daemons from other daemons, where this
+//! daemon doesn't get them from the store.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -11,110 +12,110 @@
 
 use super::{
     ViewRevisions,
-    view_desk::{PackedView, ShownView, ShownViews},
+    view_desk::{PackedView, SentView, SentViews},
 };
 use crate::{dialect::Dialect, node::Node};
 
-/// The path at which a daemon shows its views to others.
+/// The path at which a daemon sends its views to others.
 pub(super) const VIEWS_PATH: &str = "/packed-views";
-/// How often a daemon looks whether others are ahead of it. An order of an
-/// operator has two seconds to be in force everywhere.
-const LOOK_INTERVAL: Duration = Duration::from_millis(300);
-/// How long another daemon may take to answer.
+/// How often a daemon checks whether others are ahead of it. An operator's change has two
+/// seconds to be in force everywhere.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Timeout of a request to another daemon.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// The next daemon is asked within this span where one gave nothing.
-const RETRY_SPAN: Duration = Duration::from_millis(150);
-/// The longest answer that is read.
-const ANSWER_LIMIT: usize = 16 << 20;
+/// Maximum delay before the next daemon is queried, after one that sent nothing.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Maximum size in bytes of an answer that is read.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// What this daemon's views have beyond those that another daemon knows.
-pub(super) fn show_views<D: Dialect>(node: &Node<D>, known: ViewRevisions) -> Bytes {
+/// Returns, encoded, those views of this daemon that are newer than the revisions `known`
+/// of another one.
+pub(super) fn encode_newer_views<D: Dialect>(node: &Node<D>, known: ViewRevisions) -> Bytes {
     let now = node.clock.now();
     let views = node.views.borrow();
-    node.view_desk.borrow_mut().show(&views, known, now)
+    node.view_desk.borrow_mut().encode_newer(&views, known, now)
 }
 
-/// Looks for daemons that are ahead, and takes over what they know, until `stop`
-/// is cancelled.
+/// Checks for daemons that are ahead, and takes over their views, until `stop` is cancelled.
 ///
-/// The store may turn single VMs away for long while it serves the others. They
-/// would go on with settings in which withdrawn keys still work, and with
-/// servers that have left. What others say of the revisions they act by shows it.
+/// The store may reject single VMs for a long time while it serves the others. Such a VM
+/// would go on with settings in which withdrawn keys still work, and with servers that
+/// have left. The view revisions in its peers' reports show that it is behind.
 pub async fn follow_peers<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
     let client = HttpClient::new(ANSWER_TIMEOUT);
     let mut passed = PassedSources::default();
     let mut was_behind = false;
-    let mut pause = LOOK_INTERVAL;
+    let mut delay = CHECK_INTERVAL;
     while !stop.is_cancelled() {
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
+            () = tokio::time::sleep(delay) => {}
             () = stop.cancelled() => return,
         }
-        pause = LOOK_INTERVAL;
+        delay = CHECK_INTERVAL;
         node.note_lag();
         let ahead = node.peer_ahead(&passed);
-        // A watch needs a moment to bring what another daemon has already. Who
-        // doesn't watch has no other source.
+        // A watch needs a moment to deliver what another daemon has already, so a watcher
+        // waits for one more check. A daemon that doesn't watch has no other source.
         let is_due = was_behind || !node.is_watcher();
         was_behind = ahead.is_some();
         let Some(peer) = ahead.filter(|_| is_due) else {
             continue;
         };
         let known = node.views.borrow().complete_up_to();
-        let views = ask(&client, peer, known).await;
+        let views = request_views(&client, peer, known).await;
         let now = node.clock.now();
         let is_busy = match views {
             Ok(views) => {
                 let is_busy = views.is_busy;
-                take_over(&node, peer, views);
+                apply_views(&node, peer, views);
                 is_busy
             }
             Err(error) => {
                 log::warn!(peer:% = peer, error:% = error; "peers: no views from a peer");
                 passed.note_silent(peer, now);
-                pause = drawn(RETRY_SPAN);
+                delay = jittered(MAX_RETRY_DELAY);
                 continue;
             }
         };
         if is_busy {
             log::info!(peer:% = peer; "peers: a peer shows its views to others just now");
             passed.note_busy(peer, now, &mut rand::rng());
-            pause = drawn(RETRY_SPAN);
+            delay = jittered(MAX_RETRY_DELAY);
         }
     }
 }
 
-/// A part of a span, drawn: daemons that were turned away together must not come back
-/// together.
-fn drawn(span: Duration) -> Duration {
-    span.mul_f64(rand::rng().random_range(0.3..1.0))
+/// Returns a random fraction of a delay, so that daemons that were rejected at the same
+/// time don't retry at the same time.
+fn jittered(delay: Duration) -> Duration {
+    delay.mul_f64(rand::rng().random_range(0.3..1.0))
 }
 
-async fn ask(
+async fn request_views(
     client: &HttpClient,
     peer: SocketAddr,
     known: ViewRevisions,
-) -> anyhow::Result<ShownViews> {
+) -> anyhow::Result<SentViews> {
     let body = MessageBody::from(postcard::to_stdvec(&known)?);
     let request = Request::post(format!("http://{peer}{VIEWS_PATH}")).body(body)?;
     let answer = client
-        .exchange(request, ANSWER_TIMEOUT, ANSWER_LIMIT)
+        .exchange(request, ANSWER_TIMEOUT, MAX_ANSWER_BYTES)
         .await?;
     Ok(postcard::from_bytes(answer.body())?)
 }
 
-fn take_over<D: Dialect>(node: &Rc<Node<D>>, peer: SocketAddr, views: ShownViews) {
-    let unpacked = |view: Option<PackedView>| match view?.unpack() {
+fn apply_views<D: Dialect>(node: &Rc<Node<D>>, peer: SocketAddr, views: SentViews) {
+    let unpack_view = |view: Option<PackedView>| match view?.unpack() {
         Ok(view) => Some(view),
         Err(error) => {
-            log::warn!(peer:% = peer, error:% = error; "peers: a view can't be read");
+            log::warn!(peer:% = peer, error:% = error; "peers: failed to decode a view");
             None
         }
     };
-    let operators = unpacked(views.operators);
-    let servers = unpacked(views.servers);
-    let members = unpacked(views.members);
-    let revision_of = |view: &Option<ShownView>| view.as_ref().map(|it| it.revision);
+    let operators = unpack_view(views.operators);
+    let servers = unpack_view(views.servers);
+    let members = unpack_view(views.members);
+    let revision_of = |view: &Option<SentView>| view.as_ref().map(|it| it.revision);
     log::info!(
         peer:% = peer, operators:? = revision_of(&operators),
         servers:? = revision_of(&servers), members:? = revision_of(&members);
--- a/crates/serving/src/fleet/store_probe.rs
+++ b/crates/serving/src/fleet/store_probe.rs
@@ -1,4 +1,4 @@
-//! Probing the store, so that calls which will never be answered aren't waited for.
+//! Probes the store, so that no call waits for an answer that will never come.
 
 use std::{pin::pin, rc::Rc, time::Duration};
 
@@ -9,27 +9,27 @@
 use super::contact_desk::is_answered;
 use crate::{dialect::Dialect, node::Node};
 
-/// How often a daemon that doesn't follow the store looks whether it has to.
-const IDLE_LOOK: Duration = Duration::from_millis(500);
+/// How often a daemon that doesn't follow the store checks whether it has to.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Probes the store directly, whenever nothing else has shown for a while whether it
+/// Probes the store directly whenever no other call has shown for a while whether it
 /// answers, until `stop` is cancelled.
 pub async fn probe_store<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
-    let desk = node.store.contact().clone();
+    let monitor = node.store.contact().clone();
     loop {
-        let pause = match node.follows_store() {
-            true => desk.contact().next_probe(node.is_probe_lead()),
-            false => Some(desk.now() + IDLE_LOOK),
+        let next_probe = match node.follows_store() {
+            true => monitor.contact().next_probe(node.is_probe_lead()),
+            false => Some(monitor.now() + IDLE_CHECK_INTERVAL),
         };
         tokio::select! {
-            () = sleep_until(pause, desk.now()) => {}
-            () = desk.changed() => continue,
+            () = sleep_until(next_probe, monitor.now()) => {}
+            () = monitor.changed() => continue,
             () = stop.cancelled() => return,
         }
         if node.follows_store() {
-            // The next one doesn't wait for this one, which may hang.
-            let asked = desk.note_probe();
-            tokio::task::spawn_local(probe_once(node.clone(), asked));
+            // Runs as a task of its own: this probe may hang, and must not delay the next.
+            let sent_at = monitor.note_probe();
+            tokio::task::spawn_local(probe_once(node.clone(), sent_at));
         }
     }
 }
@@ -41,28 +41,29 @@
     }
 }
 
-/// Renews the lease, which is the cheapest call. That it has lapsed is an answer as well.
-async fn probe_once<D: Dialect>(node: Rc<Node<D>>, asked: Timestamp) {
-    let desk = node.store.contact();
+/// Renews the lease, which is the cheapest call. The error that the lease has expired also
+/// counts as an answer.
+async fn probe_once<D: Dialect>(node: Rc<Node<D>>, sent_at: Timestamp) {
+    let monitor = node.store.contact();
     let lease = node.lease().map_or(LeaseId(0), |it| it.id);
     let mut renewal = pin!(node.store.direct().renew(lease));
-    let timeout = desk.contact().probe_timeout();
-    let in_time = tokio::time::timeout(timeout, &mut renewal).await;
-    let is_lost = !in_time.as_ref().is_ok_and(is_answered);
+    let timeout = monitor.contact().probe_timeout();
+    let first_wait = tokio::time::timeout(timeout, &mut renewal).await;
+    let is_lost = !first_wait.as_ref().is_ok_and(is_answered);
     if is_lost {
-        desk.note_lost_probe(asked);
+        monitor.note_lost_probe(sent_at);
         node.note_store_trouble();
     }
-    let answer = match in_time {
+    let answer = match first_wait {
         Ok(answer) => answer,
-        // A late answer tells that the store is slow.
+        // A late answer shows that the store is slow, but not silent.
         Err(_) => renewal.await,
     };
     if is_answered(&answer) {
-        desk.note_end(asked, &answer);
+        monitor.note_end(sent_at, &answer);
         node.note_store_answer();
         node.store.note_reached();
-    } else if desk.contact().silent_since().is_some() {
+    } else if monitor.contact().silent_since().is_some() {
         node.store.note_failed();
     }
 }
--- a/crates/serving/src/fleet/store_relay.rs
+++ b/crates/serving/src/fleet/store_relay.rs
@@ -1,9 +1,9 @@
-//! The store, by way of other daemons where it can't be reached directly.
+//! Access to the store, relayed through other daemons where it can't be reached directly.
 //!
-//! The store may turn single VMs away for many seconds while it serves all
-//! others. A daemon that runs lots could then write no results, and one that
-//! callers reach could accept no lots, though the next daemon can do both. So a
-//! call that failed is handed to a daemon that says it reaches the store.
+//! The store may reject single VMs for many seconds while it serves all others. A daemon
+//! that runs lots could then write no results, and an entry daemon could accept no lots,
+//! though other daemons can do both. So a failed call is relayed through a daemon that
+//! reports that it reaches the store.
 
 use std::{
     net::SocketAddr,
@@ -23,20 +23,20 @@
 
 use super::ContactDesk;
 
-/// The path at which daemons make calls for each other.
+/// The path at which daemons relay store calls for each other.
 pub(crate) const RELAY_PATH: &str = "/store";
-/// After a failed call the store is left alone for so long, and other daemons
-/// are asked at once: a call to a silent store takes its whole timeout.
-const DIRECT_PAUSE: Duration = Duration::from_millis(1_000);
-/// How long another daemon may take. It has a timeout of its own for the store.
+/// How long after a failed call no direct call is made, and calls are relayed at once: a
+/// call to a silent store takes its whole timeout.
+const DIRECT_BACKOFF: Duration = Duration::from_millis(1_000);
+/// Timeout of a relayed call. The other daemon has a timeout of its own for the store.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// The longest answer of another daemon.
-const ANSWER_LIMIT: usize = 16 << 20;
+/// Maximum size in bytes of another daemon's answer.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// A call that one daemon makes for another.
+/// A store call that one daemon makes for another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum RelayCall {
-    /// Reads a range.
+    /// Reads at most so many pairs of a range, or all with 0.
     Range(KeyRange, usize),
     /// Runs a transaction.
     Transact(WriteBatch),
@@ -48,16 +48,16 @@
     Revoke(LeaseId),
 }
 
-/// Why a call that was made for another daemon brought no answer.
+/// Why a relayed call failed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum RelayFailure {
-    /// Nothing was done.
+    /// The store was not reached, and nothing was done.
     Unreachable(String),
-    /// It may have been done.
+    /// The answer was lost, and the call may have taken effect.
     AnswerLost(String),
-    /// The store refused it.
+    /// The store rejected the call.
     Rejected(String),
-    /// The lease has lapsed.
+    /// The lease has expired.
     LeaseLapsed,
 }
 
@@ -87,25 +87,28 @@
 
 #[derive(Debug, Default)]
 struct RelayState {
-    /// Daemons that say they reach the store.
+    /// Addresses of the daemons that report that they reach the store.
     peers: Vec<SocketAddr>,
-    direct_after: Option<Instant>,
+    retry_direct_at: Option<Instant>,
 }
 
-/// What came of a call that was made directly, by way of another daemon, or both.
-struct ReachedCall<T> {
+/// The outcome of a call that was made directly, relayed, or both.
+struct CallOutcome<T> {
     answer: Result<T, StoreError>,
-    /// Why the direct way brought no answer, where the call may have been made on it.
-    lost: Option<StoreError>,
+    /// The error of the direct call, if it was lost after it may have taken effect.
+    lost_direct: Option<StoreError>,
 }
 
-impl<T> ReachedCall<T> {
+impl<T> CallOutcome<T> {
     fn new(answer: Result<T, StoreError>) -> Self {
-        ReachedCall { answer, lost: None }
+        CallOutcome {
+            answer,
+            lost_direct: None,
+        }
     }
 }
 
-/// The store, by way of other daemons where it can't be reached directly.
+/// The store, with calls relayed through other daemons where it can't be reached directly.
 #[derive(Clone, Debug)]
 pub struct RelayedStore<S> {
     direct: S,
@@ -115,7 +118,7 @@
 }
 
 impl<S: PlatformStore> RelayedStore<S> {
-    /// A store that is asked directly until other daemons are known.
+    /// Wraps the store `direct`. All calls are made directly until other daemons are known.
     pub fn new(direct: S, contact: ContactDesk) -> Self {
         RelayedStore {
             direct,
@@ -125,63 +128,65 @@
         }
     }
 
-    /// The store without a way round.
+    /// Returns the store for direct calls, which are never relayed.
     pub fn direct(&self) -> &S {
         &self.direct
     }
 
-    /// Whether the store answers this daemon itself.
+    /// Returns the monitor of whether the store answers this daemon directly.
     pub fn contact(&self) -> &ContactDesk {
         &self.contact
     }
 
-    /// Sets the daemons that say they reach the store.
+    /// Sets the addresses of the daemons that report that they reach the store.
     pub fn set_peers(&self, peers: Vec<SocketAddr>) {
         self.lock().peers = peers;
     }
 
-    /// Notes that a call failed that was made without a way round.
+    /// Records that a direct call failed, so that calls are relayed for a while.
     pub fn note_failed(&self) {
-        self.lock().direct_after = Some(Instant::now() + DIRECT_PAUSE);
+        self.lock().retry_direct_at = Some(Instant::now() + DIRECT_BACKOFF);
     }
 
-    /// Notes that the store answered a call that was made without a way round.
+    /// Records that the store answered a direct call.
     pub(super) fn note_reached(&self) {
-        self.lock().direct_after = None;
+        self.lock().retry_direct_at = None;
     }
 
-    /// Whether the store was reached, as far as the last call tells.
+    /// Returns whether the next call is made directly: the last direct call was answered, or
+    /// its failure is long enough ago.
     pub fn is_direct(&self) -> bool {
         self.lock()
-            .direct_after
+            .retry_direct_at
             .is_none_or(|it| it <= Instant::now())
     }
 
-    /// Makes a call for another daemon.
+    /// Makes an encoded call for another daemon and returns its encoded result. A call that
+    /// can't be decoded gets a 400 response.
     pub async fn answer(&self, call: &[u8]) -> Response<Bytes> {
         let Ok(call) = postcard::from_bytes::<RelayCall>(call) else {
             let mut answer = Response::new(Bytes::new());
             *answer.status_mut() = StatusCode::BAD_REQUEST;
             return answer;
         };
-        let written = match call {
+        let encoded = match call {
             RelayCall::Range(range, limit) => {
-                self.made(|it| async move { it.range(range, limit).await })
+                self.exec(|it| async move { it.range(range, limit).await })
                     .await
             }
             RelayCall::Transact(batch) => {
-                self.made(|it| async move { it.transact(batch).await })
+                self.exec(|it| async move { it.transact(batch).await })
                     .await
             }
-            RelayCall::Grant(ttl) => self.made(|it| async move { it.grant(ttl).await }).await,
-            RelayCall::Renew(lease) => self.made(|it| async move { it.renew(lease).await }).await,
-            RelayCall::Revoke(lease) => self.made(|it| async move { it.revoke(lease).await }).await,
+            RelayCall::Grant(ttl) => self.exec(|it| async move { it.grant(ttl).await }).await,
+            RelayCall::Renew(lease) => self.exec(|it| async move { it.renew(lease).await }).await,
+            RelayCall::Revoke(lease) => self.exec(|it| async move { it.revoke(lease).await }).await,
         };
-        Response::new(written.into())
+        Response::new(encoded.into())
     }
 
-    /// Makes a call, and writes down what came of it.
-    async fn made<T, F>(&self, call: impl FnOnce(S) -> F) -> Vec<u8>
+    /// Makes a call directly if the store is reachable, and returns the encoded result.
+    async fn exec<T, F>(&self, call: impl FnOnce(S) -> F) -> Vec<u8>
     where
         T: Serialize,
         F: Future<Output = Result<T, StoreError>>,
@@ -189,57 +194,63 @@
         let result = match self.is_direct() {
             true => self.call_direct(call).await,
             false => Err(StoreError::Unreachable(
-                "this daemon doesn't reach it".to_owned(),
+                "this daemon does not reach the store either".to_owned(),
             )),
         };
         let result = result.map_err(RelayFailure::from);
-        // Own types without maps: they can always be written.
+        // Encoding can't fail: these are own types without maps.
         postcard::to_stdvec(&result).unwrap_or_default()
     }
 
-    /// Makes a call directly, and notes whether the store answers.
+    /// Makes a call directly, and records whether the store answers.
     async fn call_direct<T, F>(&self, call: impl FnOnce(S) -> F) -> Result<T, StoreError>
     where
         F: Future<Output = Result<T, StoreError>>,
     {
-        let asked = self.contact.now();
+        let sent_at = self.contact.now();
         let answer = call(self.direct.clone()).await;
-        self.contact.note_end(asked, &answer);
+        self.contact.note_end(sent_at, &answer);
         answer
     }
 
-    /// Makes a call directly, or by way of another daemon.
-    async fn reach<T, F>(&self, relayed: RelayCall, call: impl FnOnce(S) -> F) -> ReachedCall<T>
+    /// Makes a call directly, and relays it through another daemon if that fails or was
+    /// found to fail a moment ago.
+    async fn call_or_relay<T, F>(
+        &self,
+        relayed: RelayCall,
+        call: impl FnOnce(S) -> F,
+    ) -> CallOutcome<T>
     where
         T: DeserializeOwned,
         F: Future<Output = Result<T, StoreError>>,
     {
-        let mut failure = StoreError::Unreachable("the store was away a moment ago".to_owned());
+        let mut failure =
+            StoreError::Unreachable("the store did not answer a moment ago".to_owned());
         if self.is_direct() {
             match self.call_direct(call).await {
                 Err(error @ (StoreError::Unreachable(_) | StoreError::AnswerLost(_))) => {
                     failure = error;
                     self.note_failed();
                 }
-                decided => return ReachedCall::new(decided),
+                answered => return CallOutcome::new(answered),
             }
         }
         let peer = self.lock().peers.choose(&mut rand::rng()).copied();
         let Some(peer) = peer else {
-            return ReachedCall::new(Err(failure));
+            return CallOutcome::new(Err(failure));
         };
-        match self.ask(peer, &relayed).await {
-            // What was lost on the first way may have been done, whatever the
-            // second way says.
-            Err(StoreError::Unreachable(_)) => ReachedCall::new(Err(failure)),
-            answer => ReachedCall {
+        match self.request_relay(peer, &relayed).await {
+            // A direct call whose answer was lost may have taken effect, so its own error is
+            // returned and not that of the relay.
+            Err(StoreError::Unreachable(_)) => CallOutcome::new(Err(failure)),
+            answer => CallOutcome {
                 answer,
-                lost: matches!(failure, StoreError::AnswerLost(_)).then_some(failure),
+                lost_direct: matches!(failure, StoreError::AnswerLost(_)).then_some(failure),
             },
         }
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn request_relay<T: DeserializeOwned>(
         &self,
         peer: SocketAddr,
         call: &RelayCall,
@@ -250,7 +261,7 @@
             .map_err(|error| StoreError::Unreachable(error.to_string()))?;
         let answer = self
             .client
-            .exchange(request, RELAY_TIMEOUT, ANSWER_LIMIT)
+            .exchange(request, RELAY_TIMEOUT, MAX_ANSWER_BYTES)
             .await;
         let answer = answer.map_err(StoreError::from)?;
         let result: Result<T, RelayFailure> = postcard::from_bytes(answer.body())
@@ -259,7 +270,8 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, RelayState> {
-        // Nothing under this lock can be left half done.
+        // No update under this lock can be interrupted halfway, so that a poisoned state
+        // is still consistent.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -269,19 +281,19 @@
 
     async fn range(&self, range: KeyRange, limit: usize) -> Result<RangeAnswer, StoreError> {
         let relayed = RelayCall::Range(range.clone(), limit);
-        self.reach(relayed, |it| async move { it.range(range, limit).await })
+        self.call_or_relay(relayed, |it| async move { it.range(range, limit).await })
             .await
             .answer
     }
 
     async fn transact(&self, batch: WriteBatch) -> Result<TransactionAnswer, StoreError> {
         let relayed = RelayCall::Transact(batch.clone());
-        let reached = self
-            .reach(relayed, |it| async move { it.transact(batch).await })
+        let outcome = self
+            .call_or_relay(relayed, |it| async move { it.transact(batch).await })
             .await;
-        match (reached.answer, reached.lost) {
-            // It may be refused for what it has done itself on the first way. A writer
-            // that took this for the last word would give up a write that is in force.
+        match (outcome.answer, outcome.lost_direct) {
+            // The relayed call may be refused because the direct one has taken effect.
+            // A writer that took this as final would give up a write that is in force.
             (Ok(TransactionAnswer::Refused { .. }) | Err(StoreError::Rejected(_)), Some(lost)) => {
                 Err(lost)
             }
@@ -290,7 +302,7 @@
     }
 
     async fn grant(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
-        self.reach(
+        self.call_or_relay(
             RelayCall::Grant(ttl),
             |it| async move { it.grant(ttl).await },
         )
@@ -299,7 +311,7 @@
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<Duration, StoreError> {
-        self.reach(RelayCall::Renew(lease), |it| async move {
+        self.call_or_relay(RelayCall::Renew(lease), |it| async move {
             it.renew(lease).await
         })
         .await
@@ -307,15 +319,14 @@
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), StoreError> {
-        self.reach(RelayCall::Revoke(lease), |it| async move {
+        self.call_or_relay(RelayCall::Revoke(lease), |it| async move {
             it.revoke(lease).await
         })
         .await
         .answer
     }
 
-    /// Watches aren't relayed: what they would bring comes from other daemons'
-    /// views.
+    /// Watches aren't relayed: other daemons' views have what they would deliver.
     async fn watch(&self, range: KeyRange, from: Revision) -> Result<Self::Watch, StoreError> {
         self.direct.watch(range, from).await
     }
--- a/crates/serving/src/fleet/store_view.rs
+++ b/crates/serving/src/fleet/store_view.rs
@@ -1,14 +1,13 @@
-//! A copy of the keys under one prefix of the store.
+//! A local copy of the keys under one prefix of the store.
 
 use comfreyramp_policy::Timestamp;
 use comfreyramp_store::{KeyValue, Revision, WatchBatch};
 
-/// A copy of the keys under one prefix of the store.
+/// A local copy of the keys under one prefix of the store.
 ///
-/// It only ever moves forward: a list or a batch that is older than what the
-/// copy shows changes nothing. After a store lost its history, or where a peer's
-/// copy stands in for the store, older states would otherwise come back into
-/// force, keys that were withdrawn among them.
+/// Its revision never goes back: a list or a batch that is older than the copy changes
+/// nothing. Otherwise, after the store lost its history, or where a peer's copy replaces
+/// the store, older states would come into force again, withdrawn keys among them.
 #[derive(Clone, Debug, Default)]
 pub struct StoreView {
     /// Sorted by key.
@@ -18,49 +17,49 @@
     confirmed_at: Option<Timestamp>,
 }
 
-/// All keys under a prefix.
+/// All keys under a prefix at one revision.
 #[derive(Clone, Debug, Default)]
 pub struct WholeList {
-    /// The pairs.
+    /// The pairs, in any order.
     pub pairs: Vec<KeyValue>,
-    /// The store's revision that it shows.
+    /// The store's revision at which the list is complete.
     pub revision: Revision,
-    /// The revision of its last change, where a daemon shows its copy: it may know of
-    /// a removal by its revision.
+    /// The revision of the last change, if the list is another daemon's copy. That daemon
+    /// may know the revision of a removal, which the pairs don't show.
     pub changed: Option<Revision>,
 }
 
 impl StoreView {
-    /// The pairs, sorted by key.
+    /// Returns the pairs, sorted by key.
     pub fn pairs(&self) -> &[KeyValue] {
         &self.pairs
     }
 
-    /// One key.
+    /// Returns the pair with this key.
     pub fn get(&self, key: &str) -> Option<&KeyValue> {
-        let place = self
+        let index = self
             .pairs
             .binary_search_by(|it| it.key.as_str().cmp(key))
             .ok()?;
-        Some(&self.pairs[place])
+        Some(&self.pairs[index])
     }
 
-    /// The store's revision that it shows; 0 before anything was read.
+    /// Returns the store's revision up to which the copy is complete; 0 before the first read.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The revision of the last change that it shows.
+    /// Returns the revision of the last change in the copy.
     pub fn changed_revision(&self) -> Revision {
         self.changed_revision
     }
 
-    /// When it was last known to be current.
+    /// Returns when the copy was last known to be current.
     pub fn confirmed_at(&self) -> Option<Timestamp> {
         self.confirmed_at
     }
 
-    /// Takes over a whole list. Returns whether anything changed.
+    /// Replaces all pairs by those of a list. Returns whether anything changed.
     pub fn reset(&mut self, list: WholeList, now: Timestamp) -> bool {
         let WholeList {
             mut pairs,
@@ -73,9 +72,9 @@
         pairs.sort_by(|left, right| left.key.cmp(&right.key));
         let is_changed = self.pairs != pairs || self.confirmed_at.is_none();
         let newest = pairs.iter().map(|it| it.modified).max().unwrap_or_default();
-        // A list names no removal. Were one passed over, the daemons that learn from
-        // this copy would find nothing newer in it, and use a server that is gone.
-        let newest = match self.is_within(&pairs) {
+        // A list doesn't contain removals. Unless one counts as a change, daemons that learn
+        // from this copy find nothing newer in it, and use a server that is gone.
+        let newest = match self.is_contained_in(&pairs) {
             true => newest,
             false => changed.unwrap_or(revision),
         };
@@ -86,13 +85,13 @@
         is_changed
     }
 
-    /// Whether a list, sorted by key, has all keys of this copy.
-    fn is_within(&self, listed: &[KeyValue]) -> bool {
+    /// Returns whether a list, sorted by key, has all keys of this copy.
+    fn is_contained_in(&self, listed: &[KeyValue]) -> bool {
         let has = |key: &str| listed.binary_search_by(|it| it.key.as_str().cmp(key));
         self.pairs.iter().all(|it| has(&it.key).is_ok())
     }
 
-    /// Takes over changes. Returns whether anything changed.
+    /// Applies a batch of changes. Returns whether anything changed.
     pub fn apply(&mut self, batch: WatchBatch, now: Timestamp) -> bool {
         self.confirmed_at = Some(now);
         if batch.revision < self.revision {
@@ -102,15 +101,15 @@
         let mut is_changed = false;
         for pair in batch.written {
             match self.pairs.binary_search_by(|it| it.key.cmp(&pair.key)) {
-                Ok(place) if self.pairs[place].modified >= pair.modified => continue,
-                Ok(place) => self.pairs[place] = pair,
-                Err(place) => self.pairs.insert(place, pair),
+                Ok(index) if self.pairs[index].modified >= pair.modified => continue,
+                Ok(index) => self.pairs[index] = pair,
+                Err(index) => self.pairs.insert(index, pair),
             }
             is_changed = true;
         }
         for key in batch.deleted {
-            if let Ok(place) = self.pairs.binary_search_by(|it| it.key.cmp(&key)) {
-                self.pairs.remove(place);
+            if let Ok(index) = self.pairs.binary_search_by(|it| it.key.cmp(&key)) {
+                self.pairs.remove(index);
                 is_changed = true;
             }
         }
--- a/crates/serving/src/fleet/view_desk.rs
+++ b/crates/serving/src/fleet/view_desk.rs
@@ -1,4 +1,4 @@
-//! This daemon's views as others are shown them.
+//! Sends this daemon's views to other daemons.
 
 use std::io::Read as _;
 
@@ -11,23 +11,23 @@
 use super::{StoreView, ViewRevisions, WholeList};
 use crate::node::StoreViews;
 
-/// Settings with thousands of routes shrink to a seventh. Stronger compression gains
-/// little, and a small VM has a tenth of a core.
-const COMPRESSION: i32 = 1;
-/// The longest view that is read.
-const VIEW_LIMIT: u64 = 16 << 20;
+/// Zstandard level. Settings with thousands of routes shrink to a seventh. A higher level
+/// gains little, and a small VM has a tenth of a core.
+const COMPRESSION_LEVEL: i32 = 1;
+/// Maximum size in bytes of a decompressed view.
+const MAX_VIEW_BYTES: u64 = 16 << 20;
 
-/// A daemon's copy of one prefix, as it shows it to others.
+/// A daemon's copy of one prefix of the store, as it is sent to other daemons.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct ShownView {
-    /// The store's revision that it shows.
+pub(super) struct SentView {
+    /// The store's revision up to which the copy is complete.
     pub(super) revision: i64,
-    /// The revision of its last change.
+    /// The revision of the last change in the copy.
     changed: i64,
     pairs: Vec<ViewPair>,
 }
 
-/// A pair of the store, as daemons pass it on.
+/// A key-value pair of the store, as it is sent to other daemons.
 #[serde_as]
 #[derive(Debug, Serialize, Deserialize)]
 struct ViewPair {
@@ -38,53 +38,54 @@
     created: i64,
 }
 
-/// A view, compressed.
+/// A compressed [`SentView`].
 #[serde_as]
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct PackedView(#[serde_as(as = "serde_with::Bytes")] Vec<u8>);
 
-/// The views that the one who asks doesn't have as new.
+/// The views that are newer than those of the requesting daemon.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(super) struct ShownViews {
+pub(super) struct SentViews {
     pub(super) operators: Option<PackedView>,
     pub(super) servers: Option<PackedView>,
     pub(super) members: Option<PackedView>,
-    /// Whether one was left out, as it is being sent to others.
+    /// Whether a view was left out because it is being sent to other daemons.
     pub(super) is_busy: bool,
 }
 
-/// This daemon's views as others are shown them.
+/// Encodes this daemon's views for other daemons, and keeps the encoded copies.
 ///
-/// After a change a whole zone asks for the same. To write settings with thousands of
-/// routes anew for each of them would take a small VM's processor from its callers.
+/// After a change a whole zone requests the same views. Encoding settings with thousands of
+/// routes for each request would take a small VM's CPU time from its callers.
 #[derive(Debug, Default)]
 pub struct ViewDesk {
-    operators: Option<DeskCopy>,
-    servers: Option<DeskCopy>,
-    members: Option<DeskCopy>,
+    operators: Option<CachedView>,
+    servers: Option<CachedView>,
+    members: Option<CachedView>,
     budget: ShowBudget,
 }
 
 #[derive(Debug)]
-struct DeskCopy {
+struct CachedView {
     revision: i64,
     changed: i64,
     packed: PackedView,
 }
 
 impl ViewDesk {
-    /// What the views have beyond those that another daemon knows.
+    /// Returns, encoded, the views that are newer than the revisions `known` of another
+    /// daemon, as far as the budget admits them.
     ///
-    /// While a fleet restarts the list of daemons changes dozens of times a second. To
-    /// send all views each time, with settings of hundreds of customers and routes,
-    /// would keep the daemons that watch the store from their callers.
-    pub(super) fn show(
+    /// While a fleet restarts, the list of daemons changes dozens of times a second. If all
+    /// views were sent each time, with settings of hundreds of customers and routes, the
+    /// daemons that watch the store would have no time left for their callers.
+    pub(super) fn encode_newer(
         &mut self,
         views: &StoreViews,
         known: ViewRevisions,
         now: Timestamp,
     ) -> Bytes {
-        let mut shown = ShownViews::default();
+        let mut sent = SentViews::default();
         let budget = &mut self.budget;
         let ViewDesk {
             operators,
@@ -92,46 +93,46 @@
             members,
             ..
         } = self;
-        for (copy, view, known, place) in [
-            (members, &views.members, known.members, &mut shown.members),
-            (servers, &views.servers, known.servers, &mut shown.servers),
+        for (copy, view, known, slot) in [
+            (members, &views.members, known.members, &mut sent.members),
+            (servers, &views.servers, known.servers, &mut sent.servers),
             (
                 operators,
                 &views.operators,
                 known.operators,
-                &mut shown.operators,
+                &mut sent.operators,
             ),
         ] {
             if view.changed_revision() <= known {
                 continue;
             }
-            let packed = DeskCopy::renewed(copy, view);
+            let packed = CachedView::refreshed(copy, view);
             match budget.admits(packed.0.len(), now) {
-                true => *place = Some(packed.clone()),
-                false => shown.is_busy = true,
+                true => *slot = Some(packed.clone()),
+                false => sent.is_busy = true,
             }
         }
-        // Own types without maps: they can always be written.
-        postcard::to_stdvec(&shown).unwrap_or_default().into()
+        // Encoding can't fail: these are own types without maps.
+        postcard::to_stdvec(&sent).unwrap_or_default().into()
     }
 }
 
-impl DeskCopy {
-    /// The copy of a view, made anew if the view is another by now.
-    fn renewed<'a>(copy: &'a mut Option<DeskCopy>, view: &StoreView) -> &'a PackedView {
+impl CachedView {
+    /// Returns the encoded copy of a view, and encodes it again if the view has changed.
+    fn refreshed<'a>(copy: &'a mut Option<CachedView>, view: &StoreView) -> &'a PackedView {
         let (revision, changed) = (view.revision(), view.changed_revision());
-        let is_same = |it: &DeskCopy| it.revision == revision && it.changed == changed;
+        let is_same = |it: &CachedView| it.revision == revision && it.changed == changed;
         let same = copy.take().filter(is_same);
-        let made = same.unwrap_or_else(|| DeskCopy {
+        let current = same.unwrap_or_else(|| CachedView {
             revision,
             changed,
-            packed: ShownView::from(view).packed(),
+            packed: SentView::from(view).pack(),
         });
-        &copy.insert(made).packed
+        &copy.insert(current).packed
     }
 }
 
-impl From<&StoreView> for ShownView {
+impl From<&StoreView> for SentView {
     fn from(view: &StoreView) -> Self {
         let pairs = view.pairs().iter().map(|it| ViewPair {
             key: it.key.clone(),
@@ -139,7 +140,7 @@
             modified: it.modified,
             created: it.created,
         });
-        ShownView {
+        SentView {
             revision: view.revision(),
             changed: view.changed_revision(),
             pairs: pairs.collect(),
@@ -147,21 +148,21 @@
     }
 }
 
-impl ShownView {
-    fn packed(&self) -> PackedView {
+impl SentView {
+    fn pack(&self) -> PackedView {
         let plain = postcard::to_stdvec(self).unwrap_or_default();
-        match zstd::encode_all(plain.as_slice(), COMPRESSION) {
+        match zstd::encode_all(plain.as_slice(), COMPRESSION_LEVEL) {
             Ok(packed) => PackedView(packed),
             Err(error) => {
-                log::error!(error:% = error; "peers: a view can't be compressed");
+                log::error!(error:% = error; "peers: failed to compress a view");
                 PackedView(Vec::new())
             }
         }
     }
 }
 
-impl From<ShownView> for WholeList {
-    fn from(view: ShownView) -> Self {
+impl From<SentView> for WholeList {
+    fn from(view: SentView) -> Self {
         let pairs = view.pairs.into_iter().map(|it| KeyValue {
             key: it.key,
             value: it.value.into(),
@@ -178,11 +179,11 @@
 }
 
 impl PackedView {
-    /// Reads the view.
-    pub(super) fn unpack(&self) -> anyhow::Result<ShownView> {
+    /// Decompresses and decodes the view. Returns an error if the data isn't a valid view.
+    pub(super) fn unpack(&self) -> anyhow::Result<SentView> {
         let mut plain = Vec::new();
         let decoder = zstd::stream::read::Decoder::new(self.0.as_slice())?;
-        decoder.take(VIEW_LIMIT).read_to_end(&mut plain)?;
+        decoder.take(MAX_VIEW_BYTES).read_to_end(&mut plain)?;
         Ok(postcard::from_bytes(&plain)?)
     }
 }
