--- a/crates/serving/src/fleet/known_member.rs
+++ b/crates/serving/src/fleet/known_member.rs
@@ -22,8 +22,9 @@
     pub(super) listed_incarnation: Option<u64>,
     /// The incarnations before this one, the latest last.
     pub(super) former_incarnations: Vec<u64>,
+    /// When its last report was received, or else when it was first listed.
     pub(super) last_received_at: Option<Timestamp>,
-    /// The number of this incarnation's last message; 0 before the first.
+    /// The sequence number of this incarnation's last message; 0 before the first.
     pub(super) last_number: u64,
     pub(super) revisions: ViewRevisions,
     /// The progress of lots that it reports, sorted by lot: under heavy load there are
--- a/crates/serving/src/fleet/member_list.rs
+++ b/crates/serving/src/fleet/member_list.rs
@@ -170,8 +170,8 @@
         let member = self.member_entry(&message.from)?;
         let incarnation = message.from.incarnation;
         if member.record.incarnation != incarnation {
-            // A datagram that was long under way describes an incarnation that has ended:
-            // lots that no longer run, and too few results.
+            // A delayed datagram describes an incarnation that has ended: lots that no longer
+            // run, and too few results.
             if member.is_former(incarnation) && member.is_confirmed(timeout, now) {
                 return None;
             }
@@ -287,8 +287,8 @@
         named.map(|it| it.record.address).collect()
     }
 
-    /// Returns the addresses of the daemons that report to reach the store, which can relay
-    /// calls to it.
+    /// Returns the addresses of the daemons that report that they reach the store, and
+    /// so can relay calls to it.
     pub fn store_ways(&self, now: Timestamp) -> Vec<SocketAddr> {
         let is_usable = |it: &&KnownMember| {
             it.reaches_store && !it.is_leaving && it.reported_within(self.reporting_timeout(), now)
--- a/crates/serving/src/fleet/member_lots.rs
+++ b/crates/serving/src/fleet/member_lots.rs
@@ -18,7 +18,7 @@
 /// has expired, or is about to.
 const LOT_HOLD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The last report of a daemon of a lot that it runs or ran.
+/// A daemon's last report about a lot that it runs or ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunnerWord {
     /// The daemon's name.
@@ -68,8 +68,8 @@
         Some(runner.record.address)
     }
 
-    /// Returns the report of the daemon that knows all results of a lot. Reports of a former
-    /// incarnation are gone, since they are dropped together with it.
+    /// Returns the last report of the daemon that knows all results of a lot. Reports of a
+    /// former incarnation are dropped together with it.
     pub fn runner_vouch(&self, lot: &str) -> Option<RunnerVouch> {
         let confirmations = self.members.iter().filter_map(|member| {
             let progress = member.progress_of(lot).filter(|it| it.stage.knows_all())?;
@@ -81,7 +81,7 @@
         confirmations.max_by_key(|it| (it.results, it.heard_at))
     }
 
-    /// Returns the report of a lot, if possible that of the daemon that knows all results.
+    /// Returns the last report about a lot, if possible of the daemon that knows all results.
     pub fn runner_word(&self, lot: &str, now: Timestamp) -> Option<RunnerWord> {
         let reports = self.members.iter().filter_map(|member| {
             let progress = member.progress_of(lot)?;
--- a/crates/serving/src/fleet/membership.rs
+++ b/crates/serving/src/fleet/membership.rs
@@ -41,8 +41,8 @@
 pub async fn keep_membership<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
     while !stop.is_cancelled() {
         let held = hold_registration(&node, &stop).await;
-        // The lease has expired, or is about to be revoked: from now on this daemon
-        // doesn't report that it runs lots by it.
+        // The lease has expired, or is about to be revoked: from now on this daemon no
+        // longer reports lots as held under it.
         node.set_lease(None);
         match held {
             Ok(lease) => return deregister(&node, lease).await,
--- a/crates/serving/src/fleet/peer_door.rs
+++ b/crates/serving/src/fleet/peer_door.rs
@@ -46,7 +46,7 @@
         }
     };
     if !is_view {
-        return node.store.answer(&call).await.map(FrontBody::whole);
+        return node.store.serve_call(&call).await.map(FrontBody::whole);
     }
     match postcard::from_bytes(&call) {
         Ok(known) => Response::new(FrontBody::whole(encode_newer_views(&node, known))),
--- a/crates/serving/src/fleet/store_relay.rs
+++ b/crates/serving/src/fleet/store_relay.rs
@@ -36,7 +36,7 @@
 /// A store call that one daemon makes for another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum RelayCall {
-    /// Reads at most so many pairs of a range, or all with 0.
+    /// Reads a range of keys; the number limits the pairs, 0 stands for all.
     Range(KeyRange, usize),
     /// Runs a transaction.
     Transact(WriteBatch),
@@ -163,7 +163,7 @@
 
     /// Makes an encoded call for another daemon and returns its encoded result. A call that
     /// can't be decoded gets a 400 response.
-    pub async fn answer(&self, call: &[u8]) -> Response<Bytes> {
+    pub async fn serve_call(&self, call: &[u8]) -> Response<Bytes> {
         let Ok(call) = postcard::from_bytes::<RelayCall>(call) else {
             let mut answer = Response::new(Bytes::new());
             *answer.status_mut() = StatusCode::BAD_REQUEST;
