--- a/crates/serving/src/dialect.rs
+++ b/crates/serving/src/dialect.rs
@@ -66,8 +66,8 @@
 pub trait ServerDialect {
     /// Returns the headers with which a caller's request is forwarded: the caller's
     /// headers without those that belong to one connection and those that only the
-    /// fleet may set, and the headers that `ticket` asks for.
-    fn forwarded(headers: &HeaderMap, ticket: &SendTicket<'_>) -> HeaderMap;
+    /// fleet may set, and the headers that carry `metadata`.
+    fn forwarded(headers: &HeaderMap, metadata: &SendTicket<'_>) -> HeaderMap;
 
     /// Builds the request that runs an item of a lot.
     ///
@@ -77,7 +77,7 @@
     fn item_request(
         item: &LotItem,
         host: &str,
-        ticket: &SendTicket<'_>,
+        metadata: &SendTicket<'_>,
     ) -> Result<Request<Bytes>, http::Error>;
 
     /// Parses the head of an answer.
--- a/crates/serving/src/node/admission.rs
+++ b/crates/serving/src/node/admission.rs
@@ -92,7 +92,7 @@
     }
 
     /// Records that a server broke off while it ran a request.
-    pub fn note_crash(&self, fingerprint: u64) {
+    pub fn record_crash(&self, fingerprint: u64) {
         let now = self.clock.now();
         self.suspects.borrow_mut().record_crash(fingerprint, now);
     }
--- a/crates/serving/src/node/directory.rs
+++ b/crates/serving/src/node/directory.rs
@@ -31,7 +31,7 @@
     }
 
     /// Applies changes of the servers' entries.
-    pub fn change_servers(&self, batch: WatchBatch) {
+    pub fn apply_server_changes(&self, batch: WatchBatch) {
         let now = self.clock.now();
         let before = self.listings();
         let deleted = batch.deleted.len();
--- a/crates/serving/src/node/lot_reports.rs
+++ b/crates/serving/src/node/lot_reports.rs
@@ -132,7 +132,8 @@
         self.members.borrow().regained_at()
     }
 
-    /// Whether this daemon is the one that is responsible for a lot by its id.
+    /// Whether this daemon is the home daemon of a lot, which follows from the lot's id and
+    /// the names of the daemons that run lots.
     pub fn is_own_lot(&self, lot: &str) -> bool {
         let now = self.clock.now();
         self.members
--- a/crates/serving/src/node/mod.rs
+++ b/crates/serving/src/node/mod.rs
@@ -223,7 +223,7 @@
     }
 
     /// Applies changes of the operators' keys.
-    pub fn change_operators(&self, batch: WatchBatch) {
+    pub fn apply_operator_changes(&self, batch: WatchBatch) {
         let now = self.clock.now();
         if self.views.borrow_mut().operators.apply(batch, now) {
             self.apply_settings();
--- a/crates/serving/src/node/peers.rs
+++ b/crates/serving/src/node/peers.rs
@@ -21,7 +21,7 @@
     }
 
     /// Applies changes of the daemons' entries.
-    pub fn change_members(&self, batch: WatchBatch) {
+    pub fn apply_member_changes(&self, batch: WatchBatch) {
         let now = self.clock.now();
         if self.views.borrow_mut().members.apply(batch, now) {
             self.apply_members();
--- a/crates/serving/src/node/store_health.rs
+++ b/crates/serving/src/node/store_health.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the time since the store last answered any call of this daemon.
-    pub fn store_answered_ago(&self) -> Option<Duration> {
+    pub fn time_since_store_answer(&self) -> Option<Duration> {
         let answered_at = self.store_health.get().answered_at?;
         Some(self.clock.now().since(answered_at))
     }
--- a/crates/serving/src/path/live_request.rs
+++ b/crates/serving/src/path/live_request.rs
@@ -33,15 +33,15 @@
 /// The fraction of the objective that may pass before a request starts on a server. The
 /// rest is for its first token.
 const START_FRACTION: f64 = 0.7;
-/// A caller that waits for less than this fraction of the route's timeout has been refused
-/// before and retries. Such a request is served late rather than refused again.
+/// A request whose caller waits for less than this fraction of the route's timeout counts as
+/// a retry: the caller has been refused before. It is served late rather than refused again.
 const RETRY_TIMEOUT_FRACTION: f64 = 0.95;
 /// The fraction of the remaining time for which a retried request may wait for a slot.
 const RETRY_WAIT_FRACTION: f64 = 0.4;
-/// If another server may take over, the wait for a server's first bytes is limited to this
-/// many times the objective.
+/// If another server may take over, a server that has sent nothing for this many times the
+/// objective is given up.
 const FIRST_BYTE_OBJECTIVES: u32 = 3;
-/// The minimum of the time limit for a server's first bytes.
+/// The minimum time after which a server that has sent nothing is given up.
 const MIN_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(800);
 /// The maximum size of an answer in bytes. Answers other than streams are read completely
 /// before any of it is passed on, so that an incomplete answer can be requested from
@@ -253,7 +253,7 @@
         let timeout = self.first_byte_timeout(now);
         let result = open_answer(guard, request, &self.request_id, timeout).await;
         if matches!(result, Err(AttemptFailure::Broken)) {
-            self.node.note_crash(self.fingerprint);
+            self.node.record_crash(self.fingerprint);
         }
         if !matches!(&result, Err(failure) if !failure.may_have_run()) {
             self.runs += 1;
@@ -329,7 +329,7 @@
         now: Timestamp,
     ) -> Request<Full<Bytes>> {
         let servers = self.node.servers.borrow();
-        let ticket = SendTicket {
+        let metadata = SendTicket {
             server: &servers.listing(server).name,
             customer: self.customer.as_ref().map(|it| it.settings.name.as_str()),
             time_left: self.deadline.since(now),
@@ -339,7 +339,7 @@
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = origin_form(&self.head.uri);
         *request.headers_mut() =
-            <D::Servers as ServerDialect>::forwarded(&self.head.headers, &ticket);
+            <D::Servers as ServerDialect>::forwarded(&self.head.headers, &metadata);
         request
     }
 
--- a/crates/serving/src/path/server_attempt.rs
+++ b/crates/serving/src/path/server_attempt.rs
@@ -186,7 +186,7 @@
     request_id: &str,
 ) -> Result<OpenAnswer<D>, AttemptFailure> {
     let node = guard.node.clone();
-    let address = server_address(&node, guard.server)?;
+    let address = address_of(&node, guard.server)?;
     let now = node.clock.now();
     let max_idle = match guard.kind {
         WorkKind::Live => MAX_IDLE,
@@ -237,10 +237,7 @@
     })
 }
 
-fn server_address<D: Dialect>(
-    node: &Node<D>,
-    server: ServerId,
-) -> Result<SocketAddr, AttemptFailure> {
+fn address_of<D: Dialect>(node: &Node<D>, server: ServerId) -> Result<SocketAddr, AttemptFailure> {
     let servers = node.servers.borrow();
     let address = servers.listing(server).address.parse();
     address.map_err(|_| AttemptFailure::NotSent)
--- a/crates/serving/src/run.rs
+++ b/crates/serving/src/run.rs
@@ -232,20 +232,20 @@
     let operators = <D::Records as FleetRecords>::OPERATORS;
     spawn_store_follower(node, operators, stop, move |update| match update {
         FollowNews::Whole(list) => shared.take_operators(list),
-        FollowNews::Changed(batch) => shared.change_operators(batch),
+        FollowNews::Changed(batch) => shared.apply_operator_changes(batch),
         FollowNews::Lost { .. } => {}
     });
     let shared = node.clone();
     let servers = <D::Records as FleetRecords>::SERVERS;
     spawn_store_follower(node, servers, stop, move |update| match update {
         FollowNews::Whole(list) => shared.take_servers(list),
-        FollowNews::Changed(batch) => shared.change_servers(batch),
+        FollowNews::Changed(batch) => shared.apply_server_changes(batch),
         FollowNews::Lost { .. } => {}
     });
     let shared = node.clone();
     spawn_store_follower(node, MEMBERS, stop, move |update| match update {
         FollowNews::Whole(list) => shared.take_members(list),
-        FollowNews::Changed(batch) => shared.change_members(batch),
+        FollowNews::Changed(batch) => shared.apply_member_changes(batch),
         FollowNews::Lost { .. } => {}
     });
     tokio::task::spawn_local(listen_to_peers(node.clone(), socket.clone(), stop.clone()));
@@ -282,7 +282,7 @@
                 if !is_lost {
                     log::warn!(
                         prefix = prefix, error:% = error, waited_ms = waited.as_millis() as u64,
-                        answered_ms_ago = shared.store_answered_ago().map(|it| it.as_millis() as u64);
+                        answered_ms_ago = shared.time_since_store_answer().map(|it| it.as_millis() as u64);
                         "store: lost"
                     );
                 }
--- a/crates/serving/src/settings.rs
+++ b/crates/serving/src/settings.rs
@@ -117,7 +117,8 @@
             ));
         }
         if self.stop_grace_s < MIN_STOP_GRACE {
-            let text = format!("is less than {MIN_STOP_GRACE:?}, too short for open requests to end");
+            let text =
+                format!("is less than {MIN_STOP_GRACE:?}, too short for open requests to end");
             findings.push(finding("stop_grace_s", &text));
         }
         if !["error", "warn", "info", "debug"].contains(&self.log_level.as_str()) {
