--- a/crates/serving/src/node/admission.rs
+++ b/crates/serving/src/node/admission.rs
@@ -9,8 +9,8 @@
     model::{Refusal, RefusalCause},
 };
 
-/// How long a request waits for peers' reports that decide whether it is admitted: first
-/// for those nearby, then for all others.
+/// How long a request waits for peers' reports that decide whether it is admitted. The first
+/// wait suffices for the reports of nearby peers, both together for those of all peers.
 const REPORT_WAITS: [Duration; 2] = [Duration::from_millis(5), Duration::from_millis(10)];
 /// The minimum interval between requests for reports, however many callers' requests wait.
 /// The usage of a peer that answered stays confirmed for about as long, and a peer that
--- a/crates/serving/src/path/answer_body.rs
+++ b/crates/serving/src/path/answer_body.rs
@@ -13,7 +13,7 @@
 
 /// The reason why an answer to a caller is broken off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FrontBodyError {
+pub enum AnswerBodyError {
     /// The server broke off, and no other server can resume the answer.
     #[error("the server broke off its answer")]
     ServerBrokeOff,
@@ -26,34 +26,34 @@
 #[derive(Debug)]
 pub enum FrontBody<D: Dialect> {
     /// The whole body, until it is sent; `None` if it is empty or has been sent.
-    Whole(Option<Bytes>),
+    Buffered(Option<Bytes>),
     /// A stream that is relayed as it arrives.
-    Relayed(Box<StreamRelay<D>>),
+    Streaming(Box<StreamRelay<D>>),
 }
 
 impl<D: Dialect> FrontBody<D> {
     /// Returns an empty body.
     pub fn empty() -> Self {
-        FrontBody::Whole(None)
+        FrontBody::Buffered(None)
     }
 
     /// Returns a body that consists of `bytes`.
     pub fn whole(bytes: Bytes) -> Self {
-        FrontBody::Whole((!bytes.is_empty()).then_some(bytes))
+        FrontBody::Buffered((!bytes.is_empty()).then_some(bytes))
     }
 }
 
 impl<D: Dialect> Body for FrontBody<D> {
     type Data = Bytes;
-    type Error = FrontBodyError;
+    type Error = AnswerBodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, FrontBodyError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBodyError>>> {
         match self.get_mut() {
-            FrontBody::Whole(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
-            FrontBody::Relayed(relay) => {
+            FrontBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
+            FrontBody::Streaming(relay) => {
                 let chunk = relay.poll_chunk(context);
                 chunk.map(|it| it.map(|it| it.map(Frame::data)))
             }
@@ -61,15 +61,15 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, FrontBody::Whole(None))
+        matches!(self, FrontBody::Buffered(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            FrontBody::Whole(bytes) => {
+            FrontBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |it| it.len() as u64))
             }
-            FrontBody::Relayed(_) => SizeHint::default(),
+            FrontBody::Streaming(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/serving/src/path/connection_loop.rs
+++ b/crates/serving/src/path/connection_loop.rs
@@ -31,7 +31,8 @@
     pub closed: CancellationToken,
 }
 
-/// The minimum size of a connection's read buffer; hyper accepts no smaller one.
+/// The minimum of the limit on a connection's read buffer, since hyper requires a certain
+/// size.
 const MIN_BUFFER_BYTES: usize = 16 << 10;
 
 /// Accepts connections until `limits.closed` is cancelled, then waits until the open ones
--- a/crates/serving/src/path/live_request.rs
+++ b/crates/serving/src/path/live_request.rs
@@ -384,7 +384,7 @@
             .metrics
             .first_byte(self.customer_name(), "stream", span);
         let relay = StreamRelay::new(self, open);
-        let mut answer = Response::new(FrontBody::Relayed(Box::new(relay)));
+        let mut answer = Response::new(FrontBody::Streaming(Box::new(relay)));
         *answer.status_mut() = status;
         *answer.headers_mut() = headers;
         answer
--- a/crates/serving/src/path/mod.rs
+++ b/crates/serving/src/path/mod.rs
@@ -8,7 +8,7 @@
 mod server_socket;
 mod stream_relay;
 
-pub use answer_body::{FrontBody, FrontBodyError};
+pub use answer_body::{AnswerBodyError, FrontBody};
 pub use connection_loop::{ConnectionLimits, serve_connections};
 pub use connection_pool::{ConnectionPool, MAX_IDLE, SendFailure, ServerConnection};
 pub use live_request::answer_caller;
--- a/crates/serving/src/path/server_socket.rs
+++ b/crates/serving/src/path/server_socket.rs
@@ -41,9 +41,9 @@
 /// After an ordinary close, the kernel keeps sending the bytes that the server hasn't
 /// acknowledged. Behind a network partition these may be a whole request, which reaches the
 /// server once the partition heals, seconds after the request was abandoned. The server
-/// would then start an item of a lot that its customer has ended meanwhile, and break off
-/// at the first event. If a request is still open, the socket is therefore closed by a
-/// reset, which discards undelivered bytes.
+/// would then start an item of a lot that its customer has ended meanwhile, and the run
+/// would only be cut off at its first event. If a request is still open, the socket is
+/// therefore closed by a reset, which discards undelivered bytes.
 #[derive(Debug)]
 pub(super) struct ServerSocket {
     stream: TcpStream,
--- a/crates/serving/src/path/stream_relay.rs
+++ b/crates/serving/src/path/stream_relay.rs
@@ -14,7 +14,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::{
-    AttemptGuard, OpenAnswer, ServerConnection, answer_body::FrontBodyError,
+    AttemptGuard, OpenAnswer, ServerConnection, answer_body::AnswerBodyError,
     live_request::LiveRequest, server_attempt::AttemptFailure,
 };
 use crate::{
@@ -64,7 +64,7 @@
 }
 
 type Resumed<D> = Option<Box<ReadingStream<D>>>;
-type Chunk = Option<Result<Bytes, FrontBodyError>>;
+type Chunk = Option<Result<Bytes, AnswerBodyError>>;
 
 /// The result of reading from the server's connection.
 enum ReadStep {
@@ -93,7 +93,7 @@
                     .record_end("stream timed out", StatusCode::GATEWAY_TIMEOUT);
             }
             self.state = RelayState::Ended;
-            return Poll::Ready(Some(Err(FrontBodyError::TimedOut)));
+            return Poll::Ready(Some(Err(AnswerBodyError::TimedOut)));
         }
         chunk
     }
@@ -107,7 +107,7 @@
                     let resumed = ready!(Pin::new(resuming).poll(context));
                     let Ok(Some(reading)) = resumed else {
                         self.state = RelayState::Ended;
-                        return Poll::Ready(Some(Err(FrontBodyError::ServerBrokeOff)));
+                        return Poll::Ready(Some(Err(AnswerBodyError::ServerBrokeOff)));
                     };
                     self.state = RelayState::Reading(reading);
                     continue;
@@ -122,7 +122,7 @@
                 }
                 ReadStep::Broken => {
                     if !self.resume() {
-                        return Poll::Ready(Some(Err(FrontBodyError::ServerBrokeOff)));
+                        return Poll::Ready(Some(Err(AnswerBodyError::ServerBrokeOff)));
                     }
                 }
             }
--- a/crates/serving/src/run.rs
+++ b/crates/serving/src/run.rs
@@ -260,7 +260,7 @@
     node: &Rc<Node<D>>,
     prefix: &'static str,
     stop: &CancellationToken,
-    mut take: impl FnMut(FollowNews) + 'static,
+    mut apply: impl FnMut(FollowNews) + 'static,
 ) {
     let shared = node.clone();
     let mut is_lost = false;
@@ -296,7 +296,7 @@
                 is_lost = false;
             }
         }
-        take(update);
+        apply(update);
         shared.note_lag();
     };
     let watching_node = node.clone();
