--- a/crates/serving/src/path/mod.rs
+++ b/crates/serving/src/path/mod.rs
@@ -1,15 +1,15 @@
 //! The request path: from a caller's connection to a backend server and back.
 
-mod answer_body;
 mod connection_loop;
 mod connection_pool;
+mod front_body;
 mod live_request;
 mod server_attempt;
 mod server_socket;
 mod stream_relay;
 
-pub use answer_body::{AnswerBodyError, FrontBody};
 pub use connection_loop::{ConnectionLimits, serve_connections};
 pub use connection_pool::{ConnectionPool, MAX_IDLE, SendFailure, ServerConnection};
+pub use front_body::{AnswerBodyError, FrontBody};
 pub use live_request::answer_caller;
 pub use server_attempt::{AttemptFailure, AttemptGuard, OpenAnswer, open_answer};
--- a/crates/serving/src/path/stream_relay.rs
+++ b/crates/serving/src/path/stream_relay.rs
@@ -14,7 +14,7 @@
 use tokio_util::task::AbortOnDropHandle;
 
 use super::{
-    AttemptGuard, OpenAnswer, ServerConnection, answer_body::AnswerBodyError,
+    AttemptGuard, OpenAnswer, ServerConnection, front_body::AnswerBodyError,
     live_request::LiveRequest, server_attempt::AttemptFailure,
 };
 use crate::{
