--- a/crates/serving/src/path/front_body.rs
+++ b/crates/serving/src/path/front_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer.
+//! The body of an answer to a caller.
 
 use std::{
     pin::Pin,
@@ -11,65 +11,65 @@
 use super::stream_relay::StreamRelay;
 use crate::dialect::Dialect;
 
-/// Why an answer is broken off.
+/// The reason why an answer to a caller is broken off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FrontBodyError {
-    /// The server broke off, and no other can go on.
-    #[error("the server broke off")]
-    ServerBroke,
-    /// The time for the answer is up.
-    #[error("the time is up")]
+pub enum AnswerBodyError {
+    /// The server broke off, and no other server can resume the answer.
+    #[error("the server broke off its answer")]
+    ServerBrokeOff,
+    /// The request's deadline has passed.
+    #[error("the request's deadline has passed")]
     TimedOut,
 }
 
-/// The body of an answer: here as a whole, or passed on as it arrives.
+/// The body of an answer to a caller: buffered, or relayed as it arrives from a server.
 #[derive(Debug)]
 pub enum FrontBody<D: Dialect> {
-    /// All of it is here.
-    Whole(Option<Bytes>),
-    /// It is passed on as it arrives.
-    Relayed(Box<StreamRelay<D>>),
+    /// The whole body, until it is sent; `None` if it is empty or has been sent.
+    Buffered(Option<Bytes>),
+    /// A stream that is relayed as it arrives.
+    Streaming(Box<StreamRelay<D>>),
 }
 
 impl<D: Dialect> FrontBody<D> {
-    /// A body without a byte.
+    /// Returns an empty body.
     pub fn empty() -> Self {
-        FrontBody::Whole(None)
+        FrontBody::Buffered(None)
     }
 
-    /// A body of these bytes.
+    /// Returns a body that consists of `bytes`.
     pub fn whole(bytes: Bytes) -> Self {
-        FrontBody::Whole((!bytes.is_empty()).then_some(bytes))
+        FrontBody::Buffered((!bytes.is_empty()).then_some(bytes))
     }
 }
 
 impl<D: Dialect> Body for FrontBody<D> {
     type Data = Bytes;
-    type Error = FrontBodyError;
+    type Error = AnswerBodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, FrontBodyError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBodyError>>> {
         match self.get_mut() {
-            FrontBody::Whole(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
-            FrontBody::Relayed(relay) => {
-                let piece = relay.poll_piece(context);
-                piece.map(|it| it.map(|it| it.map(Frame::data)))
+            FrontBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
+            FrontBody::Streaming(relay) => {
+                let chunk = relay.poll_chunk(context);
+                chunk.map(|it| it.map(|it| it.map(Frame::data)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, FrontBody::Whole(None))
+        matches!(self, FrontBody::Buffered(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            FrontBody::Whole(bytes) => {
+            FrontBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |it| it.len() as u64))
             }
-            FrontBody::Relayed(_) => SizeHint::default(),
+            FrontBody::Streaming(_) => SizeHint::default(),
         }
     }
 }
