--- a/crates/serving/src/lots/accept.rs
+++ b/crates/serving/src/lots/accept.rs
@@ -25,23 +25,23 @@
 };
 
 /// The items of one lot at most.
-const MOST_ITEMS: usize = 200;
+const MAX_ITEMS: usize = 200;
 /// When a caller may come back while the store can't be reached.
-const STORE_RETRY: Duration = Duration::from_millis(800);
+const STORE_RETRY_AFTER: Duration = Duration::from_millis(800);
 /// Of the caller's time, the part that may be spent on the store.
-const STORE_PART: f64 = 0.7;
+const STORE_TIME_FRACTION: f64 = 0.7;
 /// How often the store is asked at most for one lot, and the longest pause between. A
 /// daemon that hears no other leaves the store alone for a second after an answer was
 /// lost; with fewer tries it gave up before, and its caller was told that nothing is
 /// known of a lot that was kept.
-const STORE_TRIES: u32 = 16;
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+const MAX_STORE_ATTEMPTS: u32 = 16;
+const MAX_STORE_BACKOFF: Duration = Duration::from_millis(400);
 /// Of the time for the store, the part that is spent waiting for other lots of the
 /// same customer.
-const LEDGER_PART: f64 = 0.5;
+const LEDGER_WAIT_FRACTION: f64 = 0.5;
 /// How often a lot is counted anew at most. Each time another daemon has accepted one
 /// of the same customer.
-const LEDGER_TRIES: u32 = 16;
+const MAX_LEDGER_ATTEMPTS: u32 = 16;
 
 /// A lot that is handed in.
 #[derive(Debug)]
@@ -73,7 +73,7 @@
         log::info!(lot = submission.lot, fault:% = fault; "lots: a lot can't be read");
         RefusalCause::BadRequest
     })?;
-    let is_fit = keys::is_usable_id(&submission.lot) && lot.items.len() <= MOST_ITEMS;
+    let is_fit = keys::is_usable_id(&submission.lot) && lot.items.len() <= MAX_ITEMS;
     if !is_fit || lot.items.is_empty() {
         return Err(RefusalCause::BadRequest.into());
     }
@@ -91,22 +91,22 @@
         return Err(RefusalCause::BadRequest.into());
     };
     let now = node.clock.now();
-    let span = submission.deadline.since(now).mul_f64(STORE_PART);
-    match write_lot(node, submission, lot, tokens, span).await {
-        Ok(AcceptEnd::Written(_) | AcceptEnd::Known) => accepted(),
-        Ok(AcceptEnd::Refused(refusal)) => Err(refusal),
+    let timeout = submission.deadline.since(now).mul_f64(STORE_TIME_FRACTION);
+    match write_lot(node, submission, lot, tokens, timeout).await {
+        Ok(AcceptOutcome::Written(_) | AcceptOutcome::Known) => accepted(),
+        Ok(AcceptOutcome::Refused(refusal)) => Err(refusal),
         Err(StoreError::AnswerLost(_)) => Err(RefusalCause::Undecided.into()),
         Err(error) => {
             node.note_store_trouble();
             log::warn!(lot = id, error:% = error; "lots: not accepted");
-            Err(Refusal::new(RefusalCause::StoreAway).retry_after(STORE_RETRY))
+            Err(Refusal::new(RefusalCause::StoreAway).retry_after(STORE_RETRY_AFTER))
         }
     }
 }
 
 /// How it was decided whether a lot is accepted.
 #[derive(Debug)]
-enum AcceptEnd {
+enum AcceptOutcome {
     /// The store took it now.
     Written(Revision),
     /// The store had it before.
@@ -122,36 +122,38 @@
     submission: Submission,
     lot: NewLot,
     tokens: u64,
-    span: Duration,
-) -> Result<AcceptEnd, StoreError> {
+    timeout: Duration,
+) -> Result<AcceptOutcome, StoreError> {
     let shared = node.clone();
     let writing = tokio::task::spawn_local(async move {
         let batch = lot_batch(&shared, &submission, &lot, tokens);
-        let end = match submission.terms.waiting_tokens {
-            None => write_free(&shared, &submission, batch).await?,
-            Some(bound) => write_bounded(&shared, &submission, batch, tokens, bound, span).await?,
+        let outcome = match submission.terms.waiting_tokens {
+            None => write_unbounded(&shared, &submission, batch).await?,
+            Some(bound) => {
+                write_bounded(&shared, &submission, batch, tokens, bound, timeout).await?
+            }
         };
-        if let AcceptEnd::Written(revision) = end {
+        if let AcceptOutcome::Written(revision) = outcome {
             note_accepted(&shared, &submission, lot.items.len(), revision);
         }
-        Ok(end)
+        Ok(outcome)
     });
     let lost = |text: String| Err(StoreError::AnswerLost(text));
-    match tokio::time::timeout(span, writing).await {
-        Ok(Ok(end)) => end,
+    match tokio::time::timeout(timeout, writing).await {
+        Ok(Ok(outcome)) => outcome,
         Ok(Err(error)) => lost(error.to_string()),
         Err(_) => lost("the caller's time is nearly up".to_owned()),
     }
 }
 
 /// Writes the lot of a customer whose waiting tokens have no bound.
-async fn write_free<D: Dialect>(
+async fn write_unbounded<D: Dialect>(
     node: &Rc<Node<D>>,
     submission: &Submission,
     batch: WriteBatch,
-) -> Result<AcceptEnd, StoreError> {
+) -> Result<AcceptOutcome, StoreError> {
     match write_once(&node.store, batch, retry_pace(node)).await? {
-        OnceOutcome::Written(revision) => Ok(AcceptEnd::Written(revision)),
+        OnceOutcome::Written(revision) => Ok(AcceptOutcome::Written(revision)),
         OnceOutcome::Refused { found, .. } | OnceOutcome::Overtaken { found, .. } => {
             Ok(accepted_before(node, submission, &found))
         }
@@ -166,8 +168,8 @@
     batch: WriteBatch,
     tokens: u64,
     bound: u64,
-    span: Duration,
-) -> Result<AcceptEnd, StoreError> {
+    timeout: Duration,
+) -> Result<AcceptOutcome, StoreError> {
     let customer = &submission.customer.settings.name;
     let terms = LedgerTerms {
         customer,
@@ -181,12 +183,13 @@
     };
     // Behind writes that the store doesn't answer nothing is sent for this one.
     let opening = node.ledgers.open(customer, terms.route);
-    let Ok(mut copy) = tokio::time::timeout(span.mul_f64(LEDGER_PART), opening).await else {
+    let Ok(mut copy) = tokio::time::timeout(timeout.mul_f64(LEDGER_WAIT_FRACTION), opening).await
+    else {
         return Err(StoreError::Unreachable(
             "others wait for the ledger".to_owned(),
         ));
     };
-    for _ in 0..LEDGER_TRIES {
+    for _ in 0..MAX_LEDGER_ATTEMPTS {
         if let Some(refusal) = copy.check(node, &waiting, terms).await? {
             return refuse_bounded(node, submission, refusal, copy.total()).await;
         }
@@ -195,15 +198,15 @@
         let found = match outcome {
             Ok(OnceOutcome::Written(revision)) => {
                 copy.note_written(guarded.ledger, revision);
-                return Ok(AcceptEnd::Written(revision));
+                return Ok(AcceptOutcome::Written(revision));
             }
             Ok(OnceOutcome::Refused { found, .. } | OnceOutcome::Overtaken { found, .. }) => found,
             Err(error) => {
-                copy.note_undecided();
+                copy.invalidate();
                 return Err(error);
             }
         };
-        copy.take(&found);
+        copy.replace(&found);
         if found.iter().any(|it| it.key == keys::head(&submission.lot)) {
             return Ok(accepted_before(node, submission, &found));
         }
@@ -221,10 +224,10 @@
     submission: &Submission,
     refusal: LedgerRefusal,
     waiting: u64,
-) -> Result<AcceptEnd, StoreError> {
+) -> Result<AcceptOutcome, StoreError> {
     let LedgerRefusal::Full(retry_after) = refusal else {
         node.tell_lot(LotNotice::Accepted(submission.lot.clone()));
-        return Ok(AcceptEnd::Known);
+        return Ok(AcceptOutcome::Known);
     };
     let range = KeyRange::One(keys::head(&submission.lot));
     let answer = node.store.range(range, 0).await?;
@@ -242,16 +245,16 @@
         RefusalCause::OverBound.as_str(),
     );
     let refusal = Refusal::new(RefusalCause::OverBound);
-    Ok(AcceptEnd::Refused(match retry_after {
-        Some(span) => refusal.retry_after(span),
+    Ok(AcceptOutcome::Refused(match retry_after {
+        Some(delay) => refusal.retry_after(delay),
         None => refusal,
     }))
 }
 
 fn retry_pace<D: Dialect>(node: &Node<D>) -> RetryPace {
     RetryPace::new(node.incarnation)
-        .attempts(STORE_TRIES)
-        .longest_wait(LONGEST_PAUSE)
+        .attempts(MAX_STORE_ATTEMPTS)
+        .longest_wait(MAX_STORE_BACKOFF)
 }
 
 fn note_accepted<D: Dialect>(
@@ -274,15 +277,15 @@
     node: &Node<D>,
     submission: &Submission,
     found: &[KeyValue],
-) -> AcceptEnd {
+) -> AcceptOutcome {
     let head = found
         .iter()
         .find(|it| it.key == keys::head(&submission.lot));
     let Some(Ok(head)) = head.map(from_json::<LotHead>) else {
-        return AcceptEnd::Refused(RefusalCause::Undecided.into());
+        return AcceptOutcome::Refused(RefusalCause::Undecided.into());
     };
     if head.customer != submission.customer.settings.name {
-        return AcceptEnd::Refused(RefusalCause::BadRequest.into());
+        return AcceptOutcome::Refused(RefusalCause::BadRequest.into());
     }
     log::info!(lot = submission.lot; "lots: accepted before");
     // The daemon that wrote it may have been lost before it could tell, and the lot
@@ -291,7 +294,7 @@
     if found.iter().any(|it| it.key == keys::open(&submission.lot)) {
         node.tell_lot(LotNotice::Accepted(submission.lot.clone()));
     }
-    AcceptEnd::Known
+    AcceptOutcome::Known
 }
 
 fn lot_batch<D: Dialect>(
--- a/crates/serving/src/lots/held_lot.rs
+++ b/crates/serving/src/lots/held_lot.rs
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    item_run::{ItemEnd, ItemProgress},
+    item_run::{ItemOutcome, ItemProgress},
     keys,
     notices::ClaimBasis,
     records::{DamagedRecord, ItemFaults, LotHead, OpenMark, from_json, from_packed},
@@ -20,12 +20,12 @@
 
 /// After this many breaks without progress an item waits longer: it may be the
 /// one that breaks its servers.
-const USUAL_BREAKS: u32 = 3;
+const MAX_QUICK_RETRIES: u32 = 3;
 /// The pause of an item whose server broke off, and of one that keeps breaking.
-const BREAK_PAUSE: Duration = Duration::from_millis(100);
-const LONG_PAUSE: Duration = Duration::from_secs(5);
+const BREAK_BACKOFF: Duration = Duration::from_millis(100);
+const LONG_BREAK_BACKOFF: Duration = Duration::from_secs(5);
 /// The pause of an item that its server failed at, or didn't run.
-const FAULT_PAUSE: Duration = Duration::from_millis(250);
+const FAULT_BACKOFF: Duration = Duration::from_millis(250);
 
 /// Where an item stands.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
     /// It runs.
     Running {
         server: ServerId,
-        begun: Timestamp,
+        started_at: Timestamp,
         stop: CancellationToken,
     },
     /// It has its result.
@@ -66,25 +66,25 @@
     /// The lease that the claim hangs on.
     pub(super) lease: Option<LeaseId>,
     /// When the claim certainly held last.
-    pub(super) certain_at: Timestamp,
+    pub(super) claim_confirmed_at: Timestamp,
     /// Whether a claim under a new lease is on its way.
     pub(super) is_reclaiming: bool,
     /// How many groups of results the store holds.
     pub(super) groups: usize,
     /// How many results the store holds.
-    pub(super) listed: usize,
+    pub(super) stored_results: usize,
     /// Results that aren't written yet.
     pub(super) unwritten: Vec<ItemResult>,
     /// Since when results wait.
     pub(super) unwritten_since: Timestamp,
     /// How many of the unwritten results a write under way holds.
-    pub(super) writing: usize,
+    pub(super) results_in_write: usize,
     /// When the write was begun whose outcome isn't known yet.
-    pub(super) writing_since: Option<Timestamp>,
+    pub(super) write_started_at: Option<Timestamp>,
     /// Whether a write is on its way.
     pub(super) is_writing: bool,
     /// Whether a write of the counts of faults is on its way.
-    pub(super) is_noting: bool,
+    pub(super) is_writing_faults: bool,
     /// It isn't run any further here.
     pub(super) is_closing: bool,
     /// The daemon that is asked to run it then.
@@ -121,9 +121,9 @@
             }
         }
         let items = items.into_iter().map(|item| {
-            let is_listed = results.iter().any(|it| it.id == item.id);
+            let has_result = results.iter().any(|it| it.id == item.id);
             let known = faults.iter().find(|it| it.item == item.id);
-            HeldItem::new(item, is_listed, known.map_or(0, |it| it.faults), now)
+            HeldItem::new(item, has_result, known.map_or(0, |it| it.faults), now)
         });
         Ok(Some(HeldLot {
             id: id.into(),
@@ -132,16 +132,16 @@
             held_since: now,
             claim: None,
             lease: None,
-            certain_at: now,
+            claim_confirmed_at: now,
             is_reclaiming: false,
             groups,
-            listed: results.len(),
+            stored_results: results.len(),
             unwritten: Vec::new(),
             unwritten_since: now,
-            writing: 0,
-            writing_since: None,
+            results_in_write: 0,
+            write_started_at: None,
             is_writing: false,
-            is_noting: false,
+            is_writing_faults: false,
             is_closing: false,
             successor: None,
         }))
@@ -151,7 +151,7 @@
     pub(super) fn basis(&self) -> ClaimBasis {
         ClaimBasis {
             lease: self.lease.filter(|_| self.claim.is_some()),
-            undecided_since: self.writing_since,
+            undecided_since: self.write_started_at,
         }
     }
 
@@ -164,7 +164,7 @@
 
     /// The mark of the lot while items of it wait.
     pub(super) fn open_mark(&self) -> OpenMark {
-        let tokens = self.open().map(|it| it.item.tokens);
+        let tokens = self.unfinished().map(|it| it.item.tokens);
         OpenMark::new(&self.head, tokens.fold(0, u64::saturating_add))
     }
 
@@ -172,7 +172,7 @@
     pub(super) fn open_items(&self) -> u32 {
         match self.is_closing {
             true => 0,
-            false => self.open().count() as u32,
+            false => self.unfinished().count() as u32,
         }
     }
 
@@ -188,12 +188,12 @@
         self.claim.is_some()
             && !self.is_closing
             && !self.awaits_write()
-            && !self.is_noting
+            && !self.is_writing_faults
             && self.unwritten.is_empty()
             && !self.items.iter().any(is_begun)
     }
 
-    fn open(&self) -> impl Iterator<Item = &HeldItem> {
+    fn unfinished(&self) -> impl Iterator<Item = &HeldItem> {
         let items = self.items.iter();
         items.filter(|it| !matches!(it.phase, ItemPhase::Ended))
     }
@@ -208,19 +208,19 @@
             is_due && it.faults == it.recorded_faults
         };
         // One that was begun holds its output in memory until it is done.
-        let begun = |it: &HeldItem| may_run(it) && it.progress.events > 0;
-        let place = self.items.iter().position(begun);
-        place.or_else(|| self.items.iter().position(may_run))
+        let was_begun = |it: &HeldItem| may_run(it) && it.progress.events > 0;
+        let index = self.items.iter().position(was_begun);
+        index.or_else(|| self.items.iter().position(may_run))
     }
 
     /// When an item starts among those that wait. `millis` is the time of day, by
     /// which lots are due on any VM.
-    pub(super) fn start_rank(&self, place: usize, pace: &RunPace, millis: u64) -> StartRank {
+    pub(super) fn start_rank(&self, index: usize, pace: &RunPace, millis: u64) -> StartRank {
         let until = |moment: u64| Duration::from_millis(moment.saturating_sub(millis));
         StartRank::of(ItemTimes {
             due_in: until(self.head.due),
             given_up_in: until(self.head.given_up),
-            needs: pace.rest(self.items[place].progress.events),
+            needs: pace.rest(self.items[index].progress.events),
         })
     }
 
@@ -236,7 +236,7 @@
     /// Runs and writes nothing any further: its customer ended it.
     pub(super) fn end(&mut self) {
         self.is_closing = true;
-        self.unwritten.truncate(self.writing);
+        self.unwritten.truncate(self.results_in_write);
         self.stop_items();
     }
 
@@ -249,50 +249,50 @@
     /// Takes in how a run of an item ended.
     pub(super) fn end_run(
         &mut self,
-        place: usize,
-        end: ItemEnd,
+        index: usize,
+        outcome: ItemOutcome,
         pace: &mut RunPace,
         now: Timestamp,
     ) {
         let attempts = self.head.attempts;
-        let item = &mut self.items[place];
-        if let ItemPhase::Running { begun, .. } = &item.phase {
+        let item = &mut self.items[index];
+        if let ItemPhase::Running { started_at, .. } = &item.phase {
             log::info!(
-                lot:% = self.id, item = item.item.id, end = end.as_str(),
-                events = end.events(), ran_ms = now.since(*begun).as_millis() as u64;
+                lot:% = self.id, item = item.item.id, end = outcome.as_str(),
+                events = outcome.events(), ran_ms = now.since(*started_at).as_millis() as u64;
                 "lots: a run of an item ends"
             );
         }
-        item.note_pace(&end, pace, now);
-        match end {
-            ItemEnd::Done(progress) => {
+        item.note_pace(&outcome, pace, now);
+        match outcome {
+            ItemOutcome::Done(progress) => {
                 let output = String::from_utf8_lossy(&progress.output).into_owned();
-                self.end_item(place, ItemState::Done, output, now);
+                self.end_item(index, ItemState::Done, output, now);
             }
-            ItemEnd::Impossible => self.give_up_item(place, "impossible", now),
-            ItemEnd::Failed => {
+            ItemOutcome::Impossible => self.give_up_item(index, "impossible", now),
+            ItemOutcome::Failed => {
                 item.faults += 1;
                 item.progress = ItemProgress::default();
-                item.phase = ItemPhase::Waiting(now + FAULT_PAUSE);
+                item.phase = ItemPhase::Waiting(now + FAULT_BACKOFF);
                 if item.faults >= attempts {
-                    self.give_up_item(place, "failed too often", now);
+                    self.give_up_item(index, "failed too often", now);
                 }
             }
-            ItemEnd::NotRun(progress) => {
+            ItemOutcome::NotRun(progress) => {
                 item.progress = progress;
-                item.phase = ItemPhase::Waiting(now + FAULT_PAUSE);
+                item.phase = ItemPhase::Waiting(now + FAULT_BACKOFF);
             }
-            ItemEnd::Broken(progress) => {
+            ItemOutcome::Broken(progress) => {
                 let has_progress = progress.events > item.progress.events;
                 item.breaks = if has_progress { 0 } else { item.breaks + 1 };
                 item.progress = progress;
-                let pause = match item.breaks <= USUAL_BREAKS {
-                    true => BREAK_PAUSE,
-                    false => LONG_PAUSE,
+                let pause = match item.breaks <= MAX_QUICK_RETRIES {
+                    true => BREAK_BACKOFF,
+                    false => LONG_BREAK_BACKOFF,
                 };
                 item.phase = ItemPhase::Waiting(now + pause);
             }
-            ItemEnd::Stopped(progress) => {
+            ItemOutcome::Stopped(progress) => {
                 item.progress = progress;
                 item.phase = ItemPhase::Waiting(now);
             }
@@ -301,20 +301,20 @@
 
     /// Gives up what has no result yet, for a cause that the log tells.
     pub(super) fn give_up_waiting(&mut self, cause: &str, now: Timestamp) {
-        for place in 0..self.items.len() {
-            if matches!(self.items[place].phase, ItemPhase::Waiting(_)) {
-                self.give_up_item(place, cause, now);
+        for index in 0..self.items.len() {
+            if matches!(self.items[index].phase, ItemPhase::Waiting(_)) {
+                self.give_up_item(index, cause, now);
             }
         }
     }
 
     /// Gives up what servers failed at too often while other daemons ran it.
     pub(super) fn give_up_failed(&mut self, now: Timestamp) {
-        for place in 0..self.items.len() {
-            let item = &self.items[place];
+        for index in 0..self.items.len() {
+            let item = &self.items[index];
             let is_waiting = matches!(item.phase, ItemPhase::Waiting(_));
             if is_waiting && item.faults >= self.head.attempts {
-                self.give_up_item(place, "failed too often", now);
+                self.give_up_item(index, "failed too often", now);
             }
         }
     }
@@ -329,7 +329,7 @@
     /// it, and each one that takes the lot over would begin anew with an item that wears
     /// servers out.
     pub(super) fn unrecorded_faults(&self) -> Option<Vec<ItemFaults>> {
-        if !self.open().any(|it| it.faults > it.recorded_faults) {
+        if !self.unfinished().any(|it| it.faults > it.recorded_faults) {
             return None;
         }
         let failed = self.items.iter().filter(|it| it.faults > 0);
@@ -341,7 +341,7 @@
     }
 
     /// Notes that the store holds these counts.
-    pub(super) fn note_recorded(&mut self, counts: &[ItemFaults]) {
+    pub(super) fn mark_faults_recorded(&mut self, counts: &[ItemFaults]) {
         for item in &mut self.items {
             if let Some(count) = counts.iter().find(|it| it.item == item.item.id) {
                 item.recorded_faults = count.faults;
@@ -349,24 +349,24 @@
         }
     }
 
-    fn give_up_item(&mut self, place: usize, cause: &str, now: Timestamp) {
-        let item = &self.items[place];
+    fn give_up_item(&mut self, index: usize, cause: &str, now: Timestamp) {
+        let item = &self.items[index];
         log::info!(
             lot:% = self.id, item = item.item.id, cause = cause,
             faults = item.faults, breaks = item.breaks, events = item.progress.events;
             "lots: an item is given up"
         );
-        self.end_item(place, ItemState::GivenUp, String::new(), now);
+        self.end_item(index, ItemState::GivenUp, String::new(), now);
     }
 
     pub(super) fn end_item(
         &mut self,
-        place: usize,
+        index: usize,
         state: ItemState,
         output: String,
         now: Timestamp,
     ) {
-        let item = &mut self.items[place];
+        let item = &mut self.items[index];
         item.phase = ItemPhase::Ended;
         item.progress = ItemProgress::default();
         if self.unwritten.is_empty() {
@@ -382,23 +382,23 @@
 
 impl HeldItem {
     /// Takes in how fast a run went, whether it came to its end or not.
-    fn note_pace(&self, end: &ItemEnd, pace: &mut RunPace, now: Timestamp) {
-        let (ItemEnd::Done(progress) | ItemEnd::Stopped(progress)) = end else {
+    fn note_pace(&self, outcome: &ItemOutcome, pace: &mut RunPace, now: Timestamp) {
+        let (ItemOutcome::Done(progress) | ItemOutcome::Stopped(progress)) = outcome else {
             return;
         };
-        if let ItemPhase::Running { begun, .. } = self.phase {
+        if let ItemPhase::Running { started_at, .. } = self.phase {
             let events = progress.events.saturating_sub(self.progress.events);
-            pace.note_run(now.since(begun), events);
+            pace.note_run(now.since(started_at), events);
         }
-        if matches!(end, ItemEnd::Done(_)) {
+        if matches!(outcome, ItemOutcome::Done(_)) {
             pace.note_whole(progress.events);
         }
     }
 
-    fn new(item: LotItem, is_listed: bool, faults: u32, now: Timestamp) -> Self {
+    fn new(item: LotItem, has_result: bool, faults: u32, now: Timestamp) -> Self {
         HeldItem {
             item: Rc::new(item),
-            phase: match is_listed {
+            phase: match has_result {
                 true => ItemPhase::Ended,
                 false => ItemPhase::Waiting(now),
             },
--- a/crates/serving/src/lots/item_run.rs
+++ b/crates/serving/src/lots/item_run.rs
@@ -17,9 +17,9 @@
 
 /// How long a server may take up to the first event. It is longer than for live
 /// requests: the item may wait for a slot that a live request took meanwhile.
-const FIRST_PATIENCE: Duration = Duration::from_millis(3_000);
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// How long a server may be silent between two events.
-const EVENT_PATIENCE: Duration = Duration::from_millis(2_000);
+const EVENT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Where an item stands: what was read of its stream so far.
 #[derive(Clone, Debug, Default)]
@@ -46,7 +46,7 @@
 
 /// How a run of an item ended.
 #[derive(Debug)]
-pub(super) enum ItemEnd {
+pub(super) enum ItemOutcome {
     /// Its whole answer is here.
     Done(ItemProgress),
     /// The server says that it can never be done.
@@ -66,7 +66,7 @@
     node: &Rc<Node<D>>,
     guard: AttemptGuard<D>,
     mut run: ItemRun,
-) -> ItemEnd {
+) -> ItemOutcome {
     let request = {
         let servers = node.servers.borrow();
         let ticket = SendTicket {
@@ -81,23 +81,23 @@
         Ok(request) => request.map(Full::new),
         Err(error) => {
             log::warn!(item = run.item.id, error:% = error; "lots: an item is no request");
-            return ItemEnd::Impossible;
+            return ItemOutcome::Impossible;
         }
     };
-    let opening = open_answer(guard, request, &run.item.id, FIRST_PATIENCE);
+    let opening = open_answer(guard, request, &run.item.id, FIRST_EVENT_TIMEOUT);
     let opened = tokio::select! {
         opened = opening => opened,
-        () = run.stop.cancelled() => return ItemEnd::Stopped(run.progress),
+        () = run.stop.cancelled() => return ItemOutcome::Stopped(run.progress),
     };
     let open = match opened {
         Ok(open) => open,
-        Err(failure) if failure.may_have_run() => return ItemEnd::Broken(run.progress),
-        Err(_) => return ItemEnd::NotRun(run.progress),
+        Err(failure) if failure.may_have_run() => return ItemOutcome::Broken(run.progress),
+        Err(_) => return ItemOutcome::NotRun(run.progress),
     };
     match open.head.status {
-        StatusCode::UNPROCESSABLE_ENTITY => ItemEnd::Impossible,
+        StatusCode::UNPROCESSABLE_ENTITY => ItemOutcome::Impossible,
         status if status.is_success() => read_events(node, open, &mut run).await,
-        _ => ItemEnd::Failed,
+        _ => ItemOutcome::Failed,
     }
 }
 
@@ -105,7 +105,7 @@
     node: &Rc<Node<D>>,
     mut open: OpenAnswer<D>,
     run: &mut ItemRun,
-) -> ItemEnd {
+) -> ItemOutcome {
     let mut splitter = EventSplitter::default();
     let mut next = open.first.take();
     loop {
@@ -114,14 +114,14 @@
                 return broken(&open, run);
             }
             while let Some(event) = splitter.next_event() {
-                run.progress.take(&event);
+                run.progress.add_event(&event);
             }
         }
-        let reading = tokio::time::timeout(EVENT_PATIENCE, open.body.frame());
+        let reading = tokio::time::timeout(EVENT_TIMEOUT, open.body.frame());
         let frame = tokio::select! {
             frame = reading => frame,
             () = run.stop.cancelled() => {
-                return ItemEnd::Stopped(std::mem::take(&mut run.progress));
+                return ItemOutcome::Stopped(std::mem::take(&mut run.progress));
             }
         };
         match frame {
@@ -134,16 +134,16 @@
     let now = node.clock.now();
     node.connections
         .put_back(open.connection, open.answer.kept_for, now);
-    ItemEnd::Done(std::mem::take(&mut run.progress))
+    ItemOutcome::Done(std::mem::take(&mut run.progress))
 }
 
-fn broken<D: Dialect>(open: &OpenAnswer<D>, run: &mut ItemRun) -> ItemEnd {
+fn broken<D: Dialect>(open: &OpenAnswer<D>, run: &mut ItemRun) -> ItemOutcome {
     open.guard.note(ServerOutcomeKind::Broken);
-    ItemEnd::Broken(std::mem::take(&mut run.progress))
+    ItemOutcome::Broken(std::mem::take(&mut run.progress))
 }
 
 impl ItemProgress {
-    fn take(&mut self, event: &[u8]) {
+    fn add_event(&mut self, event: &[u8]) {
         let id = event_id(event);
         // A server that repeats an event must not get it into the output twice.
         if id.is_some() && id <= self.last_event {
@@ -161,27 +161,27 @@
     }
 }
 
-impl ItemEnd {
+impl ItemOutcome {
     /// How many events the item has by then, as far as they are kept.
     pub(super) fn events(&self) -> u32 {
         match self {
-            ItemEnd::Done(progress)
-            | ItemEnd::NotRun(progress)
-            | ItemEnd::Broken(progress)
-            | ItemEnd::Stopped(progress) => progress.events,
-            ItemEnd::Impossible | ItemEnd::Failed => 0,
+            ItemOutcome::Done(progress)
+            | ItemOutcome::NotRun(progress)
+            | ItemOutcome::Broken(progress)
+            | ItemOutcome::Stopped(progress) => progress.events,
+            ItemOutcome::Impossible | ItemOutcome::Failed => 0,
         }
     }
 
     /// The end as a label.
     pub(super) fn as_str(&self) -> &'static str {
         match self {
-            ItemEnd::Done(_) => "done",
-            ItemEnd::Impossible => "impossible",
-            ItemEnd::Failed => "failed",
-            ItemEnd::NotRun(_) => "not_run",
-            ItemEnd::Broken(_) => "broken",
-            ItemEnd::Stopped(_) => "stopped",
+            ItemOutcome::Done(_) => "done",
+            ItemOutcome::Impossible => "impossible",
+            ItemOutcome::Failed => "failed",
+            ItemOutcome::NotRun(_) => "not_run",
+            ItemOutcome::Broken(_) => "broken",
+            ItemOutcome::Stopped(_) => "stopped",
         }
     }
 }
--- a/crates/serving/src/lots/keys.rs
+++ b/crates/serving/src/lots/keys.rs
@@ -12,12 +12,12 @@
 const DATA: &str = "lots/data/";
 
 /// The longest id. Keys have 200 bytes at most.
-const LONGEST_ID: usize = 100;
+const MAX_ID_LENGTH: usize = 100;
 
 /// Whether a caller's id can stand in a key and in a query.
 pub(super) fn is_usable_id(id: &str) -> bool {
     let is_plain = |it: char| it.is_ascii_alphanumeric() || it == '-' || it == '_';
-    !id.is_empty() && id.len() <= LONGEST_ID && id.chars().all(is_plain)
+    !id.is_empty() && id.len() <= MAX_ID_LENGTH && id.chars().all(is_plain)
 }
 
 pub(super) fn open(lot: &str) -> String {
--- a/crates/serving/src/lots/lot_cache.rs
+++ b/crates/serving/src/lots/lot_cache.rs
@@ -14,10 +14,10 @@
 use crate::model::{ItemResult, LotPage};
 
 /// The lots that are kept at most.
-const MOST_LOTS: usize = 64;
+const MAX_LOTS: usize = 64;
 /// The bytes of results that are kept at most, so that a daemon of a small VM
 /// isn't killed for its memory.
-const MOST_BYTES: usize = 12 << 20;
+const MAX_BYTES: usize = 12 << 20;
 /// The bytes of results that one answer holds at most.
 const PAGE_BYTES: usize = 900_000;
 
@@ -41,7 +41,7 @@
 
 /// A lot as far as it was read.
 #[derive(Clone, Debug)]
-pub struct KnownLot {
+pub struct CachedLot {
     lot: String,
     /// Its head.
     pub head: LotHead,
@@ -53,32 +53,32 @@
     groups: usize,
     bytes: usize,
     /// Whether its end was read from the store. Nothing is written behind that.
-    is_closed: bool,
+    has_end_record: bool,
     /// When this was last certainly all there is.
-    pub proved_at: Timestamp,
+    pub confirmed_at: Timestamp,
     /// Who said so.
     pub source: CopySource,
     used_at: Timestamp,
 }
 
-impl KnownLot {
-    fn new(lot: &str, head: LotHead, asked_at: Timestamp) -> Self {
-        KnownLot {
+impl CachedLot {
+    fn new(lot: &str, head: LotHead, requested_at: Timestamp) -> Self {
+        CachedLot {
             lot: lot.to_owned(),
             head,
             results: Vec::new(),
             is_ended: false,
-            is_closed: false,
+            has_end_record: false,
             groups: 0,
             bytes: 0,
-            proved_at: asked_at,
+            confirmed_at: requested_at,
             source: CopySource::Store,
-            used_at: asked_at,
+            used_at: requested_at,
         }
     }
 
     /// Whether all of its items have their results.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.results.len() >= self.head.total
     }
 
@@ -86,8 +86,8 @@
     pub fn state(&self) -> CopyState {
         CopyState {
             results: self.results.len(),
-            is_final: self.is_whole() || self.is_closed,
-            proved_at: self.proved_at,
+            is_final: self.is_complete() || self.has_end_record,
+            proved_at: self.confirmed_at,
         }
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Takes in what the store holds. Returns whether it follows on what is known.
-    fn take(&mut self, pairs: &[KeyValue]) -> Result<bool, DamagedRecord> {
+    fn append_groups(&mut self, pairs: &[KeyValue]) -> Result<bool, DamagedRecord> {
         for pair in pairs {
             if keys::is_group(&pair.key) && pair.key > self.last_key() {
                 if pair.key != self.next_key() {
@@ -119,9 +119,9 @@
                 }
                 self.append(from_packed(pair)?, self.groups + 1);
             }
-            self.is_closed |= pair.key == keys::end(&self.lot);
+            self.has_end_record |= pair.key == keys::end(&self.lot);
         }
-        self.is_ended |= self.is_closed;
+        self.is_ended |= self.has_end_record;
         Ok(true)
     }
 
@@ -140,8 +140,8 @@
 
     /// Notes that this was all there is at `asked_at`, the moment at which that was
     /// asked. Its answer may have been on its way for long.
-    fn prove(&mut self, source: CopySource, asked_at: Timestamp) {
-        self.proved_at = self.proved_at.max(asked_at);
+    fn confirm(&mut self, source: CopySource, requested_at: Timestamp) {
+        self.confirmed_at = self.confirmed_at.max(requested_at);
         self.source = source;
     }
 
@@ -155,7 +155,7 @@
 
 /// A lot as daemons show it to each other.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct ShownLot {
+pub struct SentLot {
     head: LotHead,
     /// The position of the first result that is shown.
     after: usize,
@@ -169,14 +169,14 @@
 #[derive(Debug, Default)]
 pub struct LotCache {
     /// Sorted by id.
-    lots: Vec<KnownLot>,
+    lots: Vec<CachedLot>,
 }
 
 impl LotCache {
     /// A lot as far as it was read.
-    pub fn get(&self, lot: &str) -> Option<&KnownLot> {
-        let place = self.place(lot).ok()?;
-        Some(&self.lots[place])
+    pub fn get(&self, lot: &str) -> Option<&CachedLot> {
+        let index = self.index_of(lot).ok()?;
+        Some(&self.lots[index])
     }
 
     /// Whether a lot is known to belong to a customer.
@@ -186,7 +186,7 @@
 
     /// The last key that was read of a lot, after which there may be more.
     pub fn last_key(&self, lot: &str) -> Option<String> {
-        self.get(lot).map(KnownLot::last_key)
+        self.get(lot).map(CachedLot::last_key)
     }
 
     /// Takes in what the store holds after [`LotCache::last_key`], asked at `asked_at`.
@@ -197,28 +197,28 @@
         &mut self,
         lot: &str,
         pairs: &[KeyValue],
-        asked_at: Timestamp,
+        requested_at: Timestamp,
         now: Timestamp,
     ) -> Result<bool, DamagedRecord> {
-        let place = match self.place(lot) {
-            Ok(place) => place,
-            Err(place) => {
+        let index = match self.index_of(lot) {
+            Ok(index) => index,
+            Err(index) => {
                 let key = keys::head(lot);
                 let Some(pair) = pairs.iter().find(|it| it.key == key) else {
                     return Ok(false);
                 };
                 self.lots
-                    .insert(place, KnownLot::new(lot, from_json(pair)?, asked_at));
-                place
+                    .insert(index, CachedLot::new(lot, from_json(pair)?, requested_at));
+                index
             }
         };
-        let known = &mut self.lots[place];
+        let known = &mut self.lots[index];
         known.used_at = now;
-        let follows = known.take(pairs)?;
+        let follows = known.append_groups(pairs)?;
         if follows {
-            known.prove(CopySource::Store, asked_at);
+            known.confirm(CopySource::Store, requested_at);
         }
-        self.shrink();
+        self.evict();
         Ok(follows)
     }
 
@@ -232,21 +232,21 @@
         results: Vec<ItemResult>,
         now: Timestamp,
     ) {
-        let Ok(place) = self.place(lot) else {
+        let Ok(index) = self.index_of(lot) else {
             return;
         };
-        let known = &mut self.lots[place];
+        let known = &mut self.lots[index];
         known.used_at = now;
         if known.groups == group {
             known.append(results, group + 1);
         }
-        self.shrink();
+        self.evict();
     }
 
     /// What is shown to a daemon that knows the results before a position.
-    pub fn show(&self, lot: &str, after: usize) -> Option<ShownLot> {
+    pub fn for_peer(&self, lot: &str, after: usize) -> Option<SentLot> {
         let known = self.get(lot)?;
-        Some(ShownLot {
+        Some(SentLot {
             head: known.head.clone(),
             after,
             results: known.results.get(after..)?.to_vec(),
@@ -257,64 +257,63 @@
 
     /// Takes in what a daemon showed that knows of all results, asked at `asked_at`.
     /// Returns whether it fits to what is known here.
-    pub fn take_shown(
+    pub fn add_sent(
         &mut self,
         lot: &str,
-        shown: ShownLot,
+        sent: SentLot,
         daemon: SocketAddr,
-        asked_at: Timestamp,
+        requested_at: Timestamp,
         now: Timestamp,
     ) -> bool {
-        let place = match self.place(lot) {
-            Ok(place) => place,
-            Err(place) if shown.after == 0 => {
+        let index = match self.index_of(lot) {
+            Ok(index) => index,
+            Err(index) if sent.after == 0 => {
                 self.lots
-                    .insert(place, KnownLot::new(lot, shown.head, asked_at));
-                place
+                    .insert(index, CachedLot::new(lot, sent.head, requested_at));
+                index
             }
             Err(_) => return false,
         };
-        let known = &mut self.lots[place];
+        let known = &mut self.lots[index];
         // Another reader's answer may have brought a part of it meanwhile.
-        let Some(overlap) = known.results.len().checked_sub(shown.after) else {
+        let Some(overlap) = known.results.len().checked_sub(sent.after) else {
             return false;
         };
-        if overlap < shown.results.len() {
-            known.append(shown.results[overlap..].to_vec(), shown.groups);
+        if overlap < sent.results.len() {
+            known.append(sent.results[overlap..].to_vec(), sent.groups);
         }
-        known.is_ended |= shown.is_ended;
-        known.prove(CopySource::Daemon(daemon), asked_at);
+        known.is_ended |= sent.is_ended;
+        known.confirm(CopySource::Daemon(daemon), requested_at);
         known.used_at = now;
-        self.shrink();
+        self.evict();
         true
     }
 
     /// Notes that a lot was ended.
     pub fn end(&mut self, lot: &str) {
-        if let Ok(place) = self.place(lot) {
-            self.lots[place].is_ended = true;
+        if let Ok(index) = self.index_of(lot) {
+            self.lots[index].is_ended = true;
         }
     }
 
-    fn place(&self, lot: &str) -> Result<usize, usize> {
+    fn index_of(&self, lot: &str) -> Result<usize, usize> {
         self.lots.binary_search_by(|it| it.lot.as_str().cmp(lot))
     }
 
     /// Drops the lots that were left alone for longest.
-    fn shrink(&mut self) {
-        let bytes = |lots: &[KnownLot]| lots.iter().map(|it| it.bytes).sum::<usize>();
-        while self.lots.len() > MOST_LOTS || (self.lots.len() > 1 && bytes(&self.lots) > MOST_BYTES)
-        {
+    fn evict(&mut self) {
+        let bytes = |lots: &[CachedLot]| lots.iter().map(|it| it.bytes).sum::<usize>();
+        while self.lots.len() > MAX_LOTS || (self.lots.len() > 1 && bytes(&self.lots) > MAX_BYTES) {
             let oldest = self.lots.iter().enumerate().min_by_key(|it| it.1.used_at);
-            let Some((place, _)) = oldest else {
+            let Some((index, _)) = oldest else {
                 return;
             };
-            self.lots.remove(place);
+            self.lots.remove(index);
         }
     }
 
     /// Drops lots whose results nobody may ask for any more.
-    pub fn forget_before(&mut self, now: Timestamp, kept: Duration) {
+    pub fn drop_unused(&mut self, now: Timestamp, kept: Duration) {
         self.lots.retain(|it| now.since(it.used_at) < kept);
     }
 }
--- a/crates/serving/src/lots/notices.rs
+++ b/crates/serving/src/lots/notices.rs
@@ -8,16 +8,16 @@
 
 /// How long it is repeated that a lot was accepted. Datagrams get lost; this many of
 /// them don't.
-const ACCEPTED_TOLD_FOR: Duration = Duration::from_secs(3);
+const ACCEPTED_REPEAT_DURATION: Duration = Duration::from_secs(3);
 /// How long it is repeated that a lot was ended. A daemon that was cut off for less
 /// than its lease holds still has its claim, and learns of the end in no other way:
 /// it would go on starting items until the store refuses their results.
-const ENDED_TOLD_FOR: Duration = Duration::from_secs(12);
+const ENDED_REPEAT_DURATION: Duration = Duration::from_secs(12);
 /// How long the progress of a lot is told after its last change. A reader that
 /// comes later asks the store.
-const PROGRESS_TOLD_FOR: Duration = Duration::from_secs(8);
+const PROGRESS_REPEAT_DURATION: Duration = Duration::from_secs(8);
 /// The notices that one message holds at most, so that it stays one datagram.
-const MOST_NOTICES: usize = 200;
+const MAX_NOTICES: usize = 200;
 
 /// Something that happened to a lot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,10 +38,10 @@
 }
 
 impl LotNotice {
-    fn told_for(&self) -> Duration {
+    fn repeat_duration(&self) -> Duration {
         match self {
-            LotNotice::Accepted(_) => ACCEPTED_TOLD_FOR,
-            LotNotice::Ended(_) => ENDED_TOLD_FOR,
+            LotNotice::Accepted(_) => ACCEPTED_REPEAT_DURATION,
+            LotNotice::Ended(_) => ENDED_REPEAT_DURATION,
         }
     }
 }
@@ -104,13 +104,13 @@
 }
 
 #[derive(Debug)]
-struct ToldProgress {
+struct ReportedProgress {
     progress: LotProgress,
     basis: ClaimBasis,
-    told_at: Timestamp,
+    reported_at: Timestamp,
 }
 
-impl ToldProgress {
+impl ReportedProgress {
     /// The stage as of now. A claim lapses and a write stays unanswered by the mere
     /// passing of time, also while this daemon stands still: told as it was before,
     /// readers would take an old count of results for all there is.
@@ -130,7 +130,7 @@
 pub struct LotNotices {
     notices: Vec<(LotNotice, Timestamp)>,
     placed: Vec<(PlacedLot, Timestamp)>,
-    progress: Vec<ToldProgress>,
+    progress: Vec<ReportedProgress>,
 }
 
 impl LotNotices {
@@ -146,25 +146,26 @@
 
     /// Which daemons are asked to run which lots.
     pub fn current_placed(&mut self, now: Timestamp) -> Vec<PlacedLot> {
-        self.placed.retain(|it| now.since(it.1) < ACCEPTED_TOLD_FOR);
-        let placed = self.placed.iter().rev().take(MOST_NOTICES);
+        self.placed
+            .retain(|it| now.since(it.1) < ACCEPTED_REPEAT_DURATION);
+        let placed = self.placed.iter().rev().take(MAX_NOTICES);
         placed.map(|it| it.0.clone()).collect()
     }
 
     /// Tells how far a lot is.
     pub fn tell_progress(&mut self, progress: LotProgress, basis: ClaimBasis, now: Timestamp) {
         self.progress.retain(|it| it.progress.lot != progress.lot);
-        self.progress.push(ToldProgress {
+        self.progress.push(ReportedProgress {
             progress,
             basis,
-            told_at: now,
+            reported_at: now,
         });
     }
 
     /// Notes on what this daemon's word on a lot rests from now on.
     pub fn set_basis(&mut self, lot: &str, basis: ClaimBasis) {
-        if let Some(told) = self.progress.iter_mut().find(|it| it.progress.lot == lot) {
-            told.basis = basis;
+        if let Some(reported) = self.progress.iter_mut().find(|it| it.progress.lot == lot) {
+            reported.basis = basis;
         }
     }
 
@@ -176,9 +177,9 @@
         lease: Option<LeaseId>,
         now: Timestamp,
     ) -> Option<usize> {
-        let told = self.progress.iter().find(|it| it.progress.lot == lot)?;
-        let is_entitled = told.stage(lease, now) == LotStage::Held;
-        is_entitled.then_some(usize::from(told.progress.results))
+        let reported = self.progress.iter().find(|it| it.progress.lot == lot)?;
+        let is_entitled = reported.stage(lease, now) == LotStage::Held;
+        is_entitled.then_some(usize::from(reported.progress.results))
     }
 
     /// What is to be told now, where `lease` is the lease that this daemon certainly
@@ -188,12 +189,13 @@
         lease: Option<LeaseId>,
         now: Timestamp,
     ) -> (Vec<LotNotice>, Vec<LotProgress>) {
-        self.notices.retain(|it| now.since(it.1) < it.0.told_for());
+        self.notices
+            .retain(|it| now.since(it.1) < it.0.repeat_duration());
         self.progress.retain(|it| {
-            it.progress.stage.is_running() || now.since(it.told_at) < PROGRESS_TOLD_FOR
+            it.progress.stage.is_running() || now.since(it.reported_at) < PROGRESS_REPEAT_DURATION
         });
-        let notices = self.notices.iter().rev().take(MOST_NOTICES);
-        let progress = self.progress.iter().rev().take(MOST_NOTICES);
+        let notices = self.notices.iter().rev().take(MAX_NOTICES);
+        let progress = self.progress.iter().rev().take(MAX_NOTICES);
         (
             notices.map(|it| it.0.clone()).collect(),
             progress
--- a/crates/serving/src/lots/peer_read.rs
+++ b/crates/serving/src/lots/peer_read.rs
@@ -7,7 +7,7 @@
 use comfreyramp_http::MessageBody;
 use http::{Request, StatusCode};
 
-use super::lot_cache::ShownLot;
+use super::lot_cache::SentLot;
 use crate::{dialect::Dialect, node::Node};
 
 /// Under this path daemons show each other lots.
@@ -28,12 +28,12 @@
     let cache = node.lot_cache.borrow();
     let known = cache.get(lot)?;
     // The copy may have been dropped, and read again while a result was written.
-    let has_all = |vouched: usize| known.results.len() >= vouched;
-    if !known.is_whole() && !node.vouched_results(lot).is_some_and(has_all) {
+    let has_all = |confirmed: usize| known.results.len() >= confirmed;
+    if !known.is_complete() && !node.vouched_results(lot).is_some_and(has_all) {
         return None;
     }
-    let shown = cache.show(lot, after.parse().ok()?)?;
-    Some(serde_json::to_vec(&shown).unwrap_or_default().into())
+    let sent = cache.for_peer(lot, after.parse().ok()?)?;
+    Some(serde_json::to_vec(&sent).unwrap_or_default().into())
 }
 
 /// Asks the daemon that runs a lot for what isn't known of it here. Returns
@@ -41,11 +41,11 @@
 ///
 /// What it shows is in the store already: it takes results into its own copy
 /// only once they are written.
-pub(super) async fn ask_runner<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> bool {
+pub(super) async fn request_from_runner<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> bool {
     let Some(peer) = node.lot_runner(lot) else {
         return false;
     };
-    let asked_at = node.clock.now();
+    let requested_at = node.clock.now();
     let after = node
         .lot_cache
         .borrow()
@@ -59,9 +59,9 @@
         .peer_client
         .exchange(request, ANSWER_TIMEOUT, ANSWER_LIMIT)
         .await;
-    let shown = match answer {
+    let sent = match answer {
         Ok(answer) if answer.status() == StatusCode::OK => {
-            serde_json::from_slice::<ShownLot>(answer.body())
+            serde_json::from_slice::<SentLot>(answer.body())
         }
         Ok(_) => return false,
         Err(error) => {
@@ -70,11 +70,11 @@
         }
     };
     let now = node.clock.now();
-    match shown {
-        Ok(shown) => node
+    match sent {
+        Ok(sent) => node
             .lot_cache
             .borrow_mut()
-            .take_shown(lot, shown, peer, asked_at, now),
+            .add_sent(lot, sent, peer, requested_at, now),
         Err(error) => {
             log::warn!(lot = lot, error:% = error; "lots: a daemon shows what can't be read");
             false
--- a/crates/serving/src/lots/read.rs
+++ b/crates/serving/src/lots/read.rs
@@ -12,9 +12,9 @@
 
 use super::{
     keys,
-    lot_cache::KnownLot,
+    lot_cache::CachedLot,
     notices::LotNotice,
-    peer_read::ask_runner,
+    peer_read::request_from_runner,
     records::{DamagedRecord, from_packed, to_json},
 };
 use crate::{
@@ -26,16 +26,16 @@
 };
 
 /// An answer is held back no longer than this while there is no result.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
+const MAX_WAIT: Duration = Duration::from_millis(1_000);
 /// Beyond the time that a reader waits, the store and the daemon that runs the lot get
 /// this much. Where they don't answer, its caller is better told so than kept.
-const LOOK_LIMIT: Duration = Duration::from_millis(1_000);
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How often a reader that waits looks whether there is news.
-const LOOK_INTERVAL: Duration = Duration::from_millis(150);
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 /// When a reader may come back while the store can't be reached.
-const STORE_RETRY: Duration = Duration::from_millis(500);
+const STORE_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// How often a lot's end is written at most.
-const END_TRIES: u32 = 5;
+const MAX_END_ATTEMPTS: u32 = 5;
 
 type Answer<D> = Result<Response<FrontBody<D>>, Refusal>;
 
@@ -44,15 +44,15 @@
     node: &Rc<Node<D>>,
     customer: &Arc<KnownCustomer>,
     request: &str,
-    ask: CallerAsk,
+    operation: CallerAsk,
 ) -> Answer<D> {
     let name = customer.settings.name.as_str();
-    match ask {
+    match operation {
         CallerAsk::ReadLot { lot, after, wait } => {
             let reading = read_lot(node, name, &lot, after, wait);
-            let limit = wait.min(LONGEST_WAIT) + LOOK_LIMIT;
+            let limit = wait.min(MAX_WAIT) + LOOKUP_TIMEOUT;
             let answer = tokio::time::timeout(limit, reading).await;
-            let page = answer.unwrap_or_else(|_| Err(store_away()));
+            let page = answer.unwrap_or_else(|_| Err(store_unavailable()));
             log_read(node, request, &lot, after, &page);
             page.map(|it| <D::Callers as CallerDialect>::lot_page(&it).map(FrontBody::whole))
         }
@@ -71,40 +71,41 @@
 ) -> Result<LotPage, Refusal> {
     let asked_at = node.clock.now();
     let reader = ReaderPosition { after, asked_at };
-    let until = asked_at + wait.min(LONGEST_WAIT);
-    know_lot(node, customer, lot).await?;
+    let deadline = asked_at + wait.min(MAX_WAIT);
+    ensure_known(node, customer, lot).await?;
     loop {
         // A reader that begins anew gets what is new as well, not just what somebody
         // else has read here before. Where no more can be had, what is known will do.
-        if is_doubtful(node, lot, reader)
-            && let Err(refusal) = look_further(node, lot, reader).await
+        if needs_refresh(node, lot, reader)
+            && let Err(refusal) = refresh_copy(node, lot, reader).await
             && !serves(node, lot, reader)
         {
             return Err(refusal);
         }
-        if serves(node, lot, reader) || is_final(node, lot) || node.clock.now() >= until {
+        if serves(node, lot, reader) || is_final(node, lot) || node.clock.now() >= deadline {
             break;
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let cache = node.lot_cache.borrow();
-    let known = cache.get(lot).ok_or_else(store_away)?;
+    let known = cache.get(lot).ok_or_else(store_unavailable)?;
     let state = known.state();
-    let vouch = node.runner_vouch(lot);
+    let confirmation = node.runner_vouch(lot);
     // A look that took long tells of how it was then. Whoever can't be sure says so.
-    if !state.serves(reader) && !state.proves_nothing_there(reader, vouch, node.clock.now()) {
-        return Err(store_away());
+    if !state.serves(reader) && !state.proves_nothing_there(reader, confirmation, node.clock.now())
+    {
+        return Err(store_unavailable());
     }
     Ok(known.page(after))
 }
 
-fn store_away() -> Refusal {
-    Refusal::new(RefusalCause::StoreAway).retry_after(STORE_RETRY)
+fn store_unavailable() -> Refusal {
+    Refusal::new(RefusalCause::StoreAway).retry_after(STORE_RETRY_AFTER)
 }
 
 fn copy_state<D: Dialect>(node: &Node<D>, lot: &str) -> Option<CopyState> {
     let cache = node.lot_cache.borrow();
-    cache.get(lot).map(KnownLot::state)
+    cache.get(lot).map(CachedLot::state)
 }
 
 fn serves<D: Dialect>(node: &Node<D>, lot: &str, reader: ReaderPosition) -> bool {
@@ -115,33 +116,33 @@
     copy_state(node, lot).is_none_or(|it| it.is_final)
 }
 
-fn is_doubtful<D: Dialect>(node: &Node<D>, lot: &str, reader: ReaderPosition) -> bool {
-    let vouch = node.runner_vouch(lot);
+fn needs_refresh<D: Dialect>(node: &Node<D>, lot: &str, reader: ReaderPosition) -> bool {
+    let confirmation = node.runner_vouch(lot);
     let now = node.clock.now();
-    copy_state(node, lot).is_none_or(|it| it.is_doubtful(reader, vouch, now))
+    copy_state(node, lot).is_none_or(|it| it.is_doubtful(reader, confirmation, now))
 }
 
 /// Learns what there is of a lot for a reader, from the daemon that runs it or from the
 /// store. A reader that is ahead of the copy here has been elsewhere meanwhile, and that
 /// daemon has what it asks for; if it hasn't, its word that there is none was wrong.
-async fn look_further<D: Dialect>(
+async fn refresh_copy<D: Dialect>(
     node: &Rc<Node<D>>,
     lot: &str,
     reader: ReaderPosition,
 ) -> Result<(), Refusal> {
     let is_behind = || copy_state(node, lot).is_some_and(|it| it.is_behind(reader));
-    let vouch = node.runner_vouch(lot);
-    let has_it = vouch.is_some_and(|it| it.results >= reader.after);
+    let confirmation = node.runner_vouch(lot);
+    let has_it = confirmation.is_some_and(|it| it.results >= reader.after);
     let is_asked = has_it || !is_behind();
-    if is_asked && ask_runner(node, lot).await && !is_behind() && !falls_short(node, lot) {
+    if is_asked && request_from_runner(node, lot).await && !is_behind() && !falls_short(node, lot) {
         return Ok(());
     }
-    ask_store(node, lot).await
+    refresh_from_store(node, lot).await
 }
 
 fn falls_short<D: Dialect>(node: &Node<D>, lot: &str) -> bool {
-    let vouch = node.runner_vouch(lot);
-    copy_state(node, lot).is_some_and(|it| it.falls_short(vouch))
+    let confirmation = node.runner_vouch(lot);
+    copy_state(node, lot).is_some_and(|it| it.falls_short(confirmation))
 }
 
 /// Logs how a read was answered, and by what: how far the copy of the lot goes, when and
@@ -156,9 +157,9 @@
     let cache = node.lot_cache.borrow();
     let known = cache.get(lot);
     let now = node.clock.now();
-    let age = known.map_or(Duration::ZERO, |it| now.since(it.proved_at));
-    let word = node.runner_word(lot);
-    let word = word.as_ref();
+    let age = known.map_or(Duration::ZERO, |it| now.since(it.confirmed_at));
+    let report = node.runner_word(lot);
+    let report = report.as_ref();
     log::info!(
         request = request, lot = lot, after = after,
         outcome = page.as_ref().map_or_else(|it| it.cause.as_str(), |_| "shown"),
@@ -167,17 +168,17 @@
         total = known.map_or(0, |it| it.head.total),
         copy_age_ms = age.as_millis() as u64,
         copy_from = known.map_or_else(String::new, |it| it.source.to_string()),
-        runner = word.map_or("", |it| &it.daemon),
-        runner_life = word.map_or(0, |it| it.incarnation),
-        runner_stage = word.map_or("", |it| it.stage.as_str()),
-        runner_results = word.map_or(0, |it| it.results),
-        heard_ms = word.map_or(0, |it| it.age.as_millis() as u64);
+        runner = report.map_or("", |it| &it.daemon),
+        runner_life = report.map_or(0, |it| it.incarnation),
+        runner_stage = report.map_or("", |it| it.stage.as_str()),
+        runner_results = report.map_or(0, |it| it.results),
+        heard_ms = report.map_or(0, |it| it.age.as_millis() as u64);
         "lots: read"
     );
 }
 
 /// Makes sure that a lot is known and belongs to a customer.
-async fn know_lot<D: Dialect>(
+async fn ensure_known<D: Dialect>(
     node: &Rc<Node<D>>,
     customer: &str,
     lot: &str,
@@ -186,8 +187,8 @@
         return Err(RefusalCause::NoSuchLot.into());
     }
     let is_known = node.lot_cache.borrow().get(lot).is_some();
-    if !is_known && !ask_runner(node, lot).await {
-        ask_store(node, lot).await?;
+    if !is_known && !request_from_runner(node, lot).await {
+        refresh_from_store(node, lot).await?;
     }
     match node.lot_cache.borrow().belongs_to(lot, customer) {
         true => Ok(()),
@@ -196,25 +197,25 @@
 }
 
 /// Learns what there is of a lot beyond what is known from the store.
-async fn ask_store<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> Result<(), Refusal> {
+async fn refresh_from_store<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> Result<(), Refusal> {
     let last_key = node.lot_cache.borrow().last_key(lot);
-    let is_part = last_key.is_some();
-    let is_known = ask_behind(node, lot, last_key).await?;
+    let is_partial = last_key.is_some();
+    let is_known = read_store_after(node, lot, last_key).await?;
     // The copy may have been dropped for others meanwhile. That the store has no head
     // behind it doesn't say that there is no such lot.
-    if is_part && !is_known {
-        ask_behind(node, lot, None).await?;
+    if is_partial && !is_known {
+        read_store_after(node, lot, None).await?;
     }
     Ok(())
 }
 
 /// Learns what there is of a lot behind a key. Returns whether the lot is known then.
-async fn ask_behind<D: Dialect>(
+async fn read_store_after<D: Dialect>(
     node: &Rc<Node<D>>,
     lot: &str,
     last_key: Option<String>,
 ) -> Result<bool, Refusal> {
-    let asked_at = node.clock.now();
+    let requested_at = node.clock.now();
     let prefix = keys::data(lot);
     let range = match last_key {
         Some(after) => KeyRange::After { prefix, after },
@@ -224,17 +225,17 @@
         .store
         .range(range, 0)
         .await
-        .map_err(|error| away(node, lot, &error))?;
+        .map_err(|error| store_failure(node, lot, &error))?;
     let now = node.clock.now();
     let mut cache = node.lot_cache.borrow_mut();
-    let taken = cache.take(lot, &answer.pairs, asked_at, now);
+    let taken = cache.take(lot, &answer.pairs, requested_at, now);
     taken.map_err(|error| damaged(&error))
 }
 
-fn away<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> Refusal {
+fn store_failure<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> Refusal {
     node.note_store_trouble();
     log::warn!(lot = lot, error:% = error; "lots: can't be read");
-    store_away()
+    store_unavailable()
 }
 
 fn damaged(error: &DamagedRecord) -> Refusal {
@@ -248,13 +249,13 @@
     lot: &str,
     item: &str,
 ) -> Answer<D> {
-    know_lot(node, customer, lot).await?;
+    ensure_known(node, customer, lot).await?;
     let range = KeyRange::Prefix(keys::items(lot));
     let answer = node
         .store
         .range(range, 0)
         .await
-        .map_err(|error| away(node, lot, &error))?;
+        .map_err(|error| store_failure(node, lot, &error))?;
     for pair in &answer.pairs {
         let items: Vec<LotItem> = from_packed(pair).map_err(|error| damaged(&error))?;
         if let Some(found) = items.into_iter().find(|it| it.id == item) {
@@ -267,7 +268,7 @@
 
 /// Ends a lot: its items are no longer run. What is listed stays.
 async fn end_lot<D: Dialect>(node: &Rc<Node<D>>, customer: &str, lot: &str) -> Answer<D> {
-    know_lot(node, customer, lot).await?;
+    ensure_known(node, customer, lot).await?;
     let is_ended = |node: &Node<D>| {
         let cache = node.lot_cache.borrow();
         cache.get(lot).is_some_and(|it| it.is_ended)
@@ -281,7 +282,7 @@
         match writing.await.unwrap_or_else(lost) {
             Ok(()) => {}
             Err(StoreError::AnswerLost(_)) => return Err(RefusalCause::Undecided.into()),
-            Err(error) => return Err(away(node, lot, &error)),
+            Err(error) => return Err(store_failure(node, lot, &error)),
         }
     }
     // Also where another daemon wrote the end: it may have been lost before it
@@ -304,7 +305,7 @@
         ],
         read_back: Vec::new(),
     };
-    let pace = RetryPace::new(node.incarnation).attempts(END_TRIES);
+    let pace = RetryPace::new(node.incarnation).attempts(MAX_END_ATTEMPTS);
     // Whoever wrote the end, it stands.
     write_once(&node.store, batch, pace).await?;
     log::info!(lot = lot; "lots: ended by its customer");
--- a/crates/serving/src/lots/records.rs
+++ b/crates/serving/src/lots/records.rs
@@ -7,10 +7,10 @@
 use crate::model::LotItem;
 
 /// Fast enough for a small VM; bodies hardly compress further anyway.
-const COMPRESSION: i32 = 1;
+const COMPRESSION_LEVEL: i32 = 1;
 /// The part of the store's longest value that a pack fills before compression,
 /// which may make random bytes longer.
-const PACK_PART: f64 = 0.8;
+const PACK_FILL_FRACTION: f64 = 0.8;
 
 /// The head of a lot. It never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -101,7 +101,7 @@
 /// Writes a large record, compressed.
 pub(super) fn to_packed(record: &impl Serialize) -> Bytes {
     let json = to_json(record);
-    match zstd::encode_all(json.as_ref(), COMPRESSION) {
+    match zstd::encode_all(json.as_ref(), COMPRESSION_LEVEL) {
         Ok(packed) => packed.into(),
         Err(error) => {
             log::error!(error:% = error; "lots: a record is kept uncompressed");
@@ -132,17 +132,17 @@
 
 /// Packs items into as few values as the store's limit allows.
 pub(super) fn pack_items(items: &[LotItem], value_bytes: usize) -> Vec<Bytes> {
-    let limit = (value_bytes as f64 * PACK_PART) as usize;
+    let limit = (value_bytes as f64 * PACK_FILL_FRACTION) as usize;
     let mut packs = Vec::new();
     let mut begin = 0;
     let mut size = 0;
-    for (place, item) in items.iter().enumerate() {
+    for (index, item) in items.iter().enumerate() {
         // Bodies are base64 in JSON, and compress to about their own length.
         let headers: usize = item.headers.iter().map(|it| it.0.len() + it.1.len()).sum();
         let length = item.body.len() + item.path.len() + headers + 100;
-        if size + length > limit && place > begin {
-            packs.push(to_packed(&&items[begin..place]));
-            begin = place;
+        if size + length > limit && index > begin {
+            packs.push(to_packed(&&items[begin..index]));
+            begin = index;
             size = 0;
         }
         size += length;
--- a/crates/serving/src/lots/retire.rs
+++ b/crates/serving/src/lots/retire.rs
@@ -11,38 +11,38 @@
 };
 
 /// How often it is looked whether there is an order.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Lots need this long to be handed on: their items are stopped at once, and
 /// another daemon claims them.
-const HAND_ON_SPAN: Duration = Duration::from_millis(700);
+const HAND_OVER_DURATION: Duration = Duration::from_millis(700);
 
 /// Answers orders to empty this VM until `stop` is cancelled.
 ///
 /// A daemon keeps nothing on its disk, so that only the lots which it runs have
 /// to be handed on. The order is answered once that is done.
 pub async fn follow_retire<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
-    let mut is_told = false;
+    let mut is_reported = false;
     while !stop.is_cancelled() {
         tokio::select! {
-            () = tokio::time::sleep(LOOK_INTERVAL) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
             () = stop.cancelled() => return,
         }
         let is_ordered = node.is_ordered_to_retire();
-        if !is_ordered && is_told {
-            is_told = false;
+        if !is_ordered && is_reported {
+            is_reported = false;
             node.is_retiring.set(false);
         }
-        if !is_ordered || is_told {
+        if !is_ordered || is_reported {
             continue;
         }
         log::info!("retire: lots are handed on");
         node.is_retiring.set(true);
-        tokio::time::sleep(HAND_ON_SPAN).await;
-        is_told = tell(&node).await;
+        tokio::time::sleep(HAND_OVER_DURATION).await;
+        is_reported = report_retired(&node).await;
     }
 }
 
-async fn tell<D: Dialect>(node: &Node<D>) -> bool {
+async fn report_retired<D: Dialect>(node: &Node<D>) -> bool {
     let (key, value) = <D::Records as FleetRecords>::retire_status(&node.settings.name, true);
     let batch = WriteBatch {
         then: vec![Write::Put {
--- a/crates/serving/src/lots/sweep.rs
+++ b/crates/serving/src/lots/sweep.rs
@@ -16,9 +16,9 @@
 const SWEEP_INTERVAL: Duration = Duration::from_secs(300);
 /// Beyond the promised time lots are kept this much longer, for the clocks of
 /// other VMs and for readers on their way.
-const MARGIN: Duration = Duration::from_secs(60);
+const RETENTION_MARGIN: Duration = Duration::from_secs(60);
 /// The deletions of one call.
-const STEPS: usize = 30;
+const DELETIONS_PER_CALL: usize = 30;
 
 /// Deletes old lots until `stop` is cancelled. Of all daemons that run lots only
 /// the first by name does so.
@@ -38,7 +38,7 @@
         }
         let now: Timestamp = node.clock.now();
         let kept = node.settings.results_kept_s;
-        node.lot_cache.borrow_mut().forget_before(now, kept);
+        node.lot_cache.borrow_mut().drop_unused(now, kept);
     }
 }
 
@@ -47,7 +47,7 @@
         .store
         .range(KeyRange::Prefix(keys::all_data().to_owned()), 0)
         .await?;
-    let kept = (node.settings.results_kept_s + MARGIN).as_millis() as u64;
+    let kept = (node.settings.results_kept_s + RETENTION_MARGIN).as_millis() as u64;
     let oldest = unix_millis().saturating_sub(kept);
     let mut old = Vec::new();
     for pair in &listed.pairs {
@@ -63,7 +63,7 @@
         .filter(is_due)
         .map(|it| it.key.clone())
         .collect();
-    for keys in due.chunks(STEPS) {
+    for keys in due.chunks(DELETIONS_PER_CALL) {
         let batch = WriteBatch {
             then: keys.iter().cloned().map(Write::Delete).collect(),
             ..WriteBatch::default()
--- a/crates/serving/src/lots/waiting.rs
+++ b/crates/serving/src/lots/waiting.rs
@@ -18,9 +18,9 @@
 use crate::{dialect::Dialect, node::Node};
 
 /// A lot isn't refused by what was known of the open ones longer ago.
-const COMPARED_FOR: Duration = Duration::from_millis(500);
+const MAX_COMPARISON_AGE: Duration = Duration::from_millis(500);
 /// The ledgers of which copies are kept at most.
-const MOST_COPIES: usize = 512;
+const MAX_COPIES: usize = 512;
 
 /// Whose tokens are bounded, and how.
 #[derive(Clone, Copy, Debug)]
@@ -59,14 +59,14 @@
     fn copy(&self, key: String) -> Arc<Mutex<LedgerCopy>> {
         let mut copies = self.copies.borrow_mut();
         // A copy saves a read of the store, and no more.
-        if copies.len() >= MOST_COPIES {
+        if copies.len() >= MAX_COPIES {
             copies.clear();
         }
         match copies.binary_search_by(|it| it.0.cmp(&key)) {
-            Ok(place) => copies[place].1.clone(),
-            Err(place) => {
+            Ok(index) => copies[index].1.clone(),
+            Err(index) => {
                 let copy = Arc::new(Mutex::new(LedgerCopy::new(key.clone())));
-                copies.insert(place, (key, copy.clone()));
+                copies.insert(index, (key, copy.clone()));
                 copy
             }
         }
@@ -116,7 +116,7 @@
         let is_old = || {
             let now = node.clock.now();
             self.compared_at
-                .is_none_or(|it| now.since(it) >= COMPARED_FOR)
+                .is_none_or(|it| now.since(it) >= MAX_COMPARISON_AGE)
         };
         if self.ledger.is_doubtful(terms.bound) || is_refused && is_old() {
             self.compare(node, terms).await?;
@@ -127,8 +127,8 @@
             TokenVerdict::Known => Some(LedgerRefusal::Known),
             TokenVerdict::NeverFits => Some(LedgerRefusal::Full(None)),
             TokenVerdict::Full { missing } => {
-                let span = self.pace.room_in(missing, terms.due_after);
-                Some(LedgerRefusal::Full(Some(span)))
+                let delay = self.pace.room_in(missing, terms.due_after);
+                Some(LedgerRefusal::Full(Some(delay)))
             }
         })
     }
@@ -158,12 +158,12 @@
     }
 
     /// Notes that nobody knows whether a write took effect.
-    pub(super) fn note_undecided(&mut self) {
+    pub(super) fn invalidate(&mut self) {
         self.revision = None;
     }
 
     /// Takes over what the store holds, which may be no ledger at all.
-    pub(super) fn take(&mut self, found: &[KeyValue]) {
+    pub(super) fn replace(&mut self, found: &[KeyValue]) {
         let pair = found.iter().find(|it| it.key == self.key);
         self.revision = Some(pair.map_or(0, |it| it.modified));
         let read = pair.map(from_json::<TokenLedger>).transpose();
@@ -186,7 +186,7 @@
     async fn read<D: Dialect>(&mut self, node: &Node<D>) -> Result<(), StoreError> {
         let range = KeyRange::One(self.key.clone());
         let answer = node.store.range(range, 0).await?;
-        self.take(&answer.pairs);
+        self.replace(&answer.pairs);
         Ok(())
     }
 
--- a/crates/serving/src/lots/worker/claims.rs
+++ b/crates/serving/src/lots/worker/claims.rs
@@ -5,19 +5,19 @@
 use comfreyramp_policy::{Timestamp, lots::HeldSize};
 use comfreyramp_store::{KeyRange, PlatformStore, StoreError};
 
-use super::{ListedLots, LotWorker, WRITE_PAUSE, WorkerEvent, results::note_basis};
+use super::{ListedLots, LotWorker, WRITE_BACKOFF, WorkerEvent, results::update_basis};
 use crate::{
     dialect::Dialect,
     lots::{
         held_lot::HeldLot,
         keys,
         notices::LotNotice,
-        writer::{self, ClaimAnswer, ClaimEnd},
+        writer::{self, ClaimAnswer, ClaimOutcome},
     },
 };
 
 /// A lot that the daemon it falls to hasn't claimed for so long goes to any.
-const CLAIM_PATIENCE: Duration = Duration::from_millis(2_500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How often all open lots are listed. Notices come by datagrams; this finds what
 /// they missed, such as lots that were accepted or ended by daemons that were lost
 /// right after. Customers expect an ended lot to stop within three seconds.
@@ -25,14 +25,15 @@
 /// How often a lot is handed over at most. Meanwhile the others tell what they have.
 const HAND_OVER_INTERVAL: Duration = Duration::from_millis(250);
 /// The pause after a claim that failed.
-const CLAIM_PAUSE: Duration = Duration::from_millis(1_000);
+const CLAIM_BACKOFF: Duration = Duration::from_millis(1_000);
 /// A lot that was found to have nothing left isn't looked at again for so long. That it
 /// was accepted is repeated for less, several times a second, and each look is billed.
-const GONE_KEPT: Duration = Duration::from_secs(10);
+const EXHAUSTED_RETENTION: Duration = Duration::from_secs(10);
 
 impl<D: Dialect> LotWorker<D> {
-    pub(super) fn take_notices(&mut self, now: Timestamp) {
-        self.gone.retain(|it| now.since(it.1) < GONE_KEPT);
+    pub(super) fn process_notices(&mut self, now: Timestamp) {
+        self.exhausted
+            .retain(|it| now.since(it.1) < EXHAUSTED_RETENTION);
         let inbox = self.node.take_lot_inbox();
         for lot in inbox.accepted {
             self.add_candidate(&lot, now);
@@ -51,7 +52,7 @@
     fn add_candidate(&mut self, lot: &str, now: Timestamp) {
         let is_known = self.candidates.holds(lot)
             || self.held.iter().any(|it| *it.id == *lot)
-            || self.gone.iter().any(|it| it.0 == lot)
+            || self.exhausted.iter().any(|it| it.0 == lot)
             || self.node.told_finished(lot);
         if !is_known {
             self.candidates.add(lot, now, now);
@@ -94,7 +95,7 @@
                     let listed = ListedLots {
                         open: lots.collect(),
                         held_elsewhere,
-                        asked_at: now,
+                        requested_at: now,
                     };
                     let _ = sender.send(WorkerEvent::Listed(listed));
                 }
@@ -135,7 +136,7 @@
             }
             let placed = candidate.runner.and_then(|it| self.node.is_placed_here(it));
             let is_own = placed.unwrap_or_else(|| self.node.is_own_lot(&candidate.lot));
-            if !is_own && now.since(candidate.known_at) < CLAIM_PATIENCE {
+            if !is_own && now.since(candidate.known_at) < CLAIM_TIMEOUT {
                 continue;
             }
             candidate.is_claiming = true;
@@ -157,7 +158,7 @@
         };
         for held in &mut self.held {
             if held.claim.is_some() && held.lease == Some(lease.id) {
-                held.certain_at = now;
+                held.claim_confirmed_at = now;
                 continue;
             }
             if held.is_reclaiming || held.is_closing {
@@ -166,7 +167,7 @@
             held.is_reclaiming = true;
             held.claim = None;
             held.lease = Some(lease.id);
-            note_basis(&self.node, held);
+            update_basis(&self.node, held);
             let node = self.node.clone();
             let sender = self.sender.clone();
             let (lot, next_group) = (held.id.clone(), held.groups);
@@ -181,7 +182,7 @@
     pub(super) fn on_reclaimed(
         &mut self,
         lot: &str,
-        claim: Result<ClaimEnd, StoreError>,
+        claim: Result<ClaimOutcome, StoreError>,
         now: Timestamp,
     ) {
         let Some(held) = self.find(lot) else {
@@ -189,23 +190,23 @@
         };
         held.is_reclaiming = false;
         match claim {
-            Ok(ClaimEnd::Claimed(revision)) => {
+            Ok(ClaimOutcome::Claimed(revision)) => {
                 held.claim = Some(revision);
-                held.certain_at = now;
+                held.claim_confirmed_at = now;
                 let basis = held.basis();
                 self.node.lot_notices.borrow_mut().set_basis(lot, basis);
             }
-            Ok(end) => {
-                log::info!(lot = lot, end:? = end; "lots: not this daemon's any more");
+            Ok(outcome) => {
+                log::info!(lot = lot, end:? = outcome; "lots: not this daemon's any more");
                 held.is_closing = true;
                 held.stop_items();
-                if end == ClaimEnd::Taken {
-                    self.add_candidate_again(lot, now);
+                if outcome == ClaimOutcome::Taken {
+                    self.retry_candidate(lot, now);
                 }
             }
             Err(error) => {
                 log::warn!(lot = lot, error:% = error; "lots: a claim isn't renewed yet");
-                self.no_write_before = now + WRITE_PAUSE;
+                self.no_write_before = now + WRITE_BACKOFF;
             }
         }
     }
@@ -216,7 +217,7 @@
         for lot in lots {
             self.add_listed(lot, now);
         }
-        self.close_ended(lots, listed.asked_at);
+        self.close_ended(lots, listed.requested_at);
         // Who runs a lot doesn't look whether it is open still. One that was finished
         // meanwhile isn't run any more, and the word does no harm.
         for lot in listed.no_longer_open() {
@@ -224,15 +225,15 @@
             self.node.tell_lot(LotNotice::Ended(lot.to_owned()));
         }
         self.candidates.retain(|it| {
-            let is_young = now.since(it.known_at) < CLAIM_PATIENCE;
-            is_young || it.is_claiming || lots.contains(&it.lot)
+            let is_recent = now.since(it.known_at) < CLAIM_TIMEOUT;
+            is_recent || it.is_claiming || lots.contains(&it.lot)
         });
     }
 
     /// Stops lots that aren't open any more, though nobody told that they ended.
-    fn close_ended(&mut self, open: &[String], asked_at: Timestamp) {
+    fn close_ended(&mut self, open: &[String], requested_at: Timestamp) {
         for held in &mut self.held {
-            let was_held = held.held_since < asked_at;
+            let was_held = held.held_since < requested_at;
             if was_held && !held.is_done() && !open.iter().any(|it| **it == *held.id) {
                 log::info!(lot:% = held.id; "lots: not open any more");
                 held.end();
@@ -249,21 +250,21 @@
                     return;
                 }
                 log::info!(
-                    lot = lot, items = held.head.total, listed = held.listed, due = held.head.due;
+                    lot = lot, items = held.head.total, listed = held.stored_results, due = held.head.due;
                     "lots: claimed"
                 );
                 self.node.metrics.lot("claimed", 1);
                 held.give_up_failed(now);
-                self.tell_progress(&held, now);
-                let place = self.held.partition_point(|it| it.head.due <= held.head.due);
-                self.held.insert(place, *held);
+                self.report_progress(&held, now);
+                let index = self.held.partition_point(|it| it.head.due <= held.head.due);
+                self.held.insert(index, *held);
             }
-            ClaimAnswer::Gone => {
+            ClaimAnswer::NothingLeft => {
                 self.candidates.remove(lot);
-                self.gone.push((lot.to_owned(), now));
+                self.exhausted.push((lot.to_owned(), now));
             }
             ClaimAnswer::Taken | ClaimAnswer::Unknown => {
-                self.candidates.put_back(lot, now + CLAIM_PAUSE);
+                self.candidates.put_back(lot, now + CLAIM_BACKOFF);
             }
         }
     }
@@ -290,7 +291,7 @@
     }
 
     /// A lot whose claim was lost may be left to nobody: it is looked at again.
-    pub(super) fn add_candidate_again(&mut self, lot: &str, now: Timestamp) {
-        self.candidates.add(lot, now, now + CLAIM_PAUSE);
+    pub(super) fn retry_candidate(&mut self, lot: &str, now: Timestamp) {
+        self.candidates.add(lot, now, now + CLAIM_BACKOFF);
     }
 }
--- a/crates/serving/src/lots/worker/items.rs
+++ b/crates/serving/src/lots/worker/items.rs
@@ -23,16 +23,16 @@
 };
 
 /// The items that run here at once, each with its output in memory.
-const MOST_RUNNING: usize = 64;
+const MAX_RUNNING_ITEMS: usize = 64;
 /// An item whose time is up soon isn't started: its server would stop half-way.
-const LEAST_TIME: Duration = Duration::from_millis(300);
+const MIN_RUN_TIME: Duration = Duration::from_millis(300);
 
 impl<D: Dialect> LotWorker<D> {
     /// Gives up items whose time is over.
-    pub(super) fn give_up_late(&mut self, now: Timestamp) {
+    pub(super) fn give_up_expired(&mut self, now: Timestamp) {
         let millis = unix_millis();
         for held in &mut self.held {
-            if millis + LEAST_TIME.as_millis() as u64 >= held.head.given_up {
+            if millis + MIN_RUN_TIME.as_millis() as u64 >= held.head.given_up {
                 held.give_up_waiting("out of time", now);
             }
         }
@@ -40,29 +40,29 @@
 
     /// Stops items where live requests need their slots: those that have run for
     /// the shortest, which hold back the least when they go on elsewhere.
-    pub(super) fn step_aside(&mut self, now: Timestamp) {
+    pub(super) fn preempt_items(&mut self, now: Timestamp) {
         let orders = self.node.servers.borrow_mut().yield_orders(now);
         for order in orders {
-            self.stop_youngest(order);
+            self.preempt_newest(order);
         }
     }
 
-    fn stop_youngest(&self, order: YieldOrder) {
+    fn preempt_newest(&self, order: YieldOrder) {
         let items = self.held.iter().flat_map(|it| &it.items);
         let mut runs: Vec<(Timestamp, &CancellationToken)> = items
             .filter_map(|it| match &it.phase {
                 ItemPhase::Running {
                     server,
-                    begun,
+                    started_at,
                     stop,
-                } if *server == order.server => Some((*begun, stop)),
+                } if *server == order.server => Some((*started_at, stop)),
                 _ => None,
             })
             .collect();
-        let already = runs.iter().filter(|it| it.1.is_cancelled()).count();
+        let already_stopping = runs.iter().filter(|it| it.1.is_cancelled()).count();
         runs.retain(|it| !it.1.is_cancelled());
         runs.sort_by_key(|it| std::cmp::Reverse(it.0));
-        let wanted = (order.items as usize).saturating_sub(already);
+        let wanted = (order.items as usize).saturating_sub(already_stopping);
         for (_, stop) in runs.into_iter().take(wanted) {
             stop.cancel();
             self.node.metrics.lot("stepped_aside", 1);
@@ -76,16 +76,16 @@
         };
         // Hundreds of lots may wait; a route without a free slot is asked for once.
         let mut full: Vec<Arc<RouteSettings>> = Vec::new();
-        for place in self.start_order(now) {
-            while self.running < MOST_RUNNING {
-                let Some(item) = self.held[place].next_waiting(now) else {
+        for index in self.start_order(now) {
+            while self.running < MAX_RUNNING_ITEMS {
+                let Some(item) = self.held[index].next_waiting(now) else {
                     break;
                 };
-                let held = &self.held[place];
+                let held = &self.held[index];
                 let path = &held.items[item].item.path;
                 let Some(route) = fleet.route(&held.head.host, path) else {
                     log::info!(lot:% = held.id; "lots: its route is gone");
-                    self.held[place].give_up_waiting("no route", now);
+                    self.held[index].give_up_waiting("no route", now);
                     break;
                 };
                 if full.iter().any(|it| Arc::ptr_eq(it, &route)) {
@@ -95,7 +95,7 @@
                     full.push(route);
                     break;
                 };
-                self.start(place, item, server, now);
+                self.start(index, item, server, now);
             }
         }
     }
@@ -103,14 +103,14 @@
     /// The lots with items that may start, in the order in which they do.
     fn start_order(&self, now: Timestamp) -> Vec<usize> {
         let millis = unix_millis();
-        let regained_at = self.node.regained_at().max(self.woke_at);
+        let regained_at = self.node.regained_at().max(self.resumed_at);
         let mut ranked: Vec<(StartRank, usize)> = Vec::new();
-        for (place, held) in self.held.iter().enumerate() {
-            if !may_begin_items(held.certain_at, regained_at) {
+        for (index, held) in self.held.iter().enumerate() {
+            if !may_begin_items(held.claim_confirmed_at, regained_at) {
                 continue;
             }
             if let Some(item) = held.next_waiting(now) {
-                ranked.push((held.start_rank(item, &self.pace, millis), place));
+                ranked.push((held.start_rank(item, &self.pace, millis), index));
             }
         }
         ranked.sort_unstable();
@@ -132,8 +132,8 @@
             .map(|it| it.server)
     }
 
-    fn start(&mut self, place: usize, item: usize, server: ServerId, now: Timestamp) {
-        let held = &mut self.held[place];
+    fn start(&mut self, index: usize, item: usize, server: ServerId, now: Timestamp) {
+        let held = &mut self.held[index];
         let stop = CancellationToken::new();
         let left = held.head.given_up.saturating_sub(unix_millis());
         let run = ItemRun {
@@ -146,7 +146,7 @@
         };
         held.items[item].phase = ItemPhase::Running {
             server,
-            begun: now,
+            started_at: now,
             stop,
         };
         self.running += 1;
@@ -162,8 +162,8 @@
         let sender = self.sender.clone();
         let lot = held.id.clone();
         tokio::task::spawn_local(async move {
-            let end = run_item(&node, guard, run).await;
-            let _ = sender.send(WorkerEvent::Ended(lot, item, end));
+            let outcome = run_item(&node, guard, run).await;
+            let _ = sender.send(WorkerEvent::Ended(lot, item, outcome));
         });
     }
 }
--- a/crates/serving/src/lots/worker/mod.rs
+++ b/crates/serving/src/lots/worker/mod.rs
@@ -17,25 +17,25 @@
 use super::{
     candidates::LotCandidates,
     held_lot::HeldLot,
-    item_run::ItemEnd,
+    item_run::ItemOutcome,
     records::ItemFaults,
-    writer::{ClaimAnswer, ClaimEnd, WriteAnswer},
+    writer::{ClaimAnswer, ClaimOutcome, WriteAnswer},
 };
 use crate::{dialect::Dialect, node::Node};
 
 /// How often the worker looks round where nothing else wakes it.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+const CYCLE_INTERVAL: Duration = Duration::from_millis(100);
 /// The pause after a write that the store didn't answer.
-const WRITE_PAUSE: Duration = Duration::from_millis(500);
+const WRITE_BACKOFF: Duration = Duration::from_millis(500);
 /// How long a stop waits for results to be written and claims to be given back.
-const DRAIN_SPAN: Duration = Duration::from_secs(3);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 
 enum WorkerEvent {
     Claimed(String, ClaimAnswer),
-    Reclaimed(Rc<str>, Result<ClaimEnd, StoreError>),
-    Ended(Rc<str>, usize, ItemEnd),
+    Reclaimed(Rc<str>, Result<ClaimOutcome, StoreError>),
+    Ended(Rc<str>, usize, ItemOutcome),
     Written(Rc<str>, WriteAnswer),
-    Noted(Rc<str>, Vec<ItemFaults>, WriteAnswer),
+    FaultsWritten(Rc<str>, Vec<ItemFaults>, WriteAnswer),
     Listed(ListedLots),
 }
 
@@ -44,7 +44,7 @@
     open: Vec<String>,
     /// What other daemons said they run, before the store was asked.
     held_elsewhere: Vec<String>,
-    asked_at: Timestamp,
+    requested_at: Timestamp,
 }
 
 impl ListedLots {
@@ -63,7 +63,7 @@
     held: Vec<HeldLot>,
     candidates: LotCandidates,
     /// Lots that were found to have nothing left, and when.
-    gone: Vec<(String, Timestamp)>,
+    exhausted: Vec<(String, Timestamp)>,
     running: usize,
     pace: RunPace,
     sender: UnboundedSender<WorkerEvent>,
@@ -71,58 +71,58 @@
     listed_at: Option<Timestamp>,
     no_write_before: Timestamp,
     handed_over_at: Timestamp,
-    looked_at: Timestamp,
+    last_cycle_at: Timestamp,
     /// When it last went on after a standstill, such as of its VM. What others said
     /// meanwhile is heard a moment later; items that were begun until then would run
     /// for a lot that may have been ended long ago.
-    woke_at: Option<Timestamp>,
+    resumed_at: Option<Timestamp>,
 }
 
 /// Runs the items of lots until `stop` is cancelled, then gives all claims back.
 pub async fn run_lots<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
     let (sender, events) = unbounded_channel();
-    let looked_at = node.clock.now();
+    let last_cycle_at = node.clock.now();
     let mut worker = LotWorker {
         node,
         held: Vec::new(),
         candidates: LotCandidates::default(),
-        gone: Vec::new(),
+        exhausted: Vec::new(),
         running: 0,
         pace: RunPace::default(),
         sender,
         events,
         listed_at: None,
         no_write_before: Timestamp::ZERO,
-        handed_over_at: looked_at,
-        looked_at,
-        woke_at: None,
+        handed_over_at: last_cycle_at,
+        last_cycle_at,
+        resumed_at: None,
     };
     while !stop.is_cancelled() {
         let node = worker.node.clone();
         tokio::select! {
             Some(event) = worker.events.recv() => worker.on_event(event),
             () = node.bulk_wake.notified() => {}
-            () = tokio::time::sleep(LOOK_INTERVAL) => {}
+            () = tokio::time::sleep(CYCLE_INTERVAL) => {}
             () = stop.cancelled() => {}
         }
-        worker.look_round();
+        worker.run_cycle();
     }
     worker.drain().await;
 }
 
 impl<D: Dialect> LotWorker<D> {
-    fn look_round(&mut self) {
+    fn run_cycle(&mut self) {
         let now = self.node.clock.now();
-        if was_out_of_touch(Some(self.looked_at), now) {
-            self.woke_at = Some(now);
+        if was_out_of_touch(Some(self.last_cycle_at), now) {
+            self.resumed_at = Some(now);
         }
-        self.looked_at = now;
-        self.take_notices(now);
+        self.last_cycle_at = now;
+        self.process_notices(now);
         self.list_open(now);
         self.claim_candidates(now);
         self.check_leases(now);
-        self.give_up_late(now);
-        self.step_aside(now);
+        self.give_up_expired(now);
+        self.preempt_items(now);
         match self.node.is_retiring.get() {
             true => self.close_all(),
             false => self.start_items(now),
@@ -147,15 +147,17 @@
         match event {
             WorkerEvent::Claimed(lot, answer) => self.on_claimed(&lot, answer, now),
             WorkerEvent::Reclaimed(lot, claim) => self.on_reclaimed(&lot, claim, now),
-            WorkerEvent::Ended(lot, item, end) => {
+            WorkerEvent::Ended(lot, item, outcome) => {
                 self.running -= 1;
-                self.node.metrics.lot(end.as_str(), 1);
+                self.node.metrics.lot(outcome.as_str(), 1);
                 if let Some(held) = self.held.iter_mut().find(|it| *it.id == *lot) {
-                    held.end_run(item, end, &mut self.pace, now);
+                    held.end_run(item, outcome, &mut self.pace, now);
                 }
             }
             WorkerEvent::Written(lot, answer) => self.on_written(&lot, answer, now),
-            WorkerEvent::Noted(lot, counts, answer) => self.on_noted(&lot, &counts, answer, now),
+            WorkerEvent::FaultsWritten(lot, counts, answer) => {
+                self.on_faults_written(&lot, &counts, answer, now)
+            }
             WorkerEvent::Listed(listed) => self.on_listed(&listed, now),
         }
     }
@@ -174,7 +176,7 @@
 
     /// Stops all items, writes what there is and gives the claims back.
     async fn drain(&mut self) {
-        let until = self.node.clock.now() + DRAIN_SPAN;
+        let until = self.node.clock.now() + DRAIN_TIMEOUT;
         self.close_all();
         while !self.held.is_empty() && self.node.clock.now() < until {
             let now = self.node.clock.now();
@@ -182,10 +184,10 @@
             self.release_closed();
             tokio::select! {
                 Some(event) = self.events.recv() => self.on_event(event),
-                () = tokio::time::sleep(LOOK_INTERVAL) => {}
+                () = tokio::time::sleep(CYCLE_INTERVAL) => {}
             }
         }
         // Claims that are being given back need a moment more.
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(CYCLE_INTERVAL).await;
     }
 }
--- a/crates/serving/src/lots/worker/results.rs
+++ b/crates/serving/src/lots/worker/results.rs
@@ -4,7 +4,7 @@
 
 use comfreyramp_policy::Timestamp;
 
-use super::{LotWorker, WRITE_PAUSE, WorkerEvent};
+use super::{LotWorker, WRITE_BACKOFF, WorkerEvent};
 use crate::{
     dialect::Dialect,
     lots::{
@@ -18,72 +18,73 @@
 };
 
 /// Results wait this long for others of their lot, since each write is billed.
-const GROUP_SPAN: Duration = Duration::from_millis(1_200);
+const GROUP_DELAY: Duration = Duration::from_millis(1_200);
 
 impl<D: Dialect> LotWorker<D> {
     pub(super) fn on_written(&mut self, lot: &str, answer: WriteAnswer, now: Timestamp) {
-        let Some(place) = self.held.iter().position(|it| *it.id == *lot) else {
+        let Some(index) = self.held.iter().position(|it| *it.id == *lot) else {
             return;
         };
-        let held = &mut self.held[place];
+        let held = &mut self.held[index];
         held.is_writing = false;
         match answer {
             WriteAnswer::Written => {
-                let results: Vec<ItemResult> = held.unwritten.drain(..held.writing).collect();
+                let results: Vec<ItemResult> =
+                    held.unwritten.drain(..held.results_in_write).collect();
                 self.node
                     .lot_cache
                     .borrow_mut()
                     .add_results(lot, held.groups, results, now);
-                held.listed += held.writing;
-                held.writing = 0;
-                held.writing_since = None;
+                held.stored_results += held.results_in_write;
+                held.results_in_write = 0;
+                held.write_started_at = None;
                 held.groups += 1;
                 held.unwritten_since = now;
                 self.node.metrics.lot("group_written", 1);
-                let held = &self.held[place];
-                self.tell_progress(held, now);
-                if held.listed >= held.head.total {
-                    log::info!(lot = lot, results = held.listed; "lots: finished");
-                    self.held.remove(place);
+                let held = &self.held[index];
+                self.report_progress(held, now);
+                if held.stored_results >= held.head.total {
+                    log::info!(lot = lot, results = held.stored_results; "lots: finished");
+                    self.held.remove(index);
                 }
             }
-            WriteAnswer::Fenced => self.lose_claim(place, now),
-            WriteAnswer::Unknown => self.no_write_before = now + WRITE_PAUSE,
+            WriteAnswer::Fenced => self.lose_claim(index, now),
+            WriteAnswer::Unknown => self.no_write_before = now + WRITE_BACKOFF,
         }
     }
 
     /// Leaves a lot whose claim is another daemon's, or that was ended.
-    fn lose_claim(&mut self, place: usize, now: Timestamp) {
-        let held = &mut self.held[place];
+    fn lose_claim(&mut self, index: usize, now: Timestamp) {
+        let held = &mut self.held[index];
         log::info!(lot:% = held.id; "lots: the claim is lost");
         held.is_closing = true;
         held.claim = None;
         held.unwritten.clear();
-        held.writing = 0;
-        held.writing_since = None;
+        held.results_in_write = 0;
+        held.write_started_at = None;
         held.stop_items();
         let lot = held.id.clone();
-        note_basis(&self.node, &self.held[place]);
-        self.add_candidate_again(&lot, now);
+        update_basis(&self.node, &self.held[index]);
+        self.retry_candidate(&lot, now);
     }
 
-    pub(super) fn on_noted(
+    pub(super) fn on_faults_written(
         &mut self,
         lot: &str,
         counts: &[ItemFaults],
         answer: WriteAnswer,
         now: Timestamp,
     ) {
-        let Some(place) = self.held.iter().position(|it| *it.id == *lot) else {
+        let Some(index) = self.held.iter().position(|it| *it.id == *lot) else {
             return;
         };
-        self.held[place].is_noting = false;
+        self.held[index].is_writing_faults = false;
         match answer {
-            WriteAnswer::Written => self.held[place].note_recorded(counts),
+            WriteAnswer::Written => self.held[index].mark_faults_recorded(counts),
             // Another write tells what holds, where there is one on its way.
-            WriteAnswer::Fenced if self.held[place].awaits_write() => {}
-            WriteAnswer::Fenced => self.lose_claim(place, now),
-            WriteAnswer::Unknown => self.no_write_before = now + WRITE_PAUSE,
+            WriteAnswer::Fenced if self.held[index].awaits_write() => {}
+            WriteAnswer::Fenced => self.lose_claim(index, now),
+            WriteAnswer::Unknown => self.no_write_before = now + WRITE_BACKOFF,
         }
     }
 
@@ -93,18 +94,21 @@
             return;
         }
         for held in &mut self.held {
-            let Some(claim) = held.claim.filter(|_| !held.is_noting && !held.is_closing) else {
+            let Some(claim) = held
+                .claim
+                .filter(|_| !held.is_writing_faults && !held.is_closing)
+            else {
                 continue;
             };
             let Some(counts) = held.unrecorded_faults() else {
                 continue;
             };
-            held.is_noting = true;
+            held.is_writing_faults = true;
             let (node, sender) = (self.node.clone(), self.sender.clone());
             let lot = held.id.clone();
             tokio::task::spawn_local(async move {
                 let answer = writer::write_faults(&node, &lot, claim, &counts).await;
-                let _ = sender.send(WorkerEvent::Noted(lot, counts, answer));
+                let _ = sender.send(WorkerEvent::FaultsWritten(lot, counts, answer));
             });
         }
     }
@@ -121,19 +125,19 @@
             if held.is_writing || held.unwritten.is_empty() {
                 continue;
             }
-            let waited = now.since(held.unwritten_since) >= GROUP_SPAN;
-            if !waited && !held.is_done() && !held.is_closing && held.writing == 0 {
+            let waited = now.since(held.unwritten_since) >= GROUP_DELAY;
+            if !waited && !held.is_done() && !held.is_closing && held.results_in_write == 0 {
                 continue;
             }
             // A write without an answer is repeated as it was: it may yet take effect.
-            if held.writing == 0 {
-                held.writing = held.unwritten.len();
-                held.writing_since = Some(now);
-                note_basis(&self.node, held);
+            if held.results_in_write == 0 {
+                held.results_in_write = held.unwritten.len();
+                held.write_started_at = Some(now);
+                update_basis(&self.node, held);
             }
             held.is_writing = true;
-            let results = held.unwritten[..held.writing].to_vec();
-            let is_last = held.listed + results.len() >= held.head.total;
+            let results = held.unwritten[..held.results_in_write].to_vec();
+            let is_last = held.stored_results + results.len() >= held.head.total;
             let mark = (!is_last).then(|| held.open_mark());
             let (node, sender) = (self.node.clone(), self.sender.clone());
             let (lot, number) = (held.id.clone(), held.groups);
@@ -148,20 +152,20 @@
 
     /// Gives back the claims of lots that aren't run here any further.
     pub(super) fn release_closed(&mut self) {
-        let mut place = 0;
-        while place < self.held.len() {
-            let held = &self.held[place];
+        let mut index = 0;
+        while index < self.held.len() {
+            let held = &self.held[index];
             let is_free = held.is_closing
                 && !held.has_running()
                 && !held.is_writing
                 && !held.is_reclaiming
                 && (held.unwritten.is_empty() || held.claim.is_none());
             if !is_free {
-                place += 1;
+                index += 1;
                 continue;
             }
-            let held = self.held.remove(place);
-            self.tell_stage(&held, LotStage::Left, self.node.clock.now());
+            let held = self.held.remove(index);
+            self.report_stage(&held, LotStage::Left, self.node.clock.now());
             if let Some(claim) = held.claim {
                 let node = self.node.clone();
                 tokio::task::spawn_local(async move {
@@ -174,18 +178,18 @@
         }
     }
 
-    pub(super) fn tell_progress(&self, held: &HeldLot, now: Timestamp) {
-        let stage = match held.listed >= held.head.total {
+    pub(super) fn report_progress(&self, held: &HeldLot, now: Timestamp) {
+        let stage = match held.stored_results >= held.head.total {
             true => LotStage::Finished,
             false => LotStage::Held,
         };
-        self.tell_stage(held, stage, now);
+        self.report_stage(held, stage, now);
     }
 
-    fn tell_stage(&self, held: &HeldLot, stage: LotStage, now: Timestamp) {
+    fn report_stage(&self, held: &HeldLot, stage: LotStage, now: Timestamp) {
         let progress = LotProgress {
             lot: held.id.to_string(),
-            results: held.listed as u16,
+            results: held.stored_results as u16,
             stage,
         };
         let mut notices = self.node.lot_notices.borrow_mut();
@@ -195,7 +199,7 @@
 }
 
 /// Has this daemon speak for a lot only while what it says of it is all there is.
-pub(super) fn note_basis<D: Dialect>(node: &Node<D>, held: &HeldLot) {
+pub(super) fn update_basis<D: Dialect>(node: &Node<D>, held: &HeldLot) {
     let mut notices = node.lot_notices.borrow_mut();
     notices.set_basis(&held.id, held.basis());
 }
--- a/crates/serving/src/lots/writer.rs
+++ b/crates/serving/src/lots/writer.rs
@@ -15,7 +15,7 @@
 use crate::{dialect::Dialect, model::ItemResult, node::Node};
 
 /// How often a write is sent before the store is left alone for a moment.
-const WRITE_TRIES: u32 = 3;
+const MAX_WRITE_ATTEMPTS: u32 = 3;
 
 /// How a claim went.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     /// The lot is this daemon's; here is what the store holds of it.
     Claimed(Box<HeldLot>),
     /// There is nothing to run.
-    Gone,
+    NothingLeft,
     /// Another daemon has it.
     Taken,
     /// The store didn't answer; it is tried again later.
@@ -47,25 +47,25 @@
         return ClaimAnswer::Unknown;
     };
     let revision = match write_claim(node, lot, lease.id, None).await {
-        Ok(ClaimEnd::Claimed(revision)) => revision,
-        Ok(ClaimEnd::Taken) => return ClaimAnswer::Taken,
-        Ok(ClaimEnd::Ended) => return ClaimAnswer::Gone,
-        Err(error) => return unknown(node, lot, &error),
+        Ok(ClaimOutcome::Claimed(revision)) => revision,
+        Ok(ClaimOutcome::Taken) => return ClaimAnswer::Taken,
+        Ok(ClaimOutcome::Ended) => return ClaimAnswer::NothingLeft,
+        Err(error) => return claim_unknown(node, lot, &error),
     };
     let range = KeyRange::Prefix(keys::data(lot));
-    let asked_at = node.clock.now();
+    let requested_at = node.clock.now();
     let listed = match node.store.range(range, 0).await {
         Ok(listed) => listed,
         Err(error) => {
             release(node, lot, revision).await;
-            return unknown(node, lot, &error);
+            return claim_unknown(node, lot, &error);
         }
     };
     let now = node.clock.now();
     let taken = node
         .lot_cache
         .borrow_mut()
-        .take(lot, &listed.pairs, asked_at, now);
+        .take(lot, &listed.pairs, requested_at, now);
     if let Err(error) = taken {
         log::error!(lot = lot, error:% = error; "lots: damaged");
     }
@@ -77,16 +77,16 @@
         }
         Ok(_) => {
             release_done(node, lot, revision).await;
-            ClaimAnswer::Gone
+            ClaimAnswer::NothingLeft
         }
         Err(error) => {
             log::error!(lot = lot, error:% = error; "lots: damaged");
-            ClaimAnswer::Gone
+            ClaimAnswer::NothingLeft
         }
     }
 }
 
-fn unknown<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> ClaimAnswer {
+fn claim_unknown<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> ClaimAnswer {
     node.note_store_trouble();
     log::warn!(lot = lot, error:% = error; "lots: not claimed");
     ClaimAnswer::Unknown
@@ -94,7 +94,7 @@
 
 /// How the write of a claim went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ClaimEnd {
+pub(super) enum ClaimOutcome {
     /// The lot is this daemon's, by the claim of this revision.
     Claimed(Revision),
     /// Another daemon has it, or has gone further with it.
@@ -118,16 +118,16 @@
     lot: &str,
     lease: LeaseId,
     next_group: Option<usize>,
-) -> Result<ClaimEnd, StoreError> {
+) -> Result<ClaimOutcome, StoreError> {
     let own = ClaimRecord {
         daemon: node.settings.name.clone(),
         incarnation: node.incarnation,
         lease: lease.0,
     };
     let key = keys::claim(lot);
-    let mut claim_is = Comparison::Absent(key.clone());
+    let mut claim_condition = Comparison::Absent(key.clone());
     loop {
-        let mut when = vec![claim_is.clone(), Comparison::Absent(keys::end(lot))];
+        let mut when = vec![claim_condition.clone(), Comparison::Absent(keys::end(lot))];
         when.extend(next_group.map(|it| Comparison::Absent(keys::group(lot, it))));
         let batch = WriteBatch {
             when,
@@ -138,29 +138,29 @@
             }],
             read_back: vec![key.clone(), keys::end(lot)],
         };
-        let pace = RetryPace::new(node.incarnation).attempts(WRITE_TRIES);
+        let pace = RetryPace::new(node.incarnation).attempts(MAX_WRITE_ATTEMPTS);
         let found = match write_once(&node.store, batch, pace).await? {
-            OnceOutcome::Written(revision) => return Ok(ClaimEnd::Claimed(revision)),
+            OnceOutcome::Written(revision) => return Ok(ClaimOutcome::Claimed(revision)),
             OnceOutcome::Refused { found, .. } | OnceOutcome::Overtaken { found, .. } => found,
         };
         if found.iter().any(|it| it.key == keys::end(lot)) {
-            return Ok(ClaimEnd::Ended);
+            return Ok(ClaimOutcome::Ended);
         }
         let Some(pair) = found.iter().find(|it| it.key == key) else {
-            return Ok(ClaimEnd::Taken);
+            return Ok(ClaimOutcome::Taken);
         };
         let Ok(claim) = from_json::<ClaimRecord>(pair) else {
-            return Ok(ClaimEnd::Taken);
+            return Ok(ClaimOutcome::Taken);
         };
         if claim == own {
-            return Ok(ClaimEnd::Claimed(pair.modified));
+            return Ok(ClaimOutcome::Claimed(pair.modified));
         }
-        let is_first = matches!(claim_is, Comparison::Absent(_));
+        let is_first = matches!(claim_condition, Comparison::Absent(_));
         if !is_first || !node.is_former_life(&claim.daemon, claim.incarnation) {
-            return Ok(ClaimEnd::Taken);
+            return Ok(ClaimOutcome::Taken);
         }
         log::info!(lot = lot, daemon = claim.daemon; "lots: a claim of a former life is taken over");
-        claim_is = Comparison::ModifiedAt(key.clone(), pair.modified);
+        claim_condition = Comparison::ModifiedAt(key.clone(), pair.modified);
     }
 }
 
@@ -201,7 +201,7 @@
         then,
         read_back: vec![group_key],
     };
-    let pace = RetryPace::new(node.incarnation).attempts(WRITE_TRIES);
+    let pace = RetryPace::new(node.incarnation).attempts(MAX_WRITE_ATTEMPTS);
     match write_once(&node.store, batch, pace).await {
         Ok(OnceOutcome::Written(_)) => WriteAnswer::Written,
         Ok(OnceOutcome::Refused { found, .. } | OnceOutcome::Overtaken { found, .. }) => {
@@ -253,7 +253,7 @@
 
 /// Gives a claim back. Should this fail, it lapses with the lease.
 pub(super) async fn release<D: Dialect>(node: &Node<D>, lot: &str, claim: Revision) {
-    remove(node, lot, claim, vec![Write::Delete(keys::claim(lot))]).await;
+    remove_claim(node, lot, claim, vec![Write::Delete(keys::claim(lot))]).await;
 }
 
 /// Gives back the claim on a lot that has nothing left to run.
@@ -262,10 +262,10 @@
         Write::Delete(keys::claim(lot)),
         Write::Delete(keys::open(lot)),
     ];
-    remove(node, lot, claim, then).await;
+    remove_claim(node, lot, claim, then).await;
 }
 
-async fn remove<D: Dialect>(node: &Node<D>, lot: &str, claim: Revision, then: Vec<Write>) {
+async fn remove_claim<D: Dialect>(node: &Node<D>, lot: &str, claim: Revision, then: Vec<Write>) {
     let batch = WriteBatch {
         when: vec![Comparison::ModifiedAt(keys::claim(lot), claim)],
         then,
