--- a/crates/serving/src/lots/accept.rs
+++ b/crates/serving/src/lots/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting lots.
+//! Accepts lots that callers submit.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -24,53 +24,53 @@
     path::FrontBody,
 };
 
-/// The items of one lot at most.
+/// Maximum number of items in one lot.
 const MAX_ITEMS: usize = 200;
-/// When a caller may come back while the store can't be reached.
+/// Time after which a caller may retry while the store can't be reached.
 const STORE_RETRY_AFTER: Duration = Duration::from_millis(800);
-/// Of the caller's time, the part that may be spent on the store.
+/// Fraction of the caller's remaining time that may be spent on the store.
 const STORE_TIME_FRACTION: f64 = 0.7;
-/// How often the store is asked at most for one lot, and the longest pause between. A
-/// daemon that hears no other leaves the store alone for a second after an answer was
-/// lost; with fewer tries it gave up before, and its caller was told that nothing is
-/// known of a lot that was kept.
+/// Maximum number of attempts at one write, and the longest backoff between two of them. A
+/// daemon that receives nothing from its peers sends nothing to the store for a second
+/// after an answer was lost. With fewer attempts it gave up within that second, and its
+/// caller was told that the outcome is unknown although the lot was stored.
 const MAX_STORE_ATTEMPTS: u32 = 16;
 const MAX_STORE_BACKOFF: Duration = Duration::from_millis(400);
-/// Of the time for the store, the part that is spent waiting for other lots of the
-/// same customer.
+/// Fraction of the time for the store that a lot may wait for other lots of the same
+/// customer, which are decided one after another.
 const LEDGER_WAIT_FRACTION: f64 = 0.5;
-/// How often a lot is counted anew at most. Each time another daemon has accepted one
-/// of the same customer.
+/// Maximum number of times a lot is checked against the ledger. Each repetition means that
+/// another daemon accepted a lot of the same customer in between.
 const MAX_LEDGER_ATTEMPTS: u32 = 16;
 
-/// A lot that is handed in.
+/// A lot as a caller submits it, before its body is parsed.
 #[derive(Debug)]
 pub struct Submission {
-    /// Its id.
+    /// Id that the caller chose for the lot.
     pub lot: String,
-    /// Whose it is.
+    /// Customer that submits it.
     pub customer: Arc<KnownCustomer>,
-    /// Its route.
+    /// Route that its items take.
     pub route: Arc<RouteSettings>,
-    /// What holds for it.
+    /// Limits and times that apply to the lot.
     pub terms: LotTerms,
-    /// Until when the caller waits.
+    /// Moment at which the caller stops waiting.
     pub deadline: Timestamp,
 }
 
-/// Accepts a lot: once this returns success, the store holds all of it.
+/// Accepts a lot. Once this returns success, the store holds all of it.
 ///
 /// # Errors
 ///
-/// Only where the store has certainly taken nothing, and never will, is the
-/// refusal one that says so.
+/// Returns a refusal that says the lot wasn't accepted only if the store has certainly
+/// written nothing and never will. Otherwise the cause is [`RefusalCause::Undecided`].
 pub async fn accept_lot<D: Dialect>(
     node: &Rc<Node<D>>,
     submission: Submission,
     body: &[u8],
 ) -> Result<Response<FrontBody<D>>, Refusal> {
     let lot = <D::Callers as CallerDialect>::read_lot(body).map_err(|fault| {
-        log::info!(lot = submission.lot, fault:% = fault; "lots: a lot can't be read");
+        log::info!(lot = submission.lot, fault:% = fault; "lots: the body of a lot can't be parsed");
         RefusalCause::BadRequest
     })?;
     let is_fit = keys::is_usable_id(&submission.lot) && lot.items.len() <= MAX_ITEMS;
@@ -87,7 +87,7 @@
         return accepted();
     }
     let Some(tokens) = lot.tokens() else {
-        log::info!(lot = submission.lot; "lots: the tokens of its items are beyond all counts");
+        log::info!(lot = submission.lot; "lots: the sum of its items' tokens overflows");
         return Err(RefusalCause::BadRequest.into());
     };
     let now = node.clock.now();
@@ -98,25 +98,26 @@
         Err(StoreError::AnswerLost(_)) => Err(RefusalCause::Undecided.into()),
         Err(error) => {
             node.note_store_trouble();
-            log::warn!(lot = id, error:% = error; "lots: not accepted");
+            log::warn!(lot = id, error:% = error; "lots: not accepted, since the store failed");
             Err(Refusal::new(RefusalCause::StoreAway).retry_after(STORE_RETRY_AFTER))
         }
     }
 }
 
-/// How it was decided whether a lot is accepted.
+/// How the attempt to accept a lot ended.
 #[derive(Debug)]
 enum AcceptOutcome {
-    /// The store took it now.
+    /// The store wrote it now, at this revision.
     Written(Revision),
-    /// The store had it before.
+    /// The store held it before.
     Known,
-    /// The store doesn't, and won't by any write of this daemon.
+    /// The store doesn't hold it, and no write of this daemon will add it later.
     Refused(Refusal),
 }
 
-/// Writes a lot within `span`, and has it run. A caller that leaves meanwhile doesn't
-/// stop it half-way: the lot would be kept, and no daemon told to run it.
+/// Writes a lot within `timeout` and announces it to the daemons that run lots. The write
+/// continues in its own task if the caller disconnects: otherwise the lot could be stored
+/// and no daemon told to run it.
 async fn write_lot<D: Dialect>(
     node: &Rc<Node<D>>,
     submission: Submission,
@@ -142,11 +143,11 @@
     match tokio::time::timeout(timeout, writing).await {
         Ok(Ok(outcome)) => outcome,
         Ok(Err(error)) => lost(error.to_string()),
-        Err(_) => lost("the caller's time is nearly up".to_owned()),
+        Err(_) => lost("no answer within the caller's time".to_owned()),
     }
 }
 
-/// Writes the lot of a customer whose waiting tokens have no bound.
+/// Writes the lot of a customer whose waiting tokens aren't limited.
 async fn write_unbounded<D: Dialect>(
     node: &Rc<Node<D>>,
     submission: &Submission,
@@ -160,8 +161,8 @@
     }
 }
 
-/// Writes a lot together with the ledger that it was counted by, and counts anew where
-/// another daemon has written that meanwhile.
+/// Writes a lot together with the ledger it was checked against, and repeats the check if
+/// another daemon has changed the ledger meanwhile.
 async fn write_bounded<D: Dialect>(
     node: &Rc<Node<D>>,
     submission: &Submission,
@@ -181,12 +182,13 @@
         lot: submission.lot.clone(),
         tokens,
     };
-    // Behind writes that the store doesn't answer nothing is sent for this one.
+    // If earlier writes wait for a store that doesn't answer, this lot sends none of its
+    // own.
     let opening = node.ledgers.open(customer, terms.route);
     let Ok(mut copy) = tokio::time::timeout(timeout.mul_f64(LEDGER_WAIT_FRACTION), opening).await
     else {
         return Err(StoreError::Unreachable(
-            "others wait for the ledger".to_owned(),
+            "earlier lots still wait for the ledger".to_owned(),
         ));
     };
     for _ in 0..MAX_LEDGER_ATTEMPTS {
@@ -213,12 +215,12 @@
         node.metrics.lot("ledger_conflict", 1);
     }
     Err(StoreError::Rejected(
-        "the ledger changes all the time".to_owned(),
+        "the ledger changed before each write".to_owned(),
     ))
 }
 
-/// Refuses a lot for which there is no room. One that was accepted before, and has
-/// left the ledger since, is still accepted.
+/// Refuses a lot that exceeds the limit on waiting tokens. A lot that was accepted before
+/// and has left the ledger since still counts as accepted.
 async fn refuse_bounded<D: Dialect>(
     node: &Rc<Node<D>>,
     submission: &Submission,
@@ -272,7 +274,7 @@
     node.place_lot(&submission.lot, items as u32);
 }
 
-/// A lot is accepted once; a repeat of it gets the same answer.
+/// Answers a repeated submission like the first one, since a lot is accepted only once.
 fn accepted_before<D: Dialect>(
     node: &Node<D>,
     submission: &Submission,
@@ -288,9 +290,9 @@
         return AcceptOutcome::Refused(RefusalCause::BadRequest.into());
     }
     log::info!(lot = submission.lot; "lots: accepted before");
-    // The daemon that wrote it may have been lost before it could tell, and the lot
-    // would lie until all open ones are listed. One that is done or ended would be
-    // claimed to find nothing left.
+    // The daemon that wrote the lot may have been lost before it could announce it. Without
+    // this notice the lot would wait until all open lots are listed. A lot that is finished
+    // or ended isn't announced: a daemon would claim it only to find nothing left to run.
     if found.iter().any(|it| it.key == keys::open(&submission.lot)) {
         node.tell_lot(LotNotice::Accepted(submission.lot.clone()));
     }
@@ -330,7 +332,8 @@
         then.push(put(keys::pack(id, number), pack));
     }
     WriteBatch {
-        // The open mark is never there without a head: it is compared to be read back.
+        // An open mark never exists without a head, so that comparing it decides nothing:
+        // it is here to have the mark read back.
         when: vec![
             Comparison::Absent(keys::head(id)),
             Comparison::Absent(keys::open(id)),
--- a/crates/serving/src/lots/candidates.rs
+++ b/crates/serving/src/lots/candidates.rs
@@ -1,34 +1,35 @@
-//! Lots that wait for a claim.
+//! Lots that wait to be claimed by a daemon.
 
 use comfreyramp_policy::{Timestamp, usage::PeerId};
 
-/// A lot that waits for a claim.
+/// A lot that waits to be claimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LotCandidate {
-    /// The lot.
+    /// Id of the lot.
     pub lot: String,
-    /// The daemon that is asked to run it, if its acceptor chose one.
+    /// Daemon that is asked to run it, if the daemon that accepted the lot chose one.
     pub runner: Option<PeerId>,
-    /// Since when it is known that nobody runs it.
-    pub known_at: Timestamp,
-    /// It isn't claimed before.
+    /// Moment since which this daemon knows that no daemon runs it.
+    pub unclaimed_since: Timestamp,
+    /// Earliest moment at which it may be claimed.
     pub not_before: Timestamp,
-    /// Whether a claim is on its way.
+    /// Whether a claim of this daemon is being written.
     pub is_claiming: bool,
 }
 
-/// Lots that wait for a claim, each of them once.
+/// Lots that wait to be claimed, each of them once.
 ///
-/// One that stands here twice is claimed twice by the same daemon, which takes its own
-/// claim for granted: it would run all items twice, and list them at two positions.
+/// A lot that is listed twice would be claimed twice by the same daemon, which accepts its
+/// own claim as valid. It would run all items twice and store their results at two
+/// positions.
 #[derive(Clone, Debug, Default)]
 pub struct LotCandidates {
     candidates: Vec<LotCandidate>,
 }
 
 impl LotCandidates {
-    /// Takes in a lot that may be claimed from `not_before` on. One that waits already
-    /// stays as it is, but isn't claimed sooner.
+    /// Adds a lot that may be claimed from `not_before` on. If the lot waits already, only
+    /// its `not_before` is moved to the later of the two moments.
     pub fn add(&mut self, lot: &str, now: Timestamp, not_before: Timestamp) {
         if let Some(candidate) = self.find(lot) {
             candidate.not_before = candidate.not_before.max(not_before);
@@ -37,31 +38,31 @@
         self.candidates.push(LotCandidate {
             lot: lot.to_owned(),
             runner: None,
-            known_at: now,
+            unclaimed_since: now,
             not_before,
             is_claiming: false,
         });
     }
 
-    /// Whether a lot waits.
+    /// Returns whether a lot waits to be claimed.
     pub fn holds(&self, lot: &str) -> bool {
         self.candidates.iter().any(|it| it.lot == lot)
     }
 
-    /// Notes which daemon is asked to run a lot. The first word counts: a lot that was
-    /// handed in twice may be placed twice.
-    pub fn place(&mut self, lot: &str, runner: PeerId) {
+    /// Records which daemon is asked to run a lot. The first call wins, since a lot that
+    /// was submitted twice may be assigned to two daemons.
+    pub fn assign(&mut self, lot: &str, runner: PeerId) {
         if let Some(candidate) = self.find(lot) {
             candidate.runner.get_or_insert(runner);
         }
     }
 
-    /// Takes a lot out.
+    /// Removes a lot.
     pub fn remove(&mut self, lot: &str) {
         self.candidates.retain(|it| it.lot != lot);
     }
 
-    /// Has a lot wait again whose claim went wrong.
+    /// Makes a lot whose claim failed wait again until `not_before`.
     pub fn put_back(&mut self, lot: &str, not_before: Timestamp) {
         if let Some(candidate) = self.find(lot) {
             candidate.is_claiming = false;
@@ -69,12 +70,12 @@
         }
     }
 
-    /// Keeps only those for which `is_kept` holds.
+    /// Keeps only the lots for which `is_kept` returns true.
     pub fn retain(&mut self, is_kept: impl FnMut(&LotCandidate) -> bool) {
         self.candidates.retain(is_kept);
     }
 
-    /// All that wait, to be claimed.
+    /// Iterates over all waiting lots, so that the caller can mark them as being claimed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut LotCandidate> {
         self.candidates.iter_mut()
     }
--- a/crates/serving/src/lots/held_lot.rs
+++ b/crates/serving/src/lots/held_lot.rs
@@ -1,4 +1,4 @@
-//! A lot while this daemon runs it.
+//! State of a lot while this daemon runs it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,27 +18,28 @@
 };
 use crate::model::{ItemResult, ItemState, LotItem};
 
-/// After this many breaks without progress an item waits longer: it may be the
-/// one that breaks its servers.
+/// Number of broken streams in a row without progress after which an item waits longer
+/// before it is retried: the item itself may be what breaks its servers.
 const MAX_QUICK_RETRIES: u32 = 3;
-/// The pause of an item whose server broke off, and of one that keeps breaking.
+/// Delay before an item is retried whose stream broke: the usual one, and the one for an
+/// item that keeps breaking its streams.
 const BREAK_BACKOFF: Duration = Duration::from_millis(100);
 const LONG_BREAK_BACKOFF: Duration = Duration::from_secs(5);
-/// The pause of an item that its server failed at, or didn't run.
+/// Delay before an item is retried that its server failed at or didn't run.
 const FAULT_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Where an item stands.
+/// Execution state of an item.
 #[derive(Debug)]
 pub(super) enum ItemPhase {
-    /// It may run from this moment on.
+    /// The item may start from this moment on.
     Waiting(Timestamp),
-    /// It runs.
+    /// The item is running on a server.
     Running {
         server: ServerId,
         started_at: Timestamp,
         stop: CancellationToken,
     },
-    /// It has its result.
+    /// The item has its result.
     Ended,
 }
 
@@ -48,52 +49,54 @@
     pub(super) phase: ItemPhase,
     pub(super) progress: ItemProgress,
     faults: u32,
-    /// How many of its faults the store holds.
+    /// Number of faults of this item that the store has recorded.
     recorded_faults: u32,
     breaks: u32,
 }
 
-/// A lot while this daemon runs it.
+/// A lot that this daemon runs, with the state of its items and of its writes.
 #[derive(Debug)]
 pub(super) struct HeldLot {
     pub(super) id: Rc<str>,
     pub(super) head: LotHead,
     pub(super) items: Vec<HeldItem>,
-    /// Since when it is held here.
+    /// Moment at which this daemon took the lot over.
     pub(super) held_since: Timestamp,
-    /// The revision of the claim; nothing while the lease is lost.
+    /// Revision of the claim, or `None` while the lease is lost.
     pub(super) claim: Option<Revision>,
-    /// The lease that the claim hangs on.
+    /// Lease that the claim is bound to.
     pub(super) lease: Option<LeaseId>,
-    /// When the claim certainly held last.
+    /// Last moment at which the claim was known to hold.
     pub(super) claim_confirmed_at: Timestamp,
-    /// Whether a claim under a new lease is on its way.
+    /// Whether a claim under a new lease is being written.
     pub(super) is_reclaiming: bool,
-    /// How many groups of results the store holds.
+    /// Number of groups of results in the store.
     pub(super) groups: usize,
-    /// How many results the store holds.
+    /// Number of results in the store.
     pub(super) stored_results: usize,
-    /// Results that aren't written yet.
+    /// Results that the store hasn't confirmed yet.
     pub(super) unwritten: Vec<ItemResult>,
-    /// Since when results wait.
+    /// Moment since which results wait to be written.
     pub(super) unwritten_since: Timestamp,
-    /// How many of the unwritten results a write under way holds.
+    /// How many of the unwritten results belong to the current write, counted from the
+    /// first.
     pub(super) results_in_write: usize,
-    /// When the write was begun whose outcome isn't known yet.
+    /// Moment at which the current write started, while its outcome is unknown.
     pub(super) write_started_at: Option<Timestamp>,
-    /// Whether a write is on its way.
+    /// Whether a write of results is in flight.
     pub(super) is_writing: bool,
-    /// Whether a write of the counts of faults is on its way.
+    /// Whether a write of the fault counts is in flight.
     pub(super) is_writing_faults: bool,
-    /// It isn't run any further here.
+    /// Whether this daemon has stopped running the lot and is about to release it.
     pub(super) is_closing: bool,
-    /// The daemon that is asked to run it then.
+    /// Daemon that is asked to run the lot after its release.
     pub(super) successor: Option<PeerId>,
 }
 
 impl HeldLot {
-    /// Reads what the store holds of a lot. Returns nothing where there is
-    /// nothing to run: it doesn't exist, was ended, or has all its results.
+    /// Builds the state of a lot from its records in the store. Returns `None` where there
+    /// is nothing to run: the lot doesn't exist or its customer ended it. A lot that has
+    /// all its results is returned with [`HeldLot::is_done`] true.
     pub(super) fn load(
         id: &str,
         pairs: &[KeyValue],
@@ -147,7 +150,7 @@
         }))
     }
 
-    /// What entitles this daemon to speak for the lot.
+    /// Returns the conditions under which this daemon's report on the lot is complete.
     pub(super) fn basis(&self) -> ClaimBasis {
         ClaimBasis {
             lease: self.lease.filter(|_| self.claim.is_some()),
@@ -155,20 +158,20 @@
         }
     }
 
-    /// Whether every item has its result, written or not.
+    /// Returns whether every item has its result, stored or not.
     pub(super) fn is_done(&self) -> bool {
         self.items
             .iter()
             .all(|it| matches!(it.phase, ItemPhase::Ended))
     }
 
-    /// The mark of the lot while items of it wait.
+    /// Returns the open mark to store while items of the lot wait.
     pub(super) fn open_mark(&self) -> OpenMark {
         let tokens = self.unfinished().map(|it| it.item.tokens);
         OpenMark::new(&self.head, tokens.fold(0, u64::saturating_add))
     }
 
-    /// How many items have to be run here still.
+    /// Returns the number of items that this daemon still has to run.
     pub(super) fn open_items(&self) -> u32 {
         match self.is_closing {
             true => 0,
@@ -176,12 +179,13 @@
         }
     }
 
-    /// The bytes of the bodies that are kept for its items.
+    /// Returns the size in bytes of the item bodies kept in memory.
     pub(super) fn body_bytes(&self) -> usize {
         self.items.iter().map(|it| it.item.body.len()).sum()
     }
 
-    /// Whether nothing of it would be lost if another daemon ran it from now on.
+    /// Returns whether another daemon could take the lot over now without any work being
+    /// lost.
     pub(super) fn is_untouched(&self) -> bool {
         let is_begun =
             |it: &HeldItem| matches!(it.phase, ItemPhase::Running { .. }) || it.progress.events > 0;
@@ -198,7 +202,7 @@
         items.filter(|it| !matches!(it.phase, ItemPhase::Ended))
     }
 
-    /// The next item that may run.
+    /// Returns the index of the next item that may run.
     pub(super) fn next_waiting(&self, now: Timestamp) -> Option<usize> {
         if self.is_closing {
             return None;
@@ -207,14 +211,15 @@
             let is_due = matches!(it.phase, ItemPhase::Waiting(from) if from <= now);
             is_due && it.faults == it.recorded_faults
         };
-        // One that was begun holds its output in memory until it is done.
+        // An item that was started before goes first, since its output stays in memory
+        // until it is done.
         let was_begun = |it: &HeldItem| may_run(it) && it.progress.events > 0;
         let index = self.items.iter().position(was_begun);
         index.or_else(|| self.items.iter().position(may_run))
     }
 
-    /// When an item starts among those that wait. `millis` is the time of day, by
-    /// which lots are due on any VM.
+    /// Returns the rank of an item among those that wait to start. `millis` is the time of
+    /// day in Unix milliseconds, since due times have to mean the same on all VMs.
     pub(super) fn start_rank(&self, index: usize, pace: &RunPace, millis: u64) -> StartRank {
         let until = |moment: u64| Duration::from_millis(moment.saturating_sub(millis));
         StartRank::of(ItemTimes {
@@ -224,7 +229,7 @@
         })
     }
 
-    /// Stops all items.
+    /// Stops all running items.
     pub(super) fn stop_items(&self) {
         for item in &self.items {
             if let ItemPhase::Running { stop, .. } = &item.phase {
@@ -233,20 +238,20 @@
         }
     }
 
-    /// Runs and writes nothing any further: its customer ended it.
+    /// Stops running and writing the lot, because its customer ended it.
     pub(super) fn end(&mut self) {
         self.is_closing = true;
         self.unwritten.truncate(self.results_in_write);
         self.stop_items();
     }
 
-    /// Whether any item runs.
+    /// Returns whether any item is running.
     pub(super) fn has_running(&self) -> bool {
         let runs = |it: &HeldItem| matches!(it.phase, ItemPhase::Running { .. });
         self.items.iter().any(runs)
     }
 
-    /// Takes in how a run of an item ended.
+    /// Applies the outcome of a run to its item.
     pub(super) fn end_run(
         &mut self,
         index: usize,
@@ -299,7 +304,7 @@
         }
     }
 
-    /// Gives up what has no result yet, for a cause that the log tells.
+    /// Gives up all items that wait for a run, with a cause for the log.
     pub(super) fn give_up_waiting(&mut self, cause: &str, now: Timestamp) {
         for index in 0..self.items.len() {
             if matches!(self.items[index].phase, ItemPhase::Waiting(_)) {
@@ -308,7 +313,7 @@
         }
     }
 
-    /// Gives up what servers failed at too often while other daemons ran it.
+    /// Gives up items that reached the fault limit while other daemons ran the lot.
     pub(super) fn give_up_failed(&mut self, now: Timestamp) {
         for index in 0..self.items.len() {
             let item = &self.items[index];
@@ -319,15 +324,16 @@
         }
     }
 
-    /// Whether a write is on its way that shows whether the claim holds.
+    /// Returns whether a write is in flight whose answer shows whether the claim still
+    /// holds.
     pub(super) fn awaits_write(&self) -> bool {
         self.is_writing || self.is_reclaiming
     }
 
-    /// The counts of faults, if there are any that the store doesn't hold yet. An item
-    /// isn't begun again before it does: a daemon that is lost would take its count with
-    /// it, and each one that takes the lot over would begin anew with an item that wears
-    /// servers out.
+    /// Returns the fault counts if the store lacks any of them. An item isn't restarted
+    /// before the store holds its count. Otherwise a daemon that is lost would take the
+    /// count with it, and every daemon that takes the lot over would start again at zero
+    /// with an item that makes its servers fail.
     pub(super) fn unrecorded_faults(&self) -> Option<Vec<ItemFaults>> {
         if !self.unfinished().any(|it| it.faults > it.recorded_faults) {
             return None;
@@ -340,7 +346,7 @@
         Some(counts.collect())
     }
 
-    /// Notes that the store holds these counts.
+    /// Records that the store holds these counts.
     pub(super) fn mark_faults_recorded(&mut self, counts: &[ItemFaults]) {
         for item in &mut self.items {
             if let Some(count) = counts.iter().find(|it| it.item == item.item.id) {
@@ -381,7 +387,7 @@
 }
 
 impl HeldItem {
-    /// Takes in how fast a run went, whether it came to its end or not.
+    /// Feeds the speed of a run into the pace estimate, also if the run was stopped early.
     fn note_pace(&self, outcome: &ItemOutcome, pace: &mut RunPace, now: Timestamp) {
         let (ItemOutcome::Done(progress) | ItemOutcome::Stopped(progress)) = outcome else {
             return;
--- a/crates/serving/src/lots/item_run.rs
+++ b/crates/serving/src/lots/item_run.rs
@@ -1,4 +1,4 @@
-//! Running one item of a lot.
+//! Runs one item of a lot on a server.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,53 +15,53 @@
     path::{AttemptGuard, OpenAnswer, open_answer},
 };
 
-/// How long a server may take up to the first event. It is longer than for live
-/// requests: the item may wait for a slot that a live request took meanwhile.
+/// Longest wait for the first event. It is longer than for live requests, because the item
+/// may wait for a slot that a live request took meanwhile.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// How long a server may be silent between two events.
+/// Longest silence between two events.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Where an item stands: what was read of its stream so far.
+/// What was read of an item's event stream so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ItemProgress {
-    /// The id of the last event.
+    /// Id of the last event, from which a later run resumes.
     pub(super) last_event: Option<u64>,
-    /// The data of all events so far.
+    /// Data of all events so far, one line per event.
     pub(super) output: Vec<u8>,
-    /// How many events there were.
+    /// Number of events so far.
     pub(super) events: u32,
 }
 
-/// One run of an item.
+/// Parameters of one run of an item.
 pub(super) struct ItemRun {
     pub(super) item: Rc<LotItem>,
     pub(super) host: String,
     pub(super) customer: String,
     pub(super) progress: ItemProgress,
-    /// How long the item may still take.
+    /// Time until the item is given up.
     pub(super) time_left: Duration,
-    /// Cancelled when the item has to step aside, or its lot was ended.
+    /// Cancelled when the item is preempted or its lot is closed.
     pub(super) stop: CancellationToken,
 }
 
 /// How a run of an item ended.
 #[derive(Debug)]
 pub(super) enum ItemOutcome {
-    /// Its whole answer is here.
+    /// The whole answer was received.
     Done(ItemProgress),
-    /// The server says that it can never be done.
+    /// The server reports that the item can never succeed.
     Impossible,
-    /// The server ran it and failed.
+    /// The server ran the item and failed.
     Failed,
-    /// It wasn't run.
+    /// The item wasn't run, so that nothing counts against it.
     NotRun(ItemProgress),
-    /// The server broke off, or fell silent.
+    /// The connection broke, or the server was silent for too long.
     Broken(ItemProgress),
-    /// It was stopped.
+    /// The run was stopped by this daemon.
     Stopped(ItemProgress),
 }
 
-/// Runs an item on the server whose place `guard` holds.
+/// Runs an item on the server whose slot `guard` occupies.
 pub(super) async fn run_item<D: Dialect>(
     node: &Rc<Node<D>>,
     guard: AttemptGuard<D>,
@@ -80,7 +80,7 @@
     let request = match request {
         Ok(request) => request.map(Full::new),
         Err(error) => {
-            log::warn!(item = run.item.id, error:% = error; "lots: an item is no request");
+            log::warn!(item = run.item.id, error:% = error; "lots: no valid request can be built from an item");
             return ItemOutcome::Impossible;
         }
     };
@@ -145,7 +145,7 @@
 impl ItemProgress {
     fn add_event(&mut self, event: &[u8]) {
         let id = event_id(event);
-        // A server that repeats an event must not get it into the output twice.
+        // Skips events that a server repeats, which would appear in the output twice.
         if id.is_some() && id <= self.last_event {
             return;
         }
@@ -162,7 +162,7 @@
 }
 
 impl ItemOutcome {
-    /// How many events the item has by then, as far as they are kept.
+    /// Returns the number of events that the item keeps after this run.
     pub(super) fn events(&self) -> u32 {
         match self {
             ItemOutcome::Done(progress)
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The end as a label.
+    /// Returns the outcome as a label for logs and metrics.
     pub(super) fn as_str(&self) -> &'static str {
         match self {
             ItemOutcome::Done(_) => "done",
--- a/crates/serving/src/lots/keys.rs
+++ b/crates/serving/src/lots/keys.rs
@@ -1,20 +1,22 @@
-//! The keys of lots in the store.
+//! Keys of lots in the store.
 
 use sha2::{Digest, Sha256};
 
-/// Open lots, by id: written with the lot, removed with its last result or end.
+/// Prefix of the open marks, one per lot that isn't finished: written with the lot, deleted
+/// with its last result or when the lot is ended.
 pub(super) const OPEN: &str = "lots/open/";
-/// The key of the daemon that runs a lot, under that daemon's lease.
+/// Prefix of the claims. A claim names the daemon that runs a lot and is bound to that
+/// daemon's lease.
 const CLAIM: &str = "lots/claim/";
-/// The ledgers of tokens that wait.
+/// Prefix of the ledgers, which count a customer's waiting tokens.
 const LEDGER: &str = "lots/waiting/";
-/// The lot's head, its items, groups of results, and the end.
+/// Prefix of a lot's head, items, groups of results, fault counts and end record.
 const DATA: &str = "lots/data/";
 
-/// The longest id. Keys have 200 bytes at most.
+/// Longest id of a lot. The store accepts keys of up to 200 bytes.
 const MAX_ID_LENGTH: usize = 100;
 
-/// Whether a caller's id can stand in a key and in a query.
+/// Returns whether a caller's id can be part of a key and of a query.
 pub(super) fn is_usable_id(id: &str) -> bool {
     let is_plain = |it: char| it.is_ascii_alphanumeric() || it == '-' || it == '_';
     !id.is_empty() && id.len() <= MAX_ID_LENGTH && id.chars().all(is_plain)
@@ -28,8 +30,8 @@
     format!("{CLAIM}{lot}")
 }
 
-/// All that is kept of a lot. In the order of keys the counts of faults come first, then
-/// the head, the packs of items, the groups of results by number, and the end.
+/// Returns the prefix of all data of a lot. In key order the fault counts come first, then
+/// the head, the packs of items, the groups of results by number, and the end record.
 pub(super) fn data(lot: &str) -> String {
     format!("{DATA}{lot}/")
 }
@@ -50,12 +52,12 @@
     format!("{DATA}{lot}/zend")
 }
 
-/// How often servers failed at items of a lot.
+/// Returns the key of the fault counts: how often servers failed at each item.
 pub(super) fn faults(lot: &str) -> String {
     format!("{DATA}{lot}/faults")
 }
 
-/// All packs of a lot's items.
+/// Returns the prefix of all packs of a lot's items.
 pub(super) fn items(lot: &str) -> String {
     format!("{DATA}{lot}/items/")
 }
@@ -64,7 +66,7 @@
     format!("{DATA}{lot}/items/{number:03}")
 }
 
-/// The key after which the results of a lot begin.
+/// Returns a key that sorts directly before the first group of results of a lot.
 pub(super) fn before_results(lot: &str) -> String {
     format!("{DATA}{lot}/results/")
 }
@@ -73,16 +75,16 @@
     key.contains("/items/")
 }
 
-/// What the keys of all lots begin with.
+/// Returns the prefix of the data of all lots.
 pub(super) fn all_data() -> &'static str {
     DATA
 }
 
-/// The bytes of a hash that stand in a ledger's key.
+/// Number of bytes of the hash that are part of a ledger's key.
 const HASH_BYTES: usize = 16;
 
-/// The ledger of what waits of a customer's lots on a route. Names may hold whatever
-/// operators write, keys may not.
+/// Returns the key of the ledger for a customer's lots on a route. The names are hashed,
+/// since operators may use characters in them that keys can't hold.
 pub(super) fn ledger(customer: &str, route: &str) -> String {
     let mut hash = Sha256::new();
     hash.update(customer.as_bytes());
--- a/crates/serving/src/lots/lot_cache.rs
+++ b/crates/serving/src/lots/lot_cache.rs
@@ -1,5 +1,5 @@
-//! What a daemon has read of lots. Heads and results never change, so that what
-//! is here needs no second look at the store.
+//! Cache of the lots that this daemon has read. Heads and results never change, so that
+//! cached ones are never read from the store again.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -13,15 +13,15 @@
 };
 use crate::model::{ItemResult, LotPage};
 
-/// The lots that are kept at most.
+/// Maximum number of cached lots.
 const MAX_LOTS: usize = 64;
-/// The bytes of results that are kept at most, so that a daemon of a small VM
-/// isn't killed for its memory.
+/// Maximum size of the cached results in bytes, so that a daemon on a small VM isn't killed
+/// for lack of memory.
 const MAX_BYTES: usize = 12 << 20;
-/// The bytes of results that one answer holds at most.
+/// Maximum size of the results in one answer, in bytes.
 const PAGE_BYTES: usize = 900_000;
 
-/// Where a daemon learnt last what there is of a lot.
+/// Where the last confirmation of a cached lot came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopySource {
     /// The store.
@@ -39,24 +39,24 @@
     }
 }
 
-/// A lot as far as it was read.
+/// Copy of a lot, with the results read so far.
 #[derive(Clone, Debug)]
 pub struct CachedLot {
     lot: String,
-    /// Its head.
+    /// Head of the lot.
     pub head: LotHead,
-    /// Its results by position.
+    /// Results in the order of their positions.
     pub results: Vec<ItemResult>,
-    /// Whether its customer ended it.
+    /// Whether the customer ended the lot.
     pub is_ended: bool,
-    /// How many groups of results it has.
+    /// Number of groups that the results were stored in.
     groups: usize,
     bytes: usize,
-    /// Whether its end was read from the store. Nothing is written behind that.
+    /// Whether the end record was read from the store. No results are written after it.
     has_end_record: bool,
-    /// When this was last certainly all there is.
+    /// Last moment at which the copy was known to hold every stored result.
     pub confirmed_at: Timestamp,
-    /// Who said so.
+    /// Source of that confirmation.
     pub source: CopySource,
     used_at: Timestamp,
 }
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Whether all of its items have their results.
+    /// Returns whether all items have their results.
     pub fn is_complete(&self) -> bool {
         self.results.len() >= self.head.total
     }
 
-    /// What decides whether it may be shown as it is.
+    /// Returns the state that decides whether the copy may be sent as it is.
     pub fn state(&self) -> CopyState {
         CopyState {
             results: self.results.len(),
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Results from a position on; one at least, if there is one.
+    /// Returns the results from position `after` on, as many as one answer may hold, but at
+    /// least one if there is any.
     pub fn page(&self, after: usize) -> LotPage {
         let mut page = LotPage {
             total: self.head.total,
@@ -110,7 +111,8 @@
         page
     }
 
-    /// Takes in what the store holds. Returns whether it follows on what is known.
+    /// Appends records from the store. Returns false if they don't directly follow the
+    /// groups of this copy.
     fn append_groups(&mut self, pairs: &[KeyValue]) -> Result<bool, DamagedRecord> {
         for pair in pairs {
             if keys::is_group(&pair.key) && pair.key > self.last_key() {
@@ -125,7 +127,7 @@
         Ok(true)
     }
 
-    /// The key after which further results come.
+    /// Returns the key that sorts directly before the next group of results.
     fn last_key(&self) -> String {
         match self.groups.checked_sub(1) {
             Some(last) => keys::group(&self.lot, last),
@@ -133,19 +135,19 @@
         }
     }
 
-    /// The key under which the next results will be.
+    /// Returns the key of the next group of results.
     fn next_key(&self) -> String {
         keys::group(&self.lot, self.groups)
     }
 
-    /// Notes that this was all there is at `asked_at`, the moment at which that was
-    /// asked. Its answer may have been on its way for long.
+    /// Records that the copy was complete at `requested_at`. That is when the request was
+    /// sent, since its answer may have taken long.
     fn confirm(&mut self, source: CopySource, requested_at: Timestamp) {
         self.confirmed_at = self.confirmed_at.max(requested_at);
         self.source = source;
     }
 
-    /// Adds results, up to a number of groups.
+    /// Appends results, after which the copy holds `groups` groups.
     fn append(&mut self, results: Vec<ItemResult>, groups: usize) {
         self.bytes += results.iter().map(|it| it.output.len()).sum::<usize>();
         self.results.extend(results);
@@ -153,19 +155,19 @@
     }
 }
 
-/// A lot as daemons show it to each other.
+/// A lot as one daemon sends it to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SentLot {
     head: LotHead,
-    /// The position of the first result that is shown.
+    /// Position of the first result that is sent.
     after: usize,
     results: Vec<ItemResult>,
-    /// How many groups there are in all.
+    /// Number of groups of all results of the lot, including those before `after`.
     groups: usize,
     is_ended: bool,
 }
 
-/// What a daemon has read of lots.
+/// Cache of lots, bounded in number and bytes.
 #[derive(Debug, Default)]
 pub struct LotCache {
     /// Sorted by id.
@@ -173,26 +175,26 @@
 }
 
 impl LotCache {
-    /// A lot as far as it was read.
+    /// Returns the cached copy of a lot.
     pub fn get(&self, lot: &str) -> Option<&CachedLot> {
         let index = self.index_of(lot).ok()?;
         Some(&self.lots[index])
     }
 
-    /// Whether a lot is known to belong to a customer.
+    /// Returns whether a lot is cached and belongs to a customer.
     pub fn belongs_to(&self, lot: &str, customer: &str) -> bool {
         self.get(lot).is_some_and(|it| it.head.customer == customer)
     }
 
-    /// The last key that was read of a lot, after which there may be more.
+    /// Returns the key after which the store may hold more of a cached lot.
     pub fn last_key(&self, lot: &str) -> Option<String> {
         self.get(lot).map(CachedLot::last_key)
     }
 
-    /// Takes in what the store holds after [`LotCache::last_key`], asked at `asked_at`.
-    /// Returns whether the lot is known as it is there. It isn't where the store has no
-    /// such lot, nor where the copy was dropped since: behind it there is no head, or
-    /// there are results that don't follow on a new and shorter copy.
+    /// Adds what the store holds after [`LotCache::last_key`], requested at `requested_at`.
+    /// Returns whether the cached lot now matches the store. It doesn't if the store has no
+    /// such lot, or if the copy was evicted since the request: the answer then has no head,
+    /// or its results don't follow those of a new and shorter copy.
     pub fn take(
         &mut self,
         lot: &str,
@@ -222,9 +224,9 @@
         Ok(follows)
     }
 
-    /// Takes in results that this daemon has just written as a group of this number. A
-    /// read of the store may have brought them already; a copy that lacks what was
-    /// before them stays as it is.
+    /// Adds results that this daemon has just written as group number `group`. They are
+    /// ignored if a read of the store has brought them already, or if the copy lacks the
+    /// results before them.
     pub fn add_results(
         &mut self,
         lot: &str,
@@ -243,7 +245,8 @@
         self.evict();
     }
 
-    /// What is shown to a daemon that knows the results before a position.
+    /// Returns what to send to a daemon that already has the results before position
+    /// `after`.
     pub fn for_peer(&self, lot: &str, after: usize) -> Option<SentLot> {
         let known = self.get(lot)?;
         Some(SentLot {
@@ -255,8 +258,8 @@
         })
     }
 
-    /// Takes in what a daemon showed that knows of all results, asked at `asked_at`.
-    /// Returns whether it fits to what is known here.
+    /// Adds what a daemon sent that knows all results of the lot, requested at
+    /// `requested_at`. Returns whether it fits the copy here.
     pub fn add_sent(
         &mut self,
         lot: &str,
@@ -275,7 +278,7 @@
             Err(_) => return false,
         };
         let known = &mut self.lots[index];
-        // Another reader's answer may have brought a part of it meanwhile.
+        // The answer to another reader may have brought some of these results meanwhile.
         let Some(overlap) = known.results.len().checked_sub(sent.after) else {
             return false;
         };
@@ -289,7 +292,7 @@
         true
     }
 
-    /// Notes that a lot was ended.
+    /// Marks a lot as ended by its customer.
     pub fn end(&mut self, lot: &str) {
         if let Ok(index) = self.index_of(lot) {
             self.lots[index].is_ended = true;
@@ -300,7 +303,7 @@
         self.lots.binary_search_by(|it| it.lot.as_str().cmp(lot))
     }
 
-    /// Drops the lots that were left alone for longest.
+    /// Evicts the least recently used lots until the cache is within its limits.
     fn evict(&mut self) {
         let bytes = |lots: &[CachedLot]| lots.iter().map(|it| it.bytes).sum::<usize>();
         while self.lots.len() > MAX_LOTS || (self.lots.len() > 1 && bytes(&self.lots) > MAX_BYTES) {
@@ -312,7 +315,8 @@
         }
     }
 
-    /// Drops lots whose results nobody may ask for any more.
+    /// Drops lots that weren't used within `kept`, the time for which callers may request
+    /// results.
     pub fn drop_unused(&mut self, now: Timestamp, kept: Duration) {
         self.lots.retain(|it| now.since(it.used_at) < kept);
     }
--- a/crates/serving/src/lots/mod.rs
+++ b/crates/serving/src/lots/mod.rs
@@ -1,10 +1,10 @@
-//! Lots: accepted once, kept in the store, run item by item, read from anywhere.
+//! Lots: accepted once, kept in the store, run item by item, readable from any daemon.
 //!
-//! A daemon that callers reach accepts a lot by one conditional write and tells
-//! the daemons that run lots ([`LotNotice`]). One of these claims it under its
-//! lease, runs the items in slots that live requests leave over, and appends the
-//! results in groups, each guarded by the claim. Readers take results from the
-//! store; what a daemon has read once it keeps, since results never change.
+//! A daemon that callers reach accepts a lot by one conditional write and announces it to
+//! the daemons that run lots ([`LotNotice`]). One of these claims it under its lease, runs
+//! the items in slots that live requests leave free, and appends the results in groups.
+//! Each of these writes takes effect only while the claim holds. Readers get results from
+//! the store; a daemon caches what it has read, since results never change.
 //!
 //! docs/PLATFORM.md shows the keys and what each step costs.
 
--- a/crates/serving/src/lots/notices.rs
+++ b/crates/serving/src/lots/notices.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of lots, so that nobody has to ask the store.
+//! Reports on lots that daemons send to each other, so that they needn't query the store.
 
 use std::time::Duration;
 
@@ -6,34 +6,34 @@
 use comfreyramp_store::LeaseId;
 use serde::{Deserialize, Serialize};
 
-/// How long it is repeated that a lot was accepted. Datagrams get lost; this many of
-/// them don't.
+/// How long the acceptance of a lot is repeated. Single datagrams get lost, but not all of
+/// those sent within this time.
 const ACCEPTED_REPEAT_DURATION: Duration = Duration::from_secs(3);
-/// How long it is repeated that a lot was ended. A daemon that was cut off for less
-/// than its lease holds still has its claim, and learns of the end in no other way:
-/// it would go on starting items until the store refuses their results.
+/// How long the end of a lot is repeated. A daemon that was cut off for less than its lease
+/// lasts still has its claim and learns of the end in no other way: it would go on starting
+/// items until the store rejects their results.
 const ENDED_REPEAT_DURATION: Duration = Duration::from_secs(12);
-/// How long the progress of a lot is told after its last change. A reader that
-/// comes later asks the store.
+/// How long the progress of a lot is reported after its last change. A reader that comes
+/// later queries the store.
 const PROGRESS_REPEAT_DURATION: Duration = Duration::from_secs(8);
-/// The notices that one message holds at most, so that it stays one datagram.
+/// Maximum number of notices in one message, so that it fits into one datagram.
 const MAX_NOTICES: usize = 200;
 
-/// Something that happened to a lot.
+/// An event that concerns a lot, with the id of the lot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LotNotice {
-    /// It was accepted and waits for a daemon to run it.
+    /// The lot was accepted and waits for a daemon to run it.
     Accepted(String),
-    /// Its customer ended it.
+    /// The customer ended the lot.
     Ended(String),
 }
 
-/// An accepted lot, and the daemon that is asked to run it.
+/// An accepted lot and the daemon that is asked to run it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacedLot {
-    /// The lot.
+    /// Id of the lot.
     pub lot: String,
-    /// The daemon.
+    /// Daemon that should run it.
     pub runner: PeerId,
 }
 
@@ -46,28 +46,28 @@
     }
 }
 
-/// What a daemon has to do with a lot.
+/// State of a lot on the daemon that reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LotStage {
-    /// It runs it, and knows of all its results.
+    /// The daemon runs the lot and knows all its results.
     Held,
-    /// It ran it, and left it to others.
+    /// The daemon ran the lot and left it to others.
     Left,
-    /// It ran it to the end: there is nothing more to do.
+    /// The daemon ran the lot to its end, and no items are left.
     Finished,
-    /// It runs it, but the store may hold more results than it knows of: its claim may
-    /// be gone, or a write of its own has no answer. It stands last, since daemons of a
-    /// former version know the others by their places.
+    /// The daemon runs the lot, but the store may hold more results than it knows of: its
+    /// claim may be lost, or a write of its own has no answer yet. This variant has to stay
+    /// last, since daemons of an earlier version identify variants by their index.
     Unsure,
 }
 
 impl LotStage {
-    /// Whether a daemon in this stage runs the lot.
+    /// Returns whether a daemon in this stage runs the lot.
     pub fn is_running(self) -> bool {
         matches!(self, LotStage::Held | LotStage::Unsure)
     }
 
-    /// The stage as a label.
+    /// Returns the stage as a label for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             LotStage::Held => "held",
@@ -77,29 +77,29 @@
         }
     }
 
-    /// Whether a daemon in this stage knows of all results.
+    /// Returns whether a daemon in this stage knows all results.
     pub fn knows_all(self) -> bool {
         matches!(self, LotStage::Held | LotStage::Finished)
     }
 }
 
-/// How far a lot is, told by the daemon that runs it.
+/// Progress of a lot, reported by the daemon that runs it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LotProgress {
-    /// The lot.
+    /// Id of the lot.
     pub lot: String,
-    /// How many results the store holds.
+    /// Number of results in the store.
     pub results: u16,
-    /// What the daemon has to do with it.
+    /// State of the lot on the reporting daemon.
     pub stage: LotStage,
 }
 
-/// What entitles a daemon to speak for a lot that it runs.
+/// Conditions under which a daemon that runs a lot may report its results as complete.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClaimBasis {
-    /// The lease that its claim hangs on, if it has one.
+    /// Lease that its claim is bound to, if it has a claim.
     pub lease: Option<LeaseId>,
-    /// When it began a write of results that has no answer yet.
+    /// Start of a write of results that has no answer yet.
     pub undecided_since: Option<Timestamp>,
 }
 
@@ -111,9 +111,9 @@
 }
 
 impl ReportedProgress {
-    /// The stage as of now. A claim lapses and a write stays unanswered by the mere
-    /// passing of time, also while this daemon stands still: told as it was before,
-    /// readers would take an old count of results for all there is.
+    /// Returns the stage as of now. A claim expires and a write stays unanswered merely
+    /// because time passes, also while this daemon is suspended. If the earlier stage were
+    /// reported unchanged, readers would take an old count of results for the final one.
     fn stage(&self, lease: Option<LeaseId>, now: Timestamp) -> LotStage {
         let is_entitled = self.basis.lease.is_some()
             && self.basis.lease == lease
@@ -125,7 +125,7 @@
     }
 }
 
-/// The notices of one daemon that are still being repeated.
+/// Notices and progress that this daemon currently repeats to its peers.
 #[derive(Debug, Default)]
 pub struct LotNotices {
     notices: Vec<(LotNotice, Timestamp)>,
@@ -134,17 +134,18 @@
 }
 
 impl LotNotices {
-    /// Tells something from now on.
+    /// Starts to repeat a notice.
     pub fn tell(&mut self, notice: LotNotice, now: Timestamp) {
         self.notices.push((notice, now));
     }
 
-    /// Tells who is asked to run a lot, as long as it is told that it was accepted.
+    /// Starts to report which daemon is asked to run a lot. It is repeated as long as the
+    /// acceptance is.
     pub fn place(&mut self, placed: PlacedLot, now: Timestamp) {
         self.placed.push((placed, now));
     }
 
-    /// Which daemons are asked to run which lots.
+    /// Returns the current assignments of lots to daemons.
     pub fn current_placed(&mut self, now: Timestamp) -> Vec<PlacedLot> {
         self.placed
             .retain(|it| now.since(it.1) < ACCEPTED_REPEAT_DURATION);
@@ -152,7 +153,7 @@
         placed.map(|it| it.0.clone()).collect()
     }
 
-    /// Tells how far a lot is.
+    /// Replaces the reported progress of a lot.
     pub fn tell_progress(&mut self, progress: LotProgress, basis: ClaimBasis, now: Timestamp) {
         self.progress.retain(|it| it.progress.lot != progress.lot);
         self.progress.push(ReportedProgress {
@@ -162,15 +163,15 @@
         });
     }
 
-    /// Notes on what this daemon's word on a lot rests from now on.
+    /// Replaces the conditions under which the reported progress of a lot is complete.
     pub fn set_basis(&mut self, lot: &str, basis: ClaimBasis) {
         if let Some(reported) = self.progress.iter_mut().find(|it| it.progress.lot == lot) {
             reported.basis = basis;
         }
     }
 
-    /// How many results a lot has, if this daemon runs it and knows of all, where
-    /// `lease` is the lease that it certainly holds.
+    /// Returns the number of results of a lot, provided that this daemon runs the lot and
+    /// knows all its results. `lease` is the lease that this daemon certainly holds.
     pub fn vouched_results(
         &self,
         lot: &str,
@@ -182,8 +183,8 @@
         is_entitled.then_some(usize::from(reported.progress.results))
     }
 
-    /// What is to be told now, where `lease` is the lease that this daemon certainly
-    /// holds.
+    /// Returns the notices and the progress to send now. `lease` is the lease that this
+    /// daemon certainly holds.
     pub fn current(
         &mut self,
         lease: Option<LeaseId>,
--- a/crates/serving/src/lots/peer_read.rs
+++ b/crates/serving/src/lots/peer_read.rs
@@ -1,5 +1,4 @@
-//! Results of lots from the daemons that run them, which costs no call to the
-//! store.
+//! Reads results from the daemon that runs their lot, which saves a call to the store.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,24 +9,24 @@
 use super::lot_cache::SentLot;
 use crate::{dialect::Dialect, node::Node};
 
-/// Under this path daemons show each other lots.
+/// Path under which daemons send lots to each other.
 pub const LOT_PATH: &str = "/lots/";
-/// How long the daemon that runs a lot may take. Then the store is asked.
+/// Time limit for the daemon that runs a lot. After it the store is queried.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// The longest answer: the results of one lot.
+/// Longest answer in bytes. It holds the results of one lot.
 const ANSWER_LIMIT: usize = 16 << 20;
 
-/// Shows a lot to another daemon: `rest` is the lot, a slash, and the position
-/// of the first result that is wanted.
+/// Answers another daemon's request for a lot. `rest` is the id of the lot, a slash, and
+/// the position of the first result wanted.
 ///
-/// The other daemon takes this for all there is. So nothing is shown where the store
-/// may hold more, as after a claim that may be gone, or where the copy here doesn't
-/// reach as far as this daemon wrote; the store is asked instead.
+/// The other daemon takes the answer as complete. So this returns `None` where the store
+/// may hold more, either because the claim may be lost or because the copy here lacks
+/// results that this daemon wrote; the other daemon then queries the store.
 pub fn show_lot<D: Dialect>(node: &Node<D>, rest: &str) -> Option<Bytes> {
     let (lot, after) = rest.split_once('/')?;
     let cache = node.lot_cache.borrow();
     let known = cache.get(lot)?;
-    // The copy may have been dropped, and read again while a result was written.
+    // The copy may have been evicted, and read again while a result was being written.
     let has_all = |confirmed: usize| known.results.len() >= confirmed;
     if !known.is_complete() && !node.vouched_results(lot).is_some_and(has_all) {
         return None;
@@ -36,10 +35,10 @@
     Some(serde_json::to_vec(&sent).unwrap_or_default().into())
 }
 
-/// Asks the daemon that runs a lot for what isn't known of it here. Returns
-/// whether it answered.
+/// Requests the results that are missing here from the daemon that runs a lot. Returns
+/// whether they were received.
 ///
-/// What it shows is in the store already: it takes results into its own copy
+/// All results received are in the store already: that daemon adds results to its own copy
 /// only once they are written.
 pub(super) async fn request_from_runner<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> bool {
     let Some(peer) = node.lot_runner(lot) else {
@@ -65,7 +64,7 @@
         }
         Ok(_) => return false,
         Err(error) => {
-            log::info!(lot = lot, peer:% = peer, error:% = error; "lots: no results from the daemon that runs it");
+            log::info!(lot = lot, peer:% = peer, error:% = error; "lots: no answer from the daemon that runs the lot");
             return false;
         }
     };
@@ -76,7 +75,7 @@
             .borrow_mut()
             .add_sent(lot, sent, peer, requested_at, now),
         Err(error) => {
-            log::warn!(lot = lot, error:% = error; "lots: a daemon shows what can't be read");
+            log::warn!(lot = lot, error:% = error; "lots: the answer of the daemon that runs the lot can't be parsed");
             false
         }
     }
--- a/crates/serving/src/lots/read.rs
+++ b/crates/serving/src/lots/read.rs
@@ -1,4 +1,4 @@
-//! Reading and ending lots.
+//! Answers callers who read or end lots.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -25,21 +25,22 @@
     path::FrontBody,
 };
 
-/// An answer is held back no longer than this while there is no result.
+/// Longest time that an answer is held back while there is no result.
 const MAX_WAIT: Duration = Duration::from_millis(1_000);
-/// Beyond the time that a reader waits, the store and the daemon that runs the lot get
-/// this much. Where they don't answer, its caller is better told so than kept.
+/// Additional time that the store and the daemon that runs the lot get beyond the caller's
+/// wait. If they don't answer within it, an error serves the caller better than a longer
+/// wait.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How often a reader that waits looks whether there is news.
+/// Interval at which a waiting reader checks for new results.
 const POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// When a reader may come back while the store can't be reached.
+/// Time after which a reader may retry while the store can't be reached.
 const STORE_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// How often a lot's end is written at most.
+/// Maximum number of attempts to write a lot's end record.
 const MAX_END_ATTEMPTS: u32 = 5;
 
 type Answer<D> = Result<Response<FrontBody<D>>, Refusal>;
 
-/// Answers a request for a lot.
+/// Answers a caller's request about a lot: reads results, reads one item, or ends the lot.
 pub async fn answer_reader<D: Dialect>(
     node: &Rc<Node<D>>,
     customer: &Arc<KnownCustomer>,
@@ -74,8 +75,9 @@
     let deadline = asked_at + wait.min(MAX_WAIT);
     ensure_known(node, customer, lot).await?;
     loop {
-        // A reader that begins anew gets what is new as well, not just what somebody
-        // else has read here before. Where no more can be had, what is known will do.
+        // A reader that starts again at an earlier position also gets new results, not just
+        // those that another reader has brought into the cache. If no newer ones can be
+        // read, the cached results are sufficient.
         if needs_refresh(node, lot, reader)
             && let Err(refusal) = refresh_copy(node, lot, reader).await
             && !serves(node, lot, reader)
@@ -91,7 +93,8 @@
     let known = cache.get(lot).ok_or_else(store_unavailable)?;
     let state = known.state();
     let confirmation = node.runner_vouch(lot);
-    // A look that took long tells of how it was then. Whoever can't be sure says so.
+    // An answer that took long to arrive may be out of date. If the copy can't be shown to
+    // be complete, the reader gets an error instead of an empty page.
     if !state.serves(reader) && !state.proves_nothing_there(reader, confirmation, node.clock.now())
     {
         return Err(store_unavailable());
@@ -122,9 +125,10 @@
     copy_state(node, lot).is_none_or(|it| it.is_doubtful(reader, confirmation, now))
 }
 
-/// Learns what there is of a lot for a reader, from the daemon that runs it or from the
-/// store. A reader that is ahead of the copy here has been elsewhere meanwhile, and that
-/// daemon has what it asks for; if it hasn't, its word that there is none was wrong.
+/// Brings the copy of a lot up to date for a reader, from the daemon that runs the lot or
+/// from the store. A reader that is ahead of this copy was answered elsewhere, and the
+/// daemon that runs the lot should have what it wants. If that daemon has fewer results,
+/// its report that there are no more was wrong, and the store is read.
 async fn refresh_copy<D: Dialect>(
     node: &Rc<Node<D>>,
     lot: &str,
@@ -132,9 +136,13 @@
 ) -> Result<(), Refusal> {
     let is_behind = || copy_state(node, lot).is_some_and(|it| it.is_behind(reader));
     let confirmation = node.runner_vouch(lot);
-    let has_it = confirmation.is_some_and(|it| it.results >= reader.after);
-    let is_asked = has_it || !is_behind();
-    if is_asked && request_from_runner(node, lot).await && !is_behind() && !falls_short(node, lot) {
+    let runner_has_it = confirmation.is_some_and(|it| it.results >= reader.after);
+    let tries_runner = runner_has_it || !is_behind();
+    if tries_runner
+        && request_from_runner(node, lot).await
+        && !is_behind()
+        && !falls_short(node, lot)
+    {
         return Ok(());
     }
     refresh_from_store(node, lot).await
@@ -145,8 +153,9 @@
     copy_state(node, lot).is_some_and(|it| it.falls_short(confirmation))
 }
 
-/// Logs how a read was answered, and by what: how far the copy of the lot goes, when and
-/// by whom it was last proved to be all, and what is said of the lot.
+/// Logs the outcome of a read and what it was based on: how far the copy goes, when and by
+/// whom it was last confirmed to be complete, and what the daemon that runs the lot last
+/// reported.
 fn log_read<D: Dialect>(
     node: &Node<D>,
     request: &str,
@@ -177,7 +186,8 @@
     );
 }
 
-/// Makes sure that a lot is known and belongs to a customer.
+/// Makes sure that a lot is cached and belongs to the customer. A lot of another customer
+/// is reported like one that doesn't exist.
 async fn ensure_known<D: Dialect>(
     node: &Rc<Node<D>>,
     customer: &str,
@@ -196,20 +206,21 @@
     }
 }
 
-/// Learns what there is of a lot beyond what is known from the store.
+/// Reads from the store what the copy of a lot lacks.
 async fn refresh_from_store<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> Result<(), Refusal> {
     let last_key = node.lot_cache.borrow().last_key(lot);
     let is_partial = last_key.is_some();
     let is_known = read_store_after(node, lot, last_key).await?;
-    // The copy may have been dropped for others meanwhile. That the store has no head
-    // behind it doesn't say that there is no such lot.
+    // The copy may have been evicted meanwhile. An answer without a head for the range
+    // after `last_key` then doesn't mean that the lot doesn't exist.
     if is_partial && !is_known {
         read_store_after(node, lot, None).await?;
     }
     Ok(())
 }
 
-/// Learns what there is of a lot behind a key. Returns whether the lot is known then.
+/// Reads the records of a lot after a key, or all of them. Returns whether the cached lot
+/// now matches the store.
 async fn read_store_after<D: Dialect>(
     node: &Rc<Node<D>>,
     lot: &str,
@@ -234,12 +245,12 @@
 
 fn store_failure<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> Refusal {
     node.note_store_trouble();
-    log::warn!(lot = lot, error:% = error; "lots: can't be read");
+    log::warn!(lot = lot, error:% = error; "lots: the store failed to answer a read");
     store_unavailable()
 }
 
 fn damaged(error: &DamagedRecord) -> Refusal {
-    log::error!(error:% = error; "lots: damaged");
+    log::error!(error:% = error; "lots: a record is damaged");
     Refusal::new(RefusalCause::StoreAway)
 }
 
@@ -266,7 +277,7 @@
     Err(RefusalCause::NoSuchLot.into())
 }
 
-/// Ends a lot: its items are no longer run. What is listed stays.
+/// Ends a lot: its items are no longer run, and the results it has are kept.
 async fn end_lot<D: Dialect>(node: &Rc<Node<D>>, customer: &str, lot: &str) -> Answer<D> {
     ensure_known(node, customer, lot).await?;
     let is_ended = |node: &Node<D>| {
@@ -274,8 +285,8 @@
         cache.get(lot).is_some_and(|it| it.is_ended)
     };
     if !is_ended(node) {
-        // A caller that leaves meanwhile must not leave the end half done: written,
-        // and told to nobody.
+        // Runs in its own task, so that a caller who disconnects can't leave the end
+        // written but not announced.
         let (shared, id) = (node.clone(), lot.to_owned());
         let writing = tokio::task::spawn_local(async move { write_end(&shared, &id).await });
         let lost = |error: JoinError| Err(StoreError::AnswerLost(error.to_string()));
@@ -285,8 +296,8 @@
             Err(error) => return Err(store_failure(node, lot, &error)),
         }
     }
-    // Also where another daemon wrote the end: it may have been lost before it
-    // could tell.
+    // Announces the end also if another daemon wrote it, since that daemon may have been
+    // lost before it could do so.
     node.tell_lot(LotNotice::Ended(lot.to_owned()));
     Ok(<D::Callers as CallerDialect>::lot_ended().map(FrontBody::whole))
 }
@@ -306,7 +317,7 @@
         read_back: Vec::new(),
     };
     let pace = RetryPace::new(node.incarnation).attempts(MAX_END_ATTEMPTS);
-    // Whoever wrote the end, it stands.
+    // The result is ignored: if the write was refused, another daemon has ended the lot.
     write_once(&node.store, batch, pace).await?;
     log::info!(lot = lot; "lots: ended by its customer");
     node.lot_cache.borrow_mut().end(lot);
--- a/crates/serving/src/lots/records.rs
+++ b/crates/serving/src/lots/records.rs
@@ -1,4 +1,4 @@
-//! What the store holds of lots.
+//! Records of lots in the store, and their encoding.
 
 use bytes::Bytes;
 use comfreyramp_store::KeyValue;
@@ -6,74 +6,77 @@
 
 use crate::model::LotItem;
 
-/// Fast enough for a small VM; bodies hardly compress further anyway.
+/// A low zstd level, fast enough for a small VM. Higher ones hardly make item bodies
+/// smaller.
 const COMPRESSION_LEVEL: i32 = 1;
-/// The part of the store's longest value that a pack fills before compression,
-/// which may make random bytes longer.
+/// Fraction of the store's largest value that a pack may fill before compression, which
+/// makes random bytes longer.
 const PACK_FILL_FRACTION: f64 = 0.8;
 
-/// The head of a lot. It never changes.
+/// Head of a lot, which never changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LotHead {
-    /// Whose it is.
+    /// Customer that submitted the lot.
     pub customer: String,
-    /// The host that its route belongs to.
+    /// Host that its route belongs to.
     pub host: String,
-    /// How many items it has.
+    /// Number of items.
     pub total: usize,
-    /// How often an item may fail.
+    /// How often servers may fail at an item before it is given up.
     pub attempts: u32,
-    /// When it was first handed in, in Unix milliseconds.
+    /// When the lot was first submitted, in Unix milliseconds.
     pub submitted: u64,
-    /// When it is due.
+    /// When its items should be done, in Unix milliseconds.
     pub due: u64,
-    /// From when on items may be given up.
+    /// When items without a result are given up, in Unix milliseconds.
     pub given_up: u64,
-    /// Its route, by name. Lots of a former version have none.
+    /// Name of its route. It is empty for lots written by an earlier version.
     #[serde(default)]
     pub route: String,
 }
 
-/// Who runs a lot.
+/// Claim on a lot by the daemon that runs it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ClaimRecord {
-    /// The daemon.
+    /// Name of the daemon.
     pub(super) daemon: String,
-    /// Which of its lives.
+    /// Incarnation of the daemon's process.
     pub(super) incarnation: u64,
-    /// The lease that the claim hangs on. After it lapsed the same life may claim
-    /// again, which must look like another claim.
+    /// Lease that the claim is bound to. It is part of the record because the same
+    /// incarnation may claim the lot again after its lease expired, and that has to be a
+    /// different claim.
     pub(super) lease: i64,
 }
 
-/// How often servers failed at an item. Whoever takes its lot over counts on.
+/// How often servers failed at an item. A daemon that takes the lot over continues this
+/// count.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ItemFaults {
-    /// The item.
+    /// Id of the item.
     pub(super) item: String,
-    /// How often.
+    /// Number of failures.
     pub(super) faults: u32,
 }
 
-/// What there is to know of a lot while items of it wait. Lots of a former version tell
-/// only when they are due.
+/// Open mark: summary of a lot that isn't finished. Marks written by an earlier version
+/// hold only the due time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct OpenMark {
     /// When the lot is due, in Unix milliseconds.
     pub(super) due: u64,
-    /// Whose it is.
+    /// Customer that submitted the lot.
     #[serde(default)]
     pub(super) customer: String,
-    /// Its route, by name.
+    /// Name of its route.
     #[serde(default)]
     pub(super) route: String,
-    /// The tokens of its items without a result.
+    /// Tokens of all items that have no result yet.
     #[serde(default)]
     pub(super) tokens: u64,
 }
 
 impl OpenMark {
-    /// The mark of a lot of which so many tokens wait.
+    /// Creates the mark of a lot of which `tokens` wait.
     pub(super) fn new(head: &LotHead, tokens: u64) -> Self {
         OpenMark {
             due: head.due,
@@ -84,27 +87,27 @@
     }
 }
 
-/// A record that can't be read, which only damage or a newer version explains.
+/// A record that can't be parsed. It is either damaged or written by a newer version.
 #[derive(Debug, thiserror::Error)]
-#[error("{key} can't be read: {problem}")]
+#[error("record {key} can't be parsed: {problem}")]
 pub struct DamagedRecord {
     key: String,
     problem: String,
 }
 
-/// Writes a small record.
+/// Encodes a small record as JSON.
 pub(super) fn to_json(record: &impl Serialize) -> Bytes {
-    // Own types with text keys: serializing can't fail.
+    // All records are types of this crate with text keys, for which encoding can't fail.
     serde_json::to_vec(record).unwrap_or_default().into()
 }
 
-/// Writes a large record, compressed.
+/// Encodes a large record as compressed JSON.
 pub(super) fn to_packed(record: &impl Serialize) -> Bytes {
     let json = to_json(record);
     match zstd::encode_all(json.as_ref(), COMPRESSION_LEVEL) {
         Ok(packed) => packed.into(),
         Err(error) => {
-            log::error!(error:% = error; "lots: a record is kept uncompressed");
+            log::error!(error:% = error; "lots: compression failed, a record is stored uncompressed");
             json
         }
     }
@@ -117,7 +120,7 @@
 pub(super) fn from_packed<T: DeserializeOwned>(pair: &KeyValue) -> Result<T, DamagedRecord> {
     let json = match zstd::decode_all(pair.value.as_ref()) {
         Ok(json) => json,
-        // It was kept uncompressed.
+        // The record was stored uncompressed.
         Err(_) => pair.value.to_vec(),
     };
     serde_json::from_slice(&json).map_err(|error| damaged(pair, &error))
@@ -130,14 +133,15 @@
     }
 }
 
-/// Packs items into as few values as the store's limit allows.
+/// Groups items into as few values as the store's size limit allows.
 pub(super) fn pack_items(items: &[LotItem], value_bytes: usize) -> Vec<Bytes> {
     let limit = (value_bytes as f64 * PACK_FILL_FRACTION) as usize;
     let mut packs = Vec::new();
     let mut begin = 0;
     let mut size = 0;
     for (index, item) in items.iter().enumerate() {
-        // Bodies are base64 in JSON, and compress to about their own length.
+        // Bodies are base64 in JSON, and compress to about their original length. 100 bytes
+        // are added for the other fields.
         let headers: usize = item.headers.iter().map(|it| it.0.len() + it.1.len()).sum();
         let length = item.body.len() + item.path.len() + headers + 100;
         if size + length > limit && index > begin {
--- a/crates/serving/src/lots/retire.rs
+++ b/crates/serving/src/lots/retire.rs
@@ -1,4 +1,4 @@
-//! Emptying a VM that is to be taken away.
+//! Prepares a VM for its removal by handing its lots over to other daemons.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,16 +10,16 @@
     node::Node,
 };
 
-/// How often it is looked whether there is an order.
+/// Interval at which the daemon checks for an order to retire.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Lots need this long to be handed on: their items are stopped at once, and
-/// another daemon claims them.
+/// Time that the hand-over of all lots takes: their items are stopped at once, and other
+/// daemons claim them.
 const HAND_OVER_DURATION: Duration = Duration::from_millis(700);
 
-/// Answers orders to empty this VM until `stop` is cancelled.
+/// Follows orders to empty this VM until `stop` is cancelled.
 ///
-/// A daemon keeps nothing on its disk, so that only the lots which it runs have
-/// to be handed on. The order is answered once that is done.
+/// A daemon keeps nothing on its disk, so that only the lots it runs have to be handed
+/// over. The status is written to the store once that is done.
 pub async fn follow_retire<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
     let mut is_reported = false;
     while !stop.is_cancelled() {
@@ -54,7 +54,7 @@
     };
     match node.store.transact(batch).await {
         Ok(_) => {
-            log::info!("retire: done");
+            log::info!("retire: the status is written");
             true
         }
         Err(error) => {
--- a/crates/serving/src/lots/sweep.rs
+++ b/crates/serving/src/lots/sweep.rs
@@ -1,4 +1,4 @@
-//! Deleting lots whose results nobody may ask for any more.
+//! Deletes lots whose results callers may no longer request.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,16 +12,16 @@
 };
 use crate::{clock::unix_millis, dialect::Dialect, node::Node};
 
-/// How often one daemon looks for lots to delete.
+/// Interval between two sweeps of the daemon in charge.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(300);
-/// Beyond the promised time lots are kept this much longer, for the clocks of
-/// other VMs and for readers on their way.
+/// Time for which lots are kept beyond the promised retention, to allow for the clocks of
+/// other VMs and for reads in progress.
 const RETENTION_MARGIN: Duration = Duration::from_secs(60);
-/// The deletions of one call.
+/// Number of deletions in one transaction.
 const DELETIONS_PER_CALL: usize = 30;
 
-/// Deletes old lots until `stop` is cancelled. Of all daemons that run lots only
-/// the first by name does so.
+/// Deletes old lots until `stop` is cancelled. Of all daemons that run lots, only the first
+/// by name does so.
 pub async fn sweep_lots<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
     loop {
         tokio::select! {
@@ -33,8 +33,8 @@
         }
         match sweep(&node).await {
             Ok(0) => {}
-            Ok(deleted) => log::info!(keys = deleted; "lots: swept"),
-            Err(error) => log::warn!(error:% = error; "lots: the sweep waits"),
+            Ok(deleted) => log::info!(keys = deleted; "lots: old lots deleted"),
+            Err(error) => log::warn!(error:% = error; "lots: the sweep failed"),
         }
         let now: Timestamp = node.clock.now();
         let kept = node.settings.results_kept_s;
--- a/crates/serving/src/lots/waiting.rs
+++ b/crates/serving/src/lots/waiting.rs
@@ -1,4 +1,4 @@
-//! The ledgers of tokens that wait, as this daemon last saw them in the store.
+//! Copies of the ledgers, which limit how many tokens of a customer's lots may wait.
 
 use std::{cell::RefCell, sync::Arc, time::Duration};
 
@@ -17,19 +17,20 @@
 };
 use crate::{dialect::Dialect, node::Node};
 
-/// A lot isn't refused by what was known of the open ones longer ago.
+/// A lot is refused only if the open lots were compared with the ledger within this time.
 const MAX_COMPARISON_AGE: Duration = Duration::from_millis(500);
-/// The ledgers of which copies are kept at most.
+/// Maximum number of ledgers of which copies are kept.
 const MAX_COPIES: usize = 512;
 
-/// Whose tokens are bounded, and how.
+/// Customer and route of a ledger, and the limit that applies to it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LedgerTerms<'a> {
     pub(super) customer: &'a str,
     pub(super) route: &'a str,
-    /// The tokens that may wait.
+    /// Maximum number of tokens that may wait.
     pub(super) bound: u64,
-    /// When what is accepted now is due: nobody waits longer for room.
+    /// Time after which a lot accepted now is due. No caller is told to wait longer for
+    /// capacity.
     pub(super) due_after: Duration,
 }
 
@@ -38,11 +39,12 @@
 pub(super) enum LedgerRefusal {
     /// It was accepted before.
     Known,
-    /// There is no room; if there ever is, it should be after this span.
+    /// There is no capacity. Holds the time after which there should be, or `None` for a
+    /// lot that exceeds the limit even alone.
     Full(Option<Duration>),
 }
 
-/// This daemon's copies of ledgers, by key.
+/// This daemon's copies of ledgers.
 #[derive(Debug, Default)]
 pub struct LedgerDesk {
     /// Sorted by key.
@@ -50,15 +52,16 @@
 }
 
 impl LedgerDesk {
-    /// Waits for a ledger's copy. One lot of a customer is decided after the other
-    /// here: each would find the ledger changed by the one before.
+    /// Waits for exclusive access to the copy of a ledger. The lots of one customer and
+    /// route are decided one after another here; concurrent ones would each find the ledger
+    /// changed by the one before.
     pub(super) async fn open(&self, customer: &str, route: &str) -> OwnedMutexGuard<LedgerCopy> {
         self.copy(keys::ledger(customer, route)).lock_owned().await
     }
 
     fn copy(&self, key: String) -> Arc<Mutex<LedgerCopy>> {
         let mut copies = self.copies.borrow_mut();
-        // A copy saves a read of the store, and no more.
+        // Dropping all copies is safe: a copy only saves a read of the store.
         if copies.len() >= MAX_COPIES {
             copies.clear();
         }
@@ -73,17 +76,17 @@
     }
 }
 
-/// A ledger as the store held it at a revision, less what is finished since.
+/// A ledger as the store held it at a revision, without the lots that were finished since.
 #[derive(Debug)]
 pub(super) struct LedgerCopy {
     key: String,
     ledger: TokenLedger,
-    /// The revision of its last write, 0 if there is none. Unknown before it was read,
-    /// and after a write whose answer was lost.
+    /// Revision of its last write, or 0 if it was never written. `None` before the first
+    /// read, and after a write whose answer was lost.
     revision: Option<Revision>,
     known: LotsKnown,
     pace: ReturnPace,
-    /// When the open lots were last asked for.
+    /// When the ledger was last compared with the open lots.
     compared_at: Option<Timestamp>,
 }
 
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Decides whether a lot fits by what is known, and asks the store where that isn't
-    /// enough to refuse it.
+    /// Decides whether a lot fits, from what is known here. Reads the store before refusing
+    /// a lot on data that is too old.
     pub(super) async fn check<D: Dialect>(
         &mut self,
         node: &Node<D>,
@@ -133,7 +136,8 @@
         })
     }
 
-    /// Has a batch take effect only if the ledger is as it was counted, with a lot noted.
+    /// Adds a lot to the ledger within the same transaction as `batch`, which takes effect
+    /// only if the ledger is unchanged since it was checked.
     pub(super) fn guard(&self, mut batch: WriteBatch, lot: WaitingLot) -> GuardedBatch {
         let mut ledger = self.ledger.clone();
         ledger.add(lot);
@@ -151,34 +155,36 @@
         GuardedBatch { batch, ledger }
     }
 
-    /// Notes that a ledger was written at a revision.
+    /// Records that `ledger` was written at a revision.
     pub(super) fn note_written(&mut self, ledger: TokenLedger, revision: Revision) {
         self.ledger = ledger;
         self.revision = Some(revision);
     }
 
-    /// Notes that nobody knows whether a write took effect.
+    /// Forces the next check to read the ledger again, after a write whose outcome is
+    /// unknown.
     pub(super) fn invalidate(&mut self) {
         self.revision = None;
     }
 
-    /// Takes over what the store holds, which may be no ledger at all.
+    /// Replaces the copy by the ledger in the store, which may not exist yet.
     pub(super) fn replace(&mut self, found: &[KeyValue]) {
         let pair = found.iter().find(|it| it.key == self.key);
         self.revision = Some(pair.map_or(0, |it| it.modified));
         let read = pair.map(from_json::<TokenLedger>).transpose();
-        // A damaged ledger is counted anew from the open lots: the empty one has no bound.
+        // A damaged ledger is replaced by an empty one, which was counted by no limit and so
+        // is compared with the open lots before it is used.
         let ledger = read.unwrap_or_else(|error| {
-            log::error!(error:% = error; "lots: a ledger is counted anew");
+            log::error!(error:% = error; "lots: a damaged ledger is rebuilt from the open lots");
             None
         });
         self.ledger = ledger.unwrap_or_default();
         self.ledger.reduce(&self.known);
-        // What it counts was compared by nobody here.
+        // The new ledger hasn't been compared with the open lots yet.
         self.compared_at = None;
     }
 
-    /// The tokens that wait, at most.
+    /// Returns an upper bound on the tokens that wait.
     pub(super) fn total(&self) -> u64 {
         self.ledger.total()
     }
@@ -190,8 +196,8 @@
         Ok(())
     }
 
-    /// Compares the ledger with the open lots. Each lot of the ledger was written with
-    /// its open mark, at a revision that this list has seen.
+    /// Compares the ledger with the open lots. Each lot in the ledger was written together
+    /// with its open mark, at a revision that this listing includes.
     async fn compare<D: Dialect>(
         &mut self,
         node: &Node<D>,
@@ -226,10 +232,10 @@
     }
 }
 
-/// A batch that takes effect only with its ledger.
+/// A batch that takes effect only together with its ledger.
 #[derive(Debug)]
 pub(super) struct GuardedBatch {
     pub(super) batch: WriteBatch,
-    /// The ledger that it writes.
+    /// Ledger that the batch writes.
     pub(super) ledger: TokenLedger,
 }
--- a/crates/serving/src/lots/worker/claims.rs
+++ b/crates/serving/src/lots/worker/claims.rs
@@ -1,4 +1,4 @@
-//! Which lots this daemon runs: notices, lists and claims.
+//! Decides which lots this daemon runs, from notices, listings and claims.
 
 use std::time::Duration;
 
@@ -16,18 +16,20 @@
     },
 };
 
-/// A lot that the daemon it falls to hasn't claimed for so long goes to any.
+/// A lot that the daemon it is assigned to hasn't claimed within this time may be claimed
+/// by any daemon.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How often all open lots are listed. Notices come by datagrams; this finds what
-/// they missed, such as lots that were accepted or ended by daemons that were lost
-/// right after. Customers expect an ended lot to stop within three seconds.
+/// Interval at which all open lots are listed. Notices are sent as datagrams; a listing
+/// finds what they missed, such as lots accepted or ended by a daemon that was lost right
+/// afterwards. Customers expect an ended lot to stop within three seconds.
 const LIST_INTERVAL: Duration = Duration::from_millis(2_000);
-/// How often a lot is handed over at most. Meanwhile the others tell what they have.
+/// Minimum interval between two hand-overs. Meanwhile the other daemons report their new
+/// load.
 const HAND_OVER_INTERVAL: Duration = Duration::from_millis(250);
-/// The pause after a claim that failed.
+/// Delay before a failed claim is repeated.
 const CLAIM_BACKOFF: Duration = Duration::from_millis(1_000);
-/// A lot that was found to have nothing left isn't looked at again for so long. That it
-/// was accepted is repeated for less, several times a second, and each look is billed.
+/// How long a lot without items left is ignored. Its acceptance is repeated for a shorter
+/// time, several times a second, and each read of the store is billed.
 const EXHAUSTED_RETENTION: Duration = Duration::from_secs(10);
 
 impl<D: Dialect> LotWorker<D> {
@@ -39,7 +41,7 @@
             self.add_candidate(&lot, now);
         }
         for placed in inbox.placed {
-            self.candidates.place(&placed.lot, placed.runner);
+            self.candidates.assign(&placed.lot, placed.runner);
         }
         for lot in inbox.ended {
             self.candidates.remove(&lot);
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Takes in a lot that a listing shows. Where nobody tells that it runs, the
-    /// daemon to which it falls may not have heard of it.
+    /// Adds a lot found by a listing. If no daemon reports that it runs the lot, the daemon
+    /// that it is assigned to may have missed the notice, so that the notice is repeated.
     fn add_listed(&mut self, lot: &str, now: Timestamp) {
         let is_held = self.held.iter().any(|it| *it.id == *lot);
         if !is_held && !self.node.is_held_elsewhere(lot) && !self.node.is_own_lot(lot) {
@@ -69,7 +71,7 @@
         self.add_candidate(lot, now);
     }
 
-    /// Lists all open lots now and then.
+    /// Lists all open lots once per interval, if this daemon is the one that lists them.
     pub(super) fn list_open(&mut self, now: Timestamp) {
         let is_due = self
             .listed_at
@@ -91,7 +93,8 @@
                     let marks = answer.pairs.iter().map(|it| it.key.as_str());
                     let lots = marks.filter_map(|it| it.strip_prefix(keys::OPEN));
                     let lots = lots.map(str::to_owned);
-                    // The worker outlives its tasks but for the end of the process.
+                    // Sending fails only at the end of the process, since the worker
+                    // outlives its tasks otherwise.
                     let listed = ListedLots {
                         open: lots.collect(),
                         held_elsewhere,
@@ -107,13 +110,14 @@
         });
     }
 
-    /// Claims what falls to this daemon, and what another left lying.
+    /// Claims lots that are assigned to this daemon, and those that others left unclaimed.
     pub(super) fn claim_candidates(&mut self, now: Timestamp) {
         if self.node.lease().is_none() || self.node.is_retiring.get() {
             return;
         }
-        // What another daemon has finished would be claimed by each one in turn, just
-        // to find that nothing is left: 26 writes a lot with 14 daemons.
+        // Removes lots that another daemon has finished. Otherwise each daemon in turn
+        // would claim them just to find that nothing is left, which cost 26 writes per lot
+        // with 14 daemons.
         let node = &self.node;
         self.candidates
             .retain(|it| it.is_claiming || !node.told_finished(&it.lot));
@@ -125,18 +129,19 @@
             if candidate.is_claiming || candidate.not_before > now || !size.has_room() {
                 continue;
             }
-            // Held still, since a write or an item has no answer yet: claimed now, it
-            // would be held twice, and what comes back taken for the other's.
+            // The lot is still held here, since a write or a run of an item is unanswered.
+            // Claimed now it would be held twice, and that answer would be applied to the
+            // wrong one.
             if self.held.iter().any(|it| *it.id == *candidate.lot) {
                 continue;
             }
             if self.node.is_held_elsewhere(&candidate.lot) {
-                candidate.known_at = now;
+                candidate.unclaimed_since = now;
                 continue;
             }
             let placed = candidate.runner.and_then(|it| self.node.is_placed_here(it));
             let is_own = placed.unwrap_or_else(|| self.node.is_own_lot(&candidate.lot));
-            if !is_own && now.since(candidate.known_at) < CLAIM_TIMEOUT {
+            if !is_own && now.since(candidate.unclaimed_since) < CLAIM_TIMEOUT {
                 continue;
             }
             candidate.is_claiming = true;
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Claims anew what hung on a lease that lapsed.
+    /// Reclaims the lots whose claims were bound to an expired lease.
     pub(super) fn check_leases(&mut self, now: Timestamp) {
         let Some(lease) = self.node.lease().filter(|_| now >= self.no_write_before) else {
             return;
@@ -197,7 +202,7 @@
                 self.node.lot_notices.borrow_mut().set_basis(lot, basis);
             }
             Ok(outcome) => {
-                log::info!(lot = lot, end:? = outcome; "lots: not this daemon's any more");
+                log::info!(lot = lot, end:? = outcome; "lots: not claimed again after the lease expired");
                 held.is_closing = true;
                 held.stop_items();
                 if outcome == ClaimOutcome::Taken {
@@ -205,37 +210,37 @@
                 }
             }
             Err(error) => {
-                log::warn!(lot = lot, error:% = error; "lots: a claim isn't renewed yet");
+                log::warn!(lot = lot, error:% = error; "lots: the store failed to answer a new claim, which is repeated");
                 self.no_write_before = now + WRITE_BACKOFF;
             }
         }
     }
 
-    /// Takes in all open lots.
+    /// Processes a listing of all open lots.
     pub(super) fn on_listed(&mut self, listed: &ListedLots, now: Timestamp) {
         let lots = &listed.open;
         for lot in lots {
             self.add_listed(lot, now);
         }
         self.close_ended(lots, listed.requested_at);
-        // Who runs a lot doesn't look whether it is open still. One that was finished
-        // meanwhile isn't run any more, and the word does no harm.
+        // The daemon that runs a lot doesn't check whether the lot is still open. If the
+        // lot was finished meanwhile, it isn't run any more and the notice does no harm.
         for lot in listed.no_longer_open() {
-            log::info!(lot = lot; "lots: run elsewhere, and not open any more");
+            log::info!(lot = lot; "lots: run by another daemon, but no longer open");
             self.node.tell_lot(LotNotice::Ended(lot.to_owned()));
         }
         self.candidates.retain(|it| {
-            let is_recent = now.since(it.known_at) < CLAIM_TIMEOUT;
+            let is_recent = now.since(it.unclaimed_since) < CLAIM_TIMEOUT;
             is_recent || it.is_claiming || lots.contains(&it.lot)
         });
     }
 
-    /// Stops lots that aren't open any more, though nobody told that they ended.
+    /// Stops lots that are no longer open although no notice of their end arrived.
     fn close_ended(&mut self, open: &[String], requested_at: Timestamp) {
         for held in &mut self.held {
             let was_held = held.held_since < requested_at;
             if was_held && !held.is_done() && !open.iter().any(|it| **it == *held.id) {
-                log::info!(lot:% = held.id; "lots: not open any more");
+                log::info!(lot:% = held.id; "lots: no longer open");
                 held.end();
             }
         }
@@ -246,7 +251,7 @@
             ClaimAnswer::Claimed(mut held) => {
                 self.candidates.remove(lot);
                 if self.find(lot).is_some() {
-                    log::error!(lot = lot; "lots: claimed twice");
+                    log::error!(lot = lot; "lots: claimed although it is held already");
                     return;
                 }
                 log::info!(
@@ -290,7 +295,8 @@
         self.node.metrics.lot("handed_over", 1);
     }
 
-    /// A lot whose claim was lost may be left to nobody: it is looked at again.
+    /// Makes a lot whose claim was lost a candidate again, since it may have been left
+    /// without a daemon to run it.
     pub(super) fn retry_candidate(&mut self, lot: &str, now: Timestamp) {
         self.candidates.add(lot, now, now + CLAIM_BACKOFF);
     }
--- a/crates/serving/src/lots/worker/items.rs
+++ b/crates/serving/src/lots/worker/items.rs
@@ -1,4 +1,4 @@
-//! Which items run: they start, step aside and are given up.
+//! Starts, preempts and gives up items.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,13 +22,13 @@
     path::AttemptGuard,
 };
 
-/// The items that run here at once, each with its output in memory.
+/// Maximum number of items that run at once, each with its output in memory.
 const MAX_RUNNING_ITEMS: usize = 64;
-/// An item whose time is up soon isn't started: its server would stop half-way.
+/// An item with less time left isn't started, since its server would stop before the end.
 const MIN_RUN_TIME: Duration = Duration::from_millis(300);
 
 impl<D: Dialect> LotWorker<D> {
-    /// Gives up items whose time is over.
+    /// Gives up the waiting items of lots whose time is over.
     pub(super) fn give_up_expired(&mut self, now: Timestamp) {
         let millis = unix_millis();
         for held in &mut self.held {
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Stops items where live requests need their slots: those that have run for
-    /// the shortest, which hold back the least when they go on elsewhere.
+    /// Stops items on servers where live requests need their slots. It selects those that
+    /// started last, which lose the least when they resume on another server.
     pub(super) fn preempt_items(&mut self, now: Timestamp) {
         let orders = self.node.servers.borrow_mut().yield_orders(now);
         for order in orders {
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Starts items as long as servers have slots left over.
+    /// Starts items while servers have free slots.
     pub(super) fn start_items(&mut self, now: Timestamp) {
         let Some(fleet) = self.node.fleet() else {
             return;
         };
-        // Hundreds of lots may wait; a route without a free slot is asked for once.
+        // Hundreds of lots may wait, so a route without a free slot is queried only once.
         let mut full: Vec<Arc<RouteSettings>> = Vec::new();
         for index in self.start_order(now) {
             while self.running < MAX_RUNNING_ITEMS {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The lots with items that may start, in the order in which they do.
+    /// Returns the indices of the lots with items that may start, in starting order.
     fn start_order(&self, now: Timestamp) -> Vec<usize> {
         let millis = unix_millis();
         let regained_at = self.node.regained_at().max(self.resumed_at);
--- a/crates/serving/src/lots/worker/mod.rs
+++ b/crates/serving/src/lots/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Running the items of lots.
+//! Runs the items of lots.
 
 mod claims;
 mod items;
@@ -23,11 +23,11 @@
 };
 use crate::{dialect::Dialect, node::Node};
 
-/// How often the worker looks round where nothing else wakes it.
+/// Longest time between two cycles of the worker when no event wakes it.
 const CYCLE_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause after a write that the store didn't answer.
+/// Delay after a write that the store didn't answer.
 const WRITE_BACKOFF: Duration = Duration::from_millis(500);
-/// How long a stop waits for results to be written and claims to be given back.
+/// Time limit at shutdown for writing results and releasing claims.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 
 enum WorkerEvent {
@@ -35,21 +35,22 @@
     Reclaimed(Rc<str>, Result<ClaimOutcome, StoreError>),
     Ended(Rc<str>, usize, ItemOutcome),
     Written(Rc<str>, WriteAnswer),
-    FaultsWritten(Rc<str>, Vec<ItemFaults>, WriteAnswer),
+    Faults(Rc<str>, Vec<ItemFaults>, WriteAnswer),
     Listed(ListedLots),
 }
 
-/// The open lots, as the store showed them.
+/// Open lots at the time of a listing.
 struct ListedLots {
     open: Vec<String>,
-    /// What other daemons said they run, before the store was asked.
+    /// Lots that other daemons reported to run, before the listing was requested.
     held_elsewhere: Vec<String>,
     requested_at: Timestamp,
 }
 
 impl ListedLots {
-    /// The lots that are run elsewhere though they were ended. The open mark of a lot
-    /// is written before anybody can run it, so that one without it had it once.
+    /// Returns the lots that other daemons run although they aren't open. The open mark of
+    /// a lot is written before any daemon can run it, so a lot without a mark has been
+    /// ended or finished.
     fn no_longer_open(&self) -> impl Iterator<Item = &str> {
         let held = self.held_elsewhere.iter();
         held.filter(|it| !self.open.contains(it))
@@ -59,10 +60,10 @@
 
 struct LotWorker<D: Dialect> {
     node: Rc<Node<D>>,
-    /// Those due first come first.
+    /// Sorted by due time, the earliest first.
     held: Vec<HeldLot>,
     candidates: LotCandidates,
-    /// Lots that were found to have nothing left, and when.
+    /// Lots that had no items left when they were claimed, and when that was found.
     exhausted: Vec<(String, Timestamp)>,
     running: usize,
     pace: RunPace,
@@ -72,13 +73,13 @@
     no_write_before: Timestamp,
     handed_over_at: Timestamp,
     last_cycle_at: Timestamp,
-    /// When it last went on after a standstill, such as of its VM. What others said
-    /// meanwhile is heard a moment later; items that were begun until then would run
-    /// for a lot that may have been ended long ago.
+    /// When the process last resumed after a suspension, for instance of its VM. Reports
+    /// that peers sent meanwhile arrive shortly after that moment; items started before
+    /// would run for a lot that may have been ended long ago.
     resumed_at: Option<Timestamp>,
 }
 
-/// Runs the items of lots until `stop` is cancelled, then gives all claims back.
+/// Runs the items of lots until `stop` is cancelled, then releases all claims.
 pub async fn run_lots<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
     let (sender, events) = unbounded_channel();
     let last_cycle_at = node.clock.now();
@@ -134,7 +135,7 @@
         self.release_closed();
     }
 
-    /// Has others hear how much there is to do here.
+    /// Publishes the number of items to run here, if it has changed.
     fn note_held_items(&self) {
         let items = self.held.iter().map(HeldLot::open_items).sum();
         if self.node.held_items.replace(items) != items {
@@ -155,9 +156,7 @@
                 }
             }
             WorkerEvent::Written(lot, answer) => self.on_written(&lot, answer, now),
-            WorkerEvent::FaultsWritten(lot, counts, answer) => {
-                self.on_faults_written(&lot, &counts, answer, now)
-            }
+            WorkerEvent::Faults(lot, counts, answer) => self.on_faults(&lot, &counts, answer, now),
             WorkerEvent::Listed(listed) => self.on_listed(&listed, now),
         }
     }
@@ -166,7 +165,7 @@
         self.held.iter_mut().find(|it| *it.id == *lot)
     }
 
-    /// Runs nothing any further here.
+    /// Stops running all lots on this daemon.
     fn close_all(&mut self) {
         for held in &mut self.held {
             held.is_closing = true;
@@ -174,7 +173,7 @@
         }
     }
 
-    /// Stops all items, writes what there is and gives the claims back.
+    /// Stops all items, writes the results there are and releases the claims.
     async fn drain(&mut self) {
         let until = self.node.clock.now() + DRAIN_TIMEOUT;
         self.close_all();
@@ -187,7 +186,7 @@
                 () = tokio::time::sleep(CYCLE_INTERVAL) => {}
             }
         }
-        // Claims that are being given back need a moment more.
+        // Leaves time for releases that are still in flight.
         tokio::time::sleep(CYCLE_INTERVAL).await;
     }
 }
--- a/crates/serving/src/lots/worker/results.rs
+++ b/crates/serving/src/lots/worker/results.rs
@@ -1,4 +1,4 @@
-//! Results on their way into the store, and lots that are given back.
+//! Writes results and fault counts to the store, and releases lots.
 
 use std::time::Duration;
 
@@ -17,7 +17,8 @@
     node::Node,
 };
 
-/// Results wait this long for others of their lot, since each write is billed.
+/// How long results wait for others of their lot to be written in the same group, since
+/// each write is billed.
 const GROUP_DELAY: Duration = Duration::from_millis(1_200);
 
 impl<D: Dialect> LotWorker<D> {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Leaves a lot whose claim is another daemon's, or that was ended.
+    /// Stops running a lot that another daemon has claimed or whose customer has ended it.
     fn lose_claim(&mut self, index: usize, now: Timestamp) {
         let held = &mut self.held[index];
         log::info!(lot:% = held.id; "lots: the claim is lost");
@@ -68,7 +69,7 @@
         self.retry_candidate(&lot, now);
     }
 
-    pub(super) fn on_faults_written(
+    pub(super) fn on_faults(
         &mut self,
         lot: &str,
         counts: &[ItemFaults],
@@ -81,14 +82,15 @@
         self.held[index].is_writing_faults = false;
         match answer {
             WriteAnswer::Written => self.held[index].mark_faults_recorded(counts),
-            // Another write tells what holds, where there is one on its way.
+            // A write of results or of a claim is in flight, and its answer decides whether
+            // the claim holds.
             WriteAnswer::Fenced if self.held[index].awaits_write() => {}
             WriteAnswer::Fenced => self.lose_claim(index, now),
             WriteAnswer::Unknown => self.no_write_before = now + WRITE_BACKOFF,
         }
     }
 
-    /// Writes how often servers failed at items, before these are begun again.
+    /// Writes the fault counts of items, which aren't restarted before that.
     pub(super) fn write_faults(&mut self, now: Timestamp) {
         if now < self.no_write_before {
             return;
@@ -108,12 +110,13 @@
             let lot = held.id.clone();
             tokio::task::spawn_local(async move {
                 let answer = writer::write_faults(&node, &lot, claim, &counts).await;
-                let _ = sender.send(WorkerEvent::FaultsWritten(lot, counts, answer));
+                let _ = sender.send(WorkerEvent::Faults(lot, counts, answer));
             });
         }
     }
 
-    /// Writes results: those that have waited, and the last of a lot at once.
+    /// Writes groups of results: those that have waited long enough, and the last results
+    /// of a lot at once.
     pub(super) fn write_groups(&mut self, now: Timestamp) {
         if now < self.no_write_before {
             return;
@@ -129,7 +132,8 @@
             if !waited && !held.is_done() && !held.is_closing && held.results_in_write == 0 {
                 continue;
             }
-            // A write without an answer is repeated as it was: it may yet take effect.
+            // An unanswered write is repeated with the same results, since the first
+            // attempt may still take effect.
             if held.results_in_write == 0 {
                 held.results_in_write = held.unwritten.len();
                 held.write_started_at = Some(now);
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Gives back the claims of lots that aren't run here any further.
+    /// Releases the claims of lots that this daemon has stopped running.
     pub(super) fn release_closed(&mut self) {
         let mut index = 0;
         while index < self.held.len() {
@@ -198,7 +202,7 @@
     }
 }
 
-/// Has this daemon speak for a lot only while what it says of it is all there is.
+/// Updates the conditions under which this daemon reports the results of a lot as complete.
 pub(super) fn update_basis<D: Dialect>(node: &Node<D>, held: &HeldLot) {
     let mut notices = node.lot_notices.borrow_mut();
     notices.set_basis(&held.id, held.basis());
--- a/crates/serving/src/lots/writer.rs
+++ b/crates/serving/src/lots/writer.rs
@@ -1,4 +1,4 @@
-//! Claims on lots, and the results written under them.
+//! Writes claims on lots, and the results and fault counts guarded by them.
 
 use std::rc::Rc;
 
@@ -14,34 +14,34 @@
 };
 use crate::{dialect::Dialect, model::ItemResult, node::Node};
 
-/// How often a write is sent before the store is left alone for a moment.
+/// Number of attempts at a write before the caller backs off.
 const MAX_WRITE_ATTEMPTS: u32 = 3;
 
-/// How a claim went.
+/// Outcome of claiming and reading a lot.
 #[derive(Debug)]
 pub(super) enum ClaimAnswer {
-    /// The lot is this daemon's; here is what the store holds of it.
+    /// This daemon holds the lot, in the state that was read from the store.
     Claimed(Box<HeldLot>),
-    /// There is nothing to run.
+    /// The lot has nothing left to run.
     NothingLeft,
-    /// Another daemon has it.
+    /// Another daemon holds the lot.
     Taken,
-    /// The store didn't answer; it is tried again later.
+    /// The store didn't answer; the claim is repeated later.
     Unknown,
 }
 
-/// How a write of results went.
+/// Outcome of a write that is guarded by a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteAnswer {
-    /// They are in the store.
+    /// The store holds the written data.
     Written,
-    /// The claim is another daemon's, or the lot was ended.
+    /// Another daemon holds the claim, or the lot was ended.
     Fenced,
-    /// The store didn't answer; the same write is tried again later.
+    /// The store didn't answer; the same write is repeated later.
     Unknown,
 }
 
-/// Claims a lot and reads it.
+/// Claims a lot and reads its records.
 pub(super) async fn claim_lot<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> ClaimAnswer {
     let Some(lease) = node.lease() else {
         return ClaimAnswer::Unknown;
@@ -67,7 +67,7 @@
         .borrow_mut()
         .take(lot, &listed.pairs, requested_at, now);
     if let Err(error) = taken {
-        log::error!(lot = lot, error:% = error; "lots: damaged");
+        log::error!(lot = lot, error:% = error; "lots: a record is damaged");
     }
     match HeldLot::load(lot, &listed.pairs, node.clock.now()) {
         Ok(Some(mut held)) if !held.is_done() => {
@@ -80,7 +80,7 @@
             ClaimAnswer::NothingLeft
         }
         Err(error) => {
-            log::error!(lot = lot, error:% = error; "lots: damaged");
+            log::error!(lot = lot, error:% = error; "lots: a record is damaged");
             ClaimAnswer::NothingLeft
         }
     }
@@ -88,31 +88,31 @@
 
 fn claim_unknown<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> ClaimAnswer {
     node.note_store_trouble();
-    log::warn!(lot = lot, error:% = error; "lots: not claimed");
+    log::warn!(lot = lot, error:% = error; "lots: not claimed, since the store failed");
     ClaimAnswer::Unknown
 }
 
-/// How the write of a claim went.
+/// Outcome of the write of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClaimOutcome {
-    /// The lot is this daemon's, by the claim of this revision.
+    /// This daemon holds the lot by the claim at this revision.
     Claimed(Revision),
-    /// Another daemon has it, or has gone further with it.
+    /// Another daemon holds the lot or has written further results.
     Taken,
-    /// Its customer ended it.
+    /// The customer ended the lot.
     Ended,
 }
 
-/// Writes a claim. A daemon that runs a lot already, and whose lease lapsed, says
-/// which group of results it would write next.
+/// Writes a claim. A daemon that already runs the lot and whose lease expired passes the
+/// number of the group of results it would write next.
 ///
-/// The claim of a daemon that was restarted hangs on a lease that lapses only
-/// seconds later. Its new life runs nothing of the lot, as its number tells, so
-/// that such a claim is taken over at once.
+/// The claim of a restarted daemon is bound to a lease that expires only seconds later. Its
+/// new incarnation runs nothing of the lot, so a claim with the incarnation number of a
+/// former process is taken over at once.
 ///
-/// A daemon behind a cut may miss that another one took its lot over, went on
-/// with it, or stopped it when its customer ended it, and left no claim behind.
-/// So a claim holds only where there is neither an end nor a further group.
+/// A daemon that was cut off may miss that another one took its lot over and wrote further
+/// results, or stopped it when its customer ended it, and left no claim behind. So the
+/// claim is written only if there is neither an end record nor a further group.
 pub(super) async fn write_claim<D: Dialect>(
     node: &Node<D>,
     lot: &str,
@@ -164,8 +164,8 @@
     }
 }
 
-/// Writes a group of results, and what the lot's mark tells from then on: none once it
-/// has all results. Then its claim goes as well.
+/// Writes a group of results and updates the lot's open mark. Once the lot has all its
+/// results, the mark and the claim are deleted instead.
 pub(super) async fn write_results<D: Dialect>(
     node: &Node<D>,
     lot: &str,
@@ -205,7 +205,8 @@
     match write_once(&node.store, batch, pace).await {
         Ok(OnceOutcome::Written(_)) => WriteAnswer::Written,
         Ok(OnceOutcome::Refused { found, .. } | OnceOutcome::Overtaken { found, .. }) => {
-            // An earlier try of this same group, whose answer was lost.
+            // The group exists already if an earlier attempt was written and its answer
+            // lost.
             let own = to_packed(&results);
             let is_own = |it: &comfreyramp_store::KeyValue| it.value == own;
             match found.iter().any(is_own) {
@@ -221,7 +222,7 @@
     }
 }
 
-/// Writes how often servers failed at items of a lot. Written twice it says the same.
+/// Writes how often servers failed at the items of a lot. Repeating the write is harmless.
 pub(super) async fn write_faults<D: Dialect>(
     node: &Node<D>,
     lot: &str,
@@ -251,12 +252,12 @@
     }
 }
 
-/// Gives a claim back. Should this fail, it lapses with the lease.
+/// Releases a claim. If this fails, the claim expires with its lease.
 pub(super) async fn release<D: Dialect>(node: &Node<D>, lot: &str, claim: Revision) {
     remove_claim(node, lot, claim, vec![Write::Delete(keys::claim(lot))]).await;
 }
 
-/// Gives back the claim on a lot that has nothing left to run.
+/// Releases the claim on a lot that has nothing left to run, and deletes its open mark.
 async fn release_done<D: Dialect>(node: &Node<D>, lot: &str, claim: Revision) {
     let then = vec![
         Write::Delete(keys::claim(lot)),
@@ -272,6 +273,6 @@
         read_back: Vec::new(),
     };
     if let Err(error) = node.store.transact(batch).await {
-        log::warn!(lot = lot, error:% = error; "lots: a claim lapses by itself");
+        log::warn!(lot = lot, error:% = error; "lots: a claim wasn't released and expires with its lease");
     }
 }
