--- a/crates/serving/src/lots/item_run.rs
+++ b/crates/serving/src/lots/item_run.rs
@@ -1,4 +1,4 @@
-//! Running one item of a lot.
+//! Runs one item of a lot on a server.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,58 +15,58 @@
     path::{AttemptGuard, OpenAnswer, open_answer},
 };
 
-/// How long a server may take up to the first event. It is longer than for live
-/// requests: the item may wait for a slot that a live request took meanwhile.
-const FIRST_PATIENCE: Duration = Duration::from_millis(3_000);
-/// How long a server may be silent between two events.
-const EVENT_PATIENCE: Duration = Duration::from_millis(2_000);
+/// Longest wait for the first event. It is longer than for live requests, because the item
+/// may wait for a slot that a live request took meanwhile.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Longest silence between two events.
+const EVENT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Where an item stands: what was read of its stream so far.
+/// What was read of an item's event stream so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ItemProgress {
-    /// The id of the last event.
+    /// Id of the last event, from which a later run resumes.
     pub(super) last_event: Option<u64>,
-    /// The data of all events so far.
+    /// Data of all events so far, one line per event.
     pub(super) output: Vec<u8>,
-    /// How many events there were.
+    /// Number of events so far.
     pub(super) events: u32,
 }
 
-/// One run of an item.
+/// Parameters of one run of an item.
 pub(super) struct ItemRun {
     pub(super) item: Rc<LotItem>,
     pub(super) host: String,
     pub(super) customer: String,
     pub(super) progress: ItemProgress,
-    /// How long the item may still take.
+    /// Time until the item is given up.
     pub(super) time_left: Duration,
-    /// Cancelled when the item has to step aside, or its lot was ended.
+    /// Cancelled when the item is preempted or its lot is closed.
     pub(super) stop: CancellationToken,
 }
 
 /// How a run of an item ended.
 #[derive(Debug)]
-pub(super) enum ItemEnd {
-    /// Its whole answer is here.
+pub(super) enum ItemOutcome {
+    /// The whole answer was received.
     Done(ItemProgress),
-    /// The server says that it can never be done.
+    /// The server reports that the item can never succeed.
     Impossible,
-    /// The server ran it and failed.
+    /// The server ran the item and failed.
     Failed,
-    /// It wasn't run.
+    /// The item wasn't run, so that nothing counts against it.
     NotRun(ItemProgress),
-    /// The server broke off, or fell silent.
+    /// The connection broke, or the server was silent for too long.
     Broken(ItemProgress),
-    /// It was stopped.
+    /// The run was stopped by this daemon.
     Stopped(ItemProgress),
 }
 
-/// Runs an item on the server whose place `guard` holds.
+/// Runs an item on the server whose slot `guard` occupies.
 pub(super) async fn run_item<D: Dialect>(
     node: &Rc<Node<D>>,
     guard: AttemptGuard<D>,
     mut run: ItemRun,
-) -> ItemEnd {
+) -> ItemOutcome {
     let request = {
         let servers = node.servers.borrow();
         let ticket = SendTicket {
@@ -80,24 +80,24 @@
     let request = match request {
         Ok(request) => request.map(Full::new),
         Err(error) => {
-            log::warn!(item = run.item.id, error:% = error; "lots: an item is no request");
-            return ItemEnd::Impossible;
+            log::warn!(item = run.item.id, error:% = error; "lots: no valid request can be built from an item");
+            return ItemOutcome::Impossible;
         }
     };
-    let opening = open_answer(guard, request, &run.item.id, FIRST_PATIENCE);
+    let opening = open_answer(guard, request, &run.item.id, FIRST_EVENT_TIMEOUT);
     let opened = tokio::select! {
         opened = opening => opened,
-        () = run.stop.cancelled() => return ItemEnd::Stopped(run.progress),
+        () = run.stop.cancelled() => return ItemOutcome::Stopped(run.progress),
     };
     let open = match opened {
         Ok(open) => open,
-        Err(failure) if failure.may_have_run() => return ItemEnd::Broken(run.progress),
-        Err(_) => return ItemEnd::NotRun(run.progress),
+        Err(failure) if failure.may_have_run() => return ItemOutcome::Broken(run.progress),
+        Err(_) => return ItemOutcome::NotRun(run.progress),
     };
     match open.head.status {
-        StatusCode::UNPROCESSABLE_ENTITY => ItemEnd::Impossible,
+        StatusCode::UNPROCESSABLE_ENTITY => ItemOutcome::Impossible,
         status if status.is_success() => read_events(node, open, &mut run).await,
-        _ => ItemEnd::Failed,
+        _ => ItemOutcome::Failed,
     }
 }
 
@@ -105,7 +105,7 @@
     node: &Rc<Node<D>>,
     mut open: OpenAnswer<D>,
     run: &mut ItemRun,
-) -> ItemEnd {
+) -> ItemOutcome {
     let mut splitter = EventSplitter::default();
     let mut next = open.first.take();
     loop {
@@ -114,14 +114,14 @@
                 return broken(&open, run);
             }
             while let Some(event) = splitter.next_event() {
-                run.progress.take(&event);
+                run.progress.add_event(&event);
             }
         }
-        let reading = tokio::time::timeout(EVENT_PATIENCE, open.body.frame());
+        let reading = tokio::time::timeout(EVENT_TIMEOUT, open.body.frame());
         let frame = tokio::select! {
             frame = reading => frame,
             () = run.stop.cancelled() => {
-                return ItemEnd::Stopped(std::mem::take(&mut run.progress));
+                return ItemOutcome::Stopped(std::mem::take(&mut run.progress));
             }
         };
         match frame {
@@ -134,18 +134,18 @@
     let now = node.clock.now();
     node.connections
         .put_back(open.connection, open.answer.kept_for, now);
-    ItemEnd::Done(std::mem::take(&mut run.progress))
+    ItemOutcome::Done(std::mem::take(&mut run.progress))
 }
 
-fn broken<D: Dialect>(open: &OpenAnswer<D>, run: &mut ItemRun) -> ItemEnd {
+fn broken<D: Dialect>(open: &OpenAnswer<D>, run: &mut ItemRun) -> ItemOutcome {
     open.guard.note(ServerOutcomeKind::Broken);
-    ItemEnd::Broken(std::mem::take(&mut run.progress))
+    ItemOutcome::Broken(std::mem::take(&mut run.progress))
 }
 
 impl ItemProgress {
-    fn take(&mut self, event: &[u8]) {
+    fn add_event(&mut self, event: &[u8]) {
         let id = event_id(event);
-        // A server that repeats an event must not get it into the output twice.
+        // Skips events that a server repeats, which would appear in the output twice.
         if id.is_some() && id <= self.last_event {
             return;
         }
@@ -161,27 +161,27 @@
     }
 }
 
-impl ItemEnd {
-    /// How many events the item has by then, as far as they are kept.
+impl ItemOutcome {
+    /// Returns the number of events that the item keeps after this run.
     pub(super) fn events(&self) -> u32 {
         match self {
-            ItemEnd::Done(progress)
-            | ItemEnd::NotRun(progress)
-            | ItemEnd::Broken(progress)
-            | ItemEnd::Stopped(progress) => progress.events,
-            ItemEnd::Impossible | ItemEnd::Failed => 0,
+            ItemOutcome::Done(progress)
+            | ItemOutcome::NotRun(progress)
+            | ItemOutcome::Broken(progress)
+            | ItemOutcome::Stopped(progress) => progress.events,
+            ItemOutcome::Impossible | ItemOutcome::Failed => 0,
         }
     }
 
-    /// The end as a label.
+    /// Returns the outcome as a label for logs and metrics.
     pub(super) fn as_str(&self) -> &'static str {
         match self {
-            ItemEnd::Done(_) => "done",
-            ItemEnd::Impossible => "impossible",
-            ItemEnd::Failed => "failed",
-            ItemEnd::NotRun(_) => "not_run",
-            ItemEnd::Broken(_) => "broken",
-            ItemEnd::Stopped(_) => "stopped",
+            ItemOutcome::Done(_) => "done",
+            ItemOutcome::Impossible => "impossible",
+            ItemOutcome::Failed => "failed",
+            ItemOutcome::NotRun(_) => "not_run",
+            ItemOutcome::Broken(_) => "broken",
+            ItemOutcome::Stopped(_) => "stopped",
         }
     }
 }
--- a/crates/serving/src/lots/peer_read.rs
+++ b/crates/serving/src/lots/peer_read.rs
@@ -1,5 +1,4 @@
-//! Results of lots from the daemons that run them, which costs no call to the
-//! store.
+//! Reads results from the daemon that runs their lot, which saves a call to the store.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,45 +6,45 @@
 use comfreyramp_http::MessageBody;
 use http::{Request, StatusCode};
 
-use super::lot_cache::ShownLot;
+use super::lot_cache::SentLot;
 use crate::{dialect::Dialect, node::Node};
 
-/// Under this path daemons show each other lots.
+/// Path under which daemons send lots to each other.
 pub const LOT_PATH: &str = "/lots/";
-/// How long the daemon that runs a lot may take. Then the store is asked.
+/// Time limit for the daemon that runs a lot. After it the store is queried.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// The longest answer: the results of one lot.
+/// Longest answer in bytes. It holds the results of one lot.
 const ANSWER_LIMIT: usize = 16 << 20;
 
-/// Shows a lot to another daemon: `rest` is the lot, a slash, and the position
-/// of the first result that is wanted.
+/// Answers another daemon's request for a lot. `rest` is the id of the lot, a slash, and
+/// the position of the first result wanted.
 ///
-/// The other daemon takes this for all there is. So nothing is shown where the store
-/// may hold more, as after a claim that may be gone, or where the copy here doesn't
-/// reach as far as this daemon wrote; the store is asked instead.
+/// The other daemon takes the answer as complete. So this returns `None` where the store
+/// may hold more, either because the claim may be lost or because the copy here lacks
+/// results that this daemon wrote; the other daemon then queries the store.
 pub fn show_lot<D: Dialect>(node: &Node<D>, rest: &str) -> Option<Bytes> {
     let (lot, after) = rest.split_once('/')?;
     let cache = node.lot_cache.borrow();
     let known = cache.get(lot)?;
-    // The copy may have been dropped, and read again while a result was written.
-    let has_all = |vouched: usize| known.results.len() >= vouched;
-    if !known.is_whole() && !node.vouched_results(lot).is_some_and(has_all) {
+    // The copy may have been evicted, and read again while a result was being written.
+    let has_all = |confirmed: usize| known.results.len() >= confirmed;
+    if !known.is_complete() && !node.vouched_results(lot).is_some_and(has_all) {
         return None;
     }
-    let shown = cache.show(lot, after.parse().ok()?)?;
-    Some(serde_json::to_vec(&shown).unwrap_or_default().into())
+    let sent = cache.for_peer(lot, after.parse().ok()?)?;
+    Some(serde_json::to_vec(&sent).unwrap_or_default().into())
 }
 
-/// Asks the daemon that runs a lot for what isn't known of it here. Returns
-/// whether it answered.
+/// Requests the results that are missing here from the daemon that runs a lot. Returns
+/// whether they were received.
 ///
-/// What it shows is in the store already: it takes results into its own copy
+/// All results received are in the store already: that daemon adds results to its own copy
 /// only once they are written.
-pub(super) async fn ask_runner<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> bool {
+pub(super) async fn request_from_runner<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> bool {
     let Some(peer) = node.lot_runner(lot) else {
         return false;
     };
-    let asked_at = node.clock.now();
+    let requested_at = node.clock.now();
     let after = node
         .lot_cache
         .borrow()
@@ -59,24 +58,24 @@
         .peer_client
         .exchange(request, ANSWER_TIMEOUT, ANSWER_LIMIT)
         .await;
-    let shown = match answer {
+    let sent = match answer {
         Ok(answer) if answer.status() == StatusCode::OK => {
-            serde_json::from_slice::<ShownLot>(answer.body())
+            serde_json::from_slice::<SentLot>(answer.body())
         }
         Ok(_) => return false,
         Err(error) => {
-            log::info!(lot = lot, peer:% = peer, error:% = error; "lots: no results from the daemon that runs it");
+            log::info!(lot = lot, peer:% = peer, error:% = error; "lots: no answer from the daemon that runs the lot");
             return false;
         }
     };
     let now = node.clock.now();
-    match shown {
-        Ok(shown) => node
+    match sent {
+        Ok(sent) => node
             .lot_cache
             .borrow_mut()
-            .take_shown(lot, shown, peer, asked_at, now),
+            .add_sent(lot, sent, peer, requested_at, now),
         Err(error) => {
-            log::warn!(lot = lot, error:% = error; "lots: a daemon shows what can't be read");
+            log::warn!(lot = lot, error:% = error; "lots: the answer of the daemon that runs the lot can't be parsed");
             false
         }
     }
--- a/crates/serving/src/lots/read.rs
+++ b/crates/serving/src/lots/read.rs
@@ -1,4 +1,4 @@
-//! Reading and ending lots.
+//! Answers callers who read or end lots.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -12,9 +12,9 @@
 
 use super::{
     keys,
-    lot_cache::KnownLot,
+    lot_cache::CachedLot,
     notices::LotNotice,
-    peer_read::ask_runner,
+    peer_read::request_from_runner,
     records::{DamagedRecord, from_packed, to_json},
 };
 use crate::{
@@ -25,34 +25,35 @@
     path::FrontBody,
 };
 
-/// An answer is held back no longer than this while there is no result.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
-/// Beyond the time that a reader waits, the store and the daemon that runs the lot get
-/// this much. Where they don't answer, its caller is better told so than kept.
-const LOOK_LIMIT: Duration = Duration::from_millis(1_000);
-/// How often a reader that waits looks whether there is news.
-const LOOK_INTERVAL: Duration = Duration::from_millis(150);
-/// When a reader may come back while the store can't be reached.
-const STORE_RETRY: Duration = Duration::from_millis(500);
-/// How often a lot's end is written at most.
-const END_TRIES: u32 = 5;
+/// Longest time that an answer is held back while there is no result.
+const MAX_WAIT: Duration = Duration::from_millis(1_000);
+/// Additional time that the store and the daemon that runs the lot get beyond the caller's
+/// wait. If they don't answer within it, an error serves the caller better than a longer
+/// wait.
+const LOOKUP_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Interval at which a waiting reader checks for new results.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Time after which a reader may retry while the store can't be reached.
+const STORE_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Maximum number of attempts to write a lot's end record.
+const MAX_END_ATTEMPTS: u32 = 5;
 
 type Answer<D> = Result<Response<FrontBody<D>>, Refusal>;
 
-/// Answers a request for a lot.
+/// Answers a caller's request about a lot: reads results, reads one item, or ends the lot.
 pub async fn answer_reader<D: Dialect>(
     node: &Rc<Node<D>>,
     customer: &Arc<KnownCustomer>,
     request: &str,
-    ask: CallerAsk,
+    operation: CallerAsk,
 ) -> Answer<D> {
     let name = customer.settings.name.as_str();
-    match ask {
+    match operation {
         CallerAsk::ReadLot { lot, after, wait } => {
             let reading = read_lot(node, name, &lot, after, wait);
-            let limit = wait.min(LONGEST_WAIT) + LOOK_LIMIT;
+            let limit = wait.min(MAX_WAIT) + LOOKUP_TIMEOUT;
             let answer = tokio::time::timeout(limit, reading).await;
-            let page = answer.unwrap_or_else(|_| Err(store_away()));
+            let page = answer.unwrap_or_else(|_| Err(store_unavailable()));
             log_read(node, request, &lot, after, &page);
             page.map(|it| <D::Callers as CallerDialect>::lot_page(&it).map(FrontBody::whole))
         }
@@ -71,40 +72,43 @@
 ) -> Result<LotPage, Refusal> {
     let asked_at = node.clock.now();
     let reader = ReaderPosition { after, asked_at };
-    let until = asked_at + wait.min(LONGEST_WAIT);
-    know_lot(node, customer, lot).await?;
+    let deadline = asked_at + wait.min(MAX_WAIT);
+    ensure_known(node, customer, lot).await?;
     loop {
-        // A reader that begins anew gets what is new as well, not just what somebody
-        // else has read here before. Where no more can be had, what is known will do.
-        if is_doubtful(node, lot, reader)
-            && let Err(refusal) = look_further(node, lot, reader).await
+        // A reader that starts again at an earlier position also gets new results, not just
+        // those that another reader has brought into the cache. If no newer ones can be
+        // read, the cached results are sufficient.
+        if needs_refresh(node, lot, reader)
+            && let Err(refusal) = refresh_copy(node, lot, reader).await
             && !serves(node, lot, reader)
         {
             return Err(refusal);
         }
-        if serves(node, lot, reader) || is_final(node, lot) || node.clock.now() >= until {
+        if serves(node, lot, reader) || is_final(node, lot) || node.clock.now() >= deadline {
             break;
         }
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let cache = node.lot_cache.borrow();
-    let known = cache.get(lot).ok_or_else(store_away)?;
+    let known = cache.get(lot).ok_or_else(store_unavailable)?;
     let state = known.state();
-    let vouch = node.runner_vouch(lot);
-    // A look that took long tells of how it was then. Whoever can't be sure says so.
-    if !state.serves(reader) && !state.proves_nothing_there(reader, vouch, node.clock.now()) {
-        return Err(store_away());
+    let confirmation = node.runner_vouch(lot);
+    // An answer that took long to arrive may be out of date. If the copy can't be shown to
+    // be complete, the reader gets an error instead of an empty page.
+    if !state.serves(reader) && !state.proves_nothing_there(reader, confirmation, node.clock.now())
+    {
+        return Err(store_unavailable());
     }
     Ok(known.page(after))
 }
 
-fn store_away() -> Refusal {
-    Refusal::new(RefusalCause::StoreAway).retry_after(STORE_RETRY)
+fn store_unavailable() -> Refusal {
+    Refusal::new(RefusalCause::StoreAway).retry_after(STORE_RETRY_AFTER)
 }
 
 fn copy_state<D: Dialect>(node: &Node<D>, lot: &str) -> Option<CopyState> {
     let cache = node.lot_cache.borrow();
-    cache.get(lot).map(KnownLot::state)
+    cache.get(lot).map(CachedLot::state)
 }
 
 fn serves<D: Dialect>(node: &Node<D>, lot: &str, reader: ReaderPosition) -> bool {
@@ -115,37 +119,43 @@
     copy_state(node, lot).is_none_or(|it| it.is_final)
 }
 
-fn is_doubtful<D: Dialect>(node: &Node<D>, lot: &str, reader: ReaderPosition) -> bool {
-    let vouch = node.runner_vouch(lot);
+fn needs_refresh<D: Dialect>(node: &Node<D>, lot: &str, reader: ReaderPosition) -> bool {
+    let confirmation = node.runner_vouch(lot);
     let now = node.clock.now();
-    copy_state(node, lot).is_none_or(|it| it.is_doubtful(reader, vouch, now))
+    copy_state(node, lot).is_none_or(|it| it.is_doubtful(reader, confirmation, now))
 }
 
-/// Learns what there is of a lot for a reader, from the daemon that runs it or from the
-/// store. A reader that is ahead of the copy here has been elsewhere meanwhile, and that
-/// daemon has what it asks for; if it hasn't, its word that there is none was wrong.
-async fn look_further<D: Dialect>(
+/// Brings the copy of a lot up to date for a reader, from the daemon that runs the lot or
+/// from the store. A reader that is ahead of this copy was answered elsewhere, and the
+/// daemon that runs the lot should have what it wants. If that daemon has fewer results,
+/// its report that there are no more was wrong, and the store is read.
+async fn refresh_copy<D: Dialect>(
     node: &Rc<Node<D>>,
     lot: &str,
     reader: ReaderPosition,
 ) -> Result<(), Refusal> {
     let is_behind = || copy_state(node, lot).is_some_and(|it| it.is_behind(reader));
-    let vouch = node.runner_vouch(lot);
-    let has_it = vouch.is_some_and(|it| it.results >= reader.after);
-    let is_asked = has_it || !is_behind();
-    if is_asked && ask_runner(node, lot).await && !is_behind() && !falls_short(node, lot) {
+    let confirmation = node.runner_vouch(lot);
+    let runner_has_it = confirmation.is_some_and(|it| it.results >= reader.after);
+    let tries_runner = runner_has_it || !is_behind();
+    if tries_runner
+        && request_from_runner(node, lot).await
+        && !is_behind()
+        && !falls_short(node, lot)
+    {
         return Ok(());
     }
-    ask_store(node, lot).await
+    refresh_from_store(node, lot).await
 }
 
 fn falls_short<D: Dialect>(node: &Node<D>, lot: &str) -> bool {
-    let vouch = node.runner_vouch(lot);
-    copy_state(node, lot).is_some_and(|it| it.falls_short(vouch))
+    let confirmation = node.runner_vouch(lot);
+    copy_state(node, lot).is_some_and(|it| it.falls_short(confirmation))
 }
 
-/// Logs how a read was answered, and by what: how far the copy of the lot goes, when and
-/// by whom it was last proved to be all, and what is said of the lot.
+/// Logs the outcome of a read and what it was based on: how far the copy goes, when and by
+/// whom it was last confirmed to be complete, and what the daemon that runs the lot last
+/// reported.
 fn log_read<D: Dialect>(
     node: &Node<D>,
     request: &str,
@@ -156,9 +166,9 @@
     let cache = node.lot_cache.borrow();
     let known = cache.get(lot);
     let now = node.clock.now();
-    let age = known.map_or(Duration::ZERO, |it| now.since(it.proved_at));
-    let word = node.runner_word(lot);
-    let word = word.as_ref();
+    let age = known.map_or(Duration::ZERO, |it| now.since(it.confirmed_at));
+    let report = node.runner_word(lot);
+    let report = report.as_ref();
     log::info!(
         request = request, lot = lot, after = after,
         outcome = page.as_ref().map_or_else(|it| it.cause.as_str(), |_| "shown"),
@@ -167,17 +177,18 @@
         total = known.map_or(0, |it| it.head.total),
         copy_age_ms = age.as_millis() as u64,
         copy_from = known.map_or_else(String::new, |it| it.source.to_string()),
-        runner = word.map_or("", |it| &it.daemon),
-        runner_life = word.map_or(0, |it| it.incarnation),
-        runner_stage = word.map_or("", |it| it.stage.as_str()),
-        runner_results = word.map_or(0, |it| it.results),
-        heard_ms = word.map_or(0, |it| it.age.as_millis() as u64);
+        runner = report.map_or("", |it| &it.daemon),
+        runner_life = report.map_or(0, |it| it.incarnation),
+        runner_stage = report.map_or("", |it| it.stage.as_str()),
+        runner_results = report.map_or(0, |it| it.results),
+        heard_ms = report.map_or(0, |it| it.age.as_millis() as u64);
         "lots: read"
     );
 }
 
-/// Makes sure that a lot is known and belongs to a customer.
-async fn know_lot<D: Dialect>(
+/// Makes sure that a lot is cached and belongs to the customer. A lot of another customer
+/// is reported like one that doesn't exist.
+async fn ensure_known<D: Dialect>(
     node: &Rc<Node<D>>,
     customer: &str,
     lot: &str,
@@ -186,8 +197,8 @@
         return Err(RefusalCause::NoSuchLot.into());
     }
     let is_known = node.lot_cache.borrow().get(lot).is_some();
-    if !is_known && !ask_runner(node, lot).await {
-        ask_store(node, lot).await?;
+    if !is_known && !request_from_runner(node, lot).await {
+        refresh_from_store(node, lot).await?;
     }
     match node.lot_cache.borrow().belongs_to(lot, customer) {
         true => Ok(()),
@@ -195,26 +206,27 @@
     }
 }
 
-/// Learns what there is of a lot beyond what is known from the store.
-async fn ask_store<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> Result<(), Refusal> {
+/// Reads from the store what the copy of a lot lacks.
+async fn refresh_from_store<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> Result<(), Refusal> {
     let last_key = node.lot_cache.borrow().last_key(lot);
-    let is_part = last_key.is_some();
-    let is_known = ask_behind(node, lot, last_key).await?;
-    // The copy may have been dropped for others meanwhile. That the store has no head
-    // behind it doesn't say that there is no such lot.
-    if is_part && !is_known {
-        ask_behind(node, lot, None).await?;
+    let is_partial = last_key.is_some();
+    let is_known = read_store_after(node, lot, last_key).await?;
+    // The copy may have been evicted meanwhile. An answer without a head for the range
+    // after `last_key` then doesn't mean that the lot doesn't exist.
+    if is_partial && !is_known {
+        read_store_after(node, lot, None).await?;
     }
     Ok(())
 }
 
-/// Learns what there is of a lot behind a key. Returns whether the lot is known then.
-async fn ask_behind<D: Dialect>(
+/// Reads the records of a lot after a key, or all of them. Returns whether the cached lot
+/// now matches the store.
+async fn read_store_after<D: Dialect>(
     node: &Rc<Node<D>>,
     lot: &str,
     last_key: Option<String>,
 ) -> Result<bool, Refusal> {
-    let asked_at = node.clock.now();
+    let requested_at = node.clock.now();
     let prefix = keys::data(lot);
     let range = match last_key {
         Some(after) => KeyRange::After { prefix, after },
@@ -224,21 +236,21 @@
         .store
         .range(range, 0)
         .await
-        .map_err(|error| away(node, lot, &error))?;
+        .map_err(|error| store_failure(node, lot, &error))?;
     let now = node.clock.now();
     let mut cache = node.lot_cache.borrow_mut();
-    let taken = cache.take(lot, &answer.pairs, asked_at, now);
+    let taken = cache.take(lot, &answer.pairs, requested_at, now);
     taken.map_err(|error| damaged(&error))
 }
 
-fn away<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> Refusal {
+fn store_failure<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> Refusal {
     node.note_store_trouble();
-    log::warn!(lot = lot, error:% = error; "lots: can't be read");
-    store_away()
+    log::warn!(lot = lot, error:% = error; "lots: the store failed to answer a read");
+    store_unavailable()
 }
 
 fn damaged(error: &DamagedRecord) -> Refusal {
-    log::error!(error:% = error; "lots: damaged");
+    log::error!(error:% = error; "lots: a record is damaged");
     Refusal::new(RefusalCause::StoreAway)
 }
 
@@ -248,13 +260,13 @@
     lot: &str,
     item: &str,
 ) -> Answer<D> {
-    know_lot(node, customer, lot).await?;
+    ensure_known(node, customer, lot).await?;
     let range = KeyRange::Prefix(keys::items(lot));
     let answer = node
         .store
         .range(range, 0)
         .await
-        .map_err(|error| away(node, lot, &error))?;
+        .map_err(|error| store_failure(node, lot, &error))?;
     for pair in &answer.pairs {
         let items: Vec<LotItem> = from_packed(pair).map_err(|error| damaged(&error))?;
         if let Some(found) = items.into_iter().find(|it| it.id == item) {
@@ -265,27 +277,27 @@
     Err(RefusalCause::NoSuchLot.into())
 }
 
-/// Ends a lot: its items are no longer run. What is listed stays.
+/// Ends a lot: its items are no longer run, and the results it has are kept.
 async fn end_lot<D: Dialect>(node: &Rc<Node<D>>, customer: &str, lot: &str) -> Answer<D> {
-    know_lot(node, customer, lot).await?;
+    ensure_known(node, customer, lot).await?;
     let is_ended = |node: &Node<D>| {
         let cache = node.lot_cache.borrow();
         cache.get(lot).is_some_and(|it| it.is_ended)
     };
     if !is_ended(node) {
-        // A caller that leaves meanwhile must not leave the end half done: written,
-        // and told to nobody.
+        // Runs in its own task, so that a caller who disconnects can't leave the end
+        // written but not announced.
         let (shared, id) = (node.clone(), lot.to_owned());
         let writing = tokio::task::spawn_local(async move { write_end(&shared, &id).await });
         let lost = |error: JoinError| Err(StoreError::AnswerLost(error.to_string()));
         match writing.await.unwrap_or_else(lost) {
             Ok(()) => {}
             Err(StoreError::AnswerLost(_)) => return Err(RefusalCause::Undecided.into()),
-            Err(error) => return Err(away(node, lot, &error)),
+            Err(error) => return Err(store_failure(node, lot, &error)),
         }
     }
-    // Also where another daemon wrote the end: it may have been lost before it
-    // could tell.
+    // Announces the end also if another daemon wrote it, since that daemon may have been
+    // lost before it could do so.
     node.tell_lot(LotNotice::Ended(lot.to_owned()));
     Ok(<D::Callers as CallerDialect>::lot_ended().map(FrontBody::whole))
 }
@@ -304,8 +316,8 @@
         ],
         read_back: Vec::new(),
     };
-    let pace = RetryPace::new(node.incarnation).attempts(END_TRIES);
-    // Whoever wrote the end, it stands.
+    let pace = RetryPace::new(node.incarnation).attempts(MAX_END_ATTEMPTS);
+    // The result is ignored: if the write was refused, another daemon has ended the lot.
     write_once(&node.store, batch, pace).await?;
     log::info!(lot = lot; "lots: ended by its customer");
     node.lot_cache.borrow_mut().end(lot);
--- a/crates/serving/src/lots/worker/claims.rs
+++ b/crates/serving/src/lots/worker/claims.rs
@@ -1,44 +1,47 @@
-//! Which lots this daemon runs: notices, lists and claims.
+//! Decides which lots this daemon runs, from notices, listings and claims.
 
 use std::time::Duration;
 
 use comfreyramp_policy::{Timestamp, lots::HeldSize};
 use comfreyramp_store::{KeyRange, PlatformStore, StoreError};
 
-use super::{ListedLots, LotWorker, WRITE_PAUSE, WorkerEvent, results::note_basis};
+use super::{ListedLots, LotWorker, WRITE_BACKOFF, WorkerEvent, results::update_basis};
 use crate::{
     dialect::Dialect,
     lots::{
         held_lot::HeldLot,
         keys,
         notices::LotNotice,
-        writer::{self, ClaimAnswer, ClaimEnd},
+        writer::{self, ClaimAnswer, ClaimOutcome},
     },
 };
 
-/// A lot that the daemon it falls to hasn't claimed for so long goes to any.
-const CLAIM_PATIENCE: Duration = Duration::from_millis(2_500);
-/// How often all open lots are listed. Notices come by datagrams; this finds what
-/// they missed, such as lots that were accepted or ended by daemons that were lost
-/// right after. Customers expect an ended lot to stop within three seconds.
+/// A lot that the daemon it is assigned to hasn't claimed within this time may be claimed
+/// by any daemon.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Interval at which all open lots are listed. Notices are sent as datagrams; a listing
+/// finds what they missed, such as lots accepted or ended by a daemon that was lost right
+/// afterwards. Customers expect an ended lot to stop within three seconds.
 const LIST_INTERVAL: Duration = Duration::from_millis(2_000);
-/// How often a lot is handed over at most. Meanwhile the others tell what they have.
+/// Minimum interval between two hand-overs. Meanwhile the other daemons report their new
+/// load.
 const HAND_OVER_INTERVAL: Duration = Duration::from_millis(250);
-/// The pause after a claim that failed.
-const CLAIM_PAUSE: Duration = Duration::from_millis(1_000);
-/// A lot that was found to have nothing left isn't looked at again for so long. That it
-/// was accepted is repeated for less, several times a second, and each look is billed.
-const GONE_KEPT: Duration = Duration::from_secs(10);
+/// Delay before a failed claim is repeated.
+const CLAIM_BACKOFF: Duration = Duration::from_millis(1_000);
+/// How long a lot without items left is ignored. Its acceptance is repeated for a shorter
+/// time, several times a second, and each read of the store is billed.
+const EXHAUSTED_RETENTION: Duration = Duration::from_secs(10);
 
 impl<D: Dialect> LotWorker<D> {
-    pub(super) fn take_notices(&mut self, now: Timestamp) {
-        self.gone.retain(|it| now.since(it.1) < GONE_KEPT);
+    pub(super) fn process_notices(&mut self, now: Timestamp) {
+        self.exhausted
+            .retain(|it| now.since(it.1) < EXHAUSTED_RETENTION);
         let inbox = self.node.take_lot_inbox();
         for lot in inbox.accepted {
             self.add_candidate(&lot, now);
         }
         for placed in inbox.placed {
-            self.candidates.place(&placed.lot, placed.runner);
+            self.candidates.assign(&placed.lot, placed.runner);
         }
         for lot in inbox.ended {
             self.candidates.remove(&lot);
@@ -51,15 +54,15 @@
     fn add_candidate(&mut self, lot: &str, now: Timestamp) {
         let is_known = self.candidates.holds(lot)
             || self.held.iter().any(|it| *it.id == *lot)
-            || self.gone.iter().any(|it| it.0 == lot)
+            || self.exhausted.iter().any(|it| it.0 == lot)
             || self.node.told_finished(lot);
         if !is_known {
             self.candidates.add(lot, now, now);
         }
     }
 
-    /// Takes in a lot that a listing shows. Where nobody tells that it runs, the
-    /// daemon to which it falls may not have heard of it.
+    /// Adds a lot found by a listing. If no daemon reports that it runs the lot, the daemon
+    /// that it is assigned to may have missed the notice, so that the notice is repeated.
     fn add_listed(&mut self, lot: &str, now: Timestamp) {
         let is_held = self.held.iter().any(|it| *it.id == *lot);
         if !is_held && !self.node.is_held_elsewhere(lot) && !self.node.is_own_lot(lot) {
@@ -68,7 +71,7 @@
         self.add_candidate(lot, now);
     }
 
-    /// Lists all open lots now and then.
+    /// Lists all open lots once per interval, if this daemon is the one that lists them.
     pub(super) fn list_open(&mut self, now: Timestamp) {
         let is_due = self
             .listed_at
@@ -90,11 +93,12 @@
                     let marks = answer.pairs.iter().map(|it| it.key.as_str());
                     let lots = marks.filter_map(|it| it.strip_prefix(keys::OPEN));
                     let lots = lots.map(str::to_owned);
-                    // The worker outlives its tasks but for the end of the process.
+                    // Sending fails only at the end of the process, since the worker
+                    // outlives its tasks otherwise.
                     let listed = ListedLots {
                         open: lots.collect(),
                         held_elsewhere,
-                        asked_at: now,
+                        requested_at: now,
                     };
                     let _ = sender.send(WorkerEvent::Listed(listed));
                 }
@@ -106,13 +110,14 @@
         });
     }
 
-    /// Claims what falls to this daemon, and what another left lying.
+    /// Claims lots that are assigned to this daemon, and those that others left unclaimed.
     pub(super) fn claim_candidates(&mut self, now: Timestamp) {
         if self.node.lease().is_none() || self.node.is_retiring.get() {
             return;
         }
-        // What another daemon has finished would be claimed by each one in turn, just
-        // to find that nothing is left: 26 writes a lot with 14 daemons.
+        // Removes lots that another daemon has finished. Otherwise each daemon in turn
+        // would claim them just to find that nothing is left, which cost 26 writes per lot
+        // with 14 daemons.
         let node = &self.node;
         self.candidates
             .retain(|it| it.is_claiming || !node.told_finished(&it.lot));
@@ -124,18 +129,19 @@
             if candidate.is_claiming || candidate.not_before > now || !size.has_room() {
                 continue;
             }
-            // Held still, since a write or an item has no answer yet: claimed now, it
-            // would be held twice, and what comes back taken for the other's.
+            // The lot is still held here, since a write or a run of an item is unanswered.
+            // Claimed now it would be held twice, and that answer would be applied to the
+            // wrong one.
             if self.held.iter().any(|it| *it.id == *candidate.lot) {
                 continue;
             }
             if self.node.is_held_elsewhere(&candidate.lot) {
-                candidate.known_at = now;
+                candidate.unclaimed_since = now;
                 continue;
             }
             let placed = candidate.runner.and_then(|it| self.node.is_placed_here(it));
             let is_own = placed.unwrap_or_else(|| self.node.is_own_lot(&candidate.lot));
-            if !is_own && now.since(candidate.known_at) < CLAIM_PATIENCE {
+            if !is_own && now.since(candidate.unclaimed_since) < CLAIM_TIMEOUT {
                 continue;
             }
             candidate.is_claiming = true;
@@ -150,14 +156,14 @@
         }
     }
 
-    /// Claims anew what hung on a lease that lapsed.
+    /// Reclaims the lots whose claims were bound to an expired lease.
     pub(super) fn check_leases(&mut self, now: Timestamp) {
         let Some(lease) = self.node.lease().filter(|_| now >= self.no_write_before) else {
             return;
         };
         for held in &mut self.held {
             if held.claim.is_some() && held.lease == Some(lease.id) {
-                held.certain_at = now;
+                held.claim_confirmed_at = now;
                 continue;
             }
             if held.is_reclaiming || held.is_closing {
@@ -166,7 +172,7 @@
             held.is_reclaiming = true;
             held.claim = None;
             held.lease = Some(lease.id);
-            note_basis(&self.node, held);
+            update_basis(&self.node, held);
             let node = self.node.clone();
             let sender = self.sender.clone();
             let (lot, next_group) = (held.id.clone(), held.groups);
@@ -181,7 +187,7 @@
     pub(super) fn on_reclaimed(
         &mut self,
         lot: &str,
-        claim: Result<ClaimEnd, StoreError>,
+        claim: Result<ClaimOutcome, StoreError>,
         now: Timestamp,
     ) {
         let Some(held) = self.find(lot) else {
@@ -189,52 +195,52 @@
         };
         held.is_reclaiming = false;
         match claim {
-            Ok(ClaimEnd::Claimed(revision)) => {
+            Ok(ClaimOutcome::Claimed(revision)) => {
                 held.claim = Some(revision);
-                held.certain_at = now;
+                held.claim_confirmed_at = now;
                 let basis = held.basis();
                 self.node.lot_notices.borrow_mut().set_basis(lot, basis);
             }
-            Ok(end) => {
-                log::info!(lot = lot, end:? = end; "lots: not this daemon's any more");
+            Ok(outcome) => {
+                log::info!(lot = lot, end:? = outcome; "lots: not claimed again after the lease expired");
                 held.is_closing = true;
                 held.stop_items();
-                if end == ClaimEnd::Taken {
-                    self.add_candidate_again(lot, now);
+                if outcome == ClaimOutcome::Taken {
+                    self.retry_candidate(lot, now);
                 }
             }
             Err(error) => {
-                log::warn!(lot = lot, error:% = error; "lots: a claim isn't renewed yet");
-                self.no_write_before = now + WRITE_PAUSE;
+                log::warn!(lot = lot, error:% = error; "lots: the store failed to answer a new claim, which is repeated");
+                self.no_write_before = now + WRITE_BACKOFF;
             }
         }
     }
 
-    /// Takes in all open lots.
+    /// Processes a listing of all open lots.
     pub(super) fn on_listed(&mut self, listed: &ListedLots, now: Timestamp) {
         let lots = &listed.open;
         for lot in lots {
             self.add_listed(lot, now);
         }
-        self.close_ended(lots, listed.asked_at);
-        // Who runs a lot doesn't look whether it is open still. One that was finished
-        // meanwhile isn't run any more, and the word does no harm.
+        self.close_ended(lots, listed.requested_at);
+        // The daemon that runs a lot doesn't check whether the lot is still open. If the
+        // lot was finished meanwhile, it isn't run any more and the notice does no harm.
         for lot in listed.no_longer_open() {
-            log::info!(lot = lot; "lots: run elsewhere, and not open any more");
+            log::info!(lot = lot; "lots: run by another daemon, but no longer open");
             self.node.tell_lot(LotNotice::Ended(lot.to_owned()));
         }
         self.candidates.retain(|it| {
-            let is_young = now.since(it.known_at) < CLAIM_PATIENCE;
-            is_young || it.is_claiming || lots.contains(&it.lot)
+            let is_recent = now.since(it.unclaimed_since) < CLAIM_TIMEOUT;
+            is_recent || it.is_claiming || lots.contains(&it.lot)
         });
     }
 
-    /// Stops lots that aren't open any more, though nobody told that they ended.
-    fn close_ended(&mut self, open: &[String], asked_at: Timestamp) {
+    /// Stops lots that are no longer open although no notice of their end arrived.
+    fn close_ended(&mut self, open: &[String], requested_at: Timestamp) {
         for held in &mut self.held {
-            let was_held = held.held_since < asked_at;
+            let was_held = held.held_since < requested_at;
             if was_held && !held.is_done() && !open.iter().any(|it| **it == *held.id) {
-                log::info!(lot:% = held.id; "lots: not open any more");
+                log::info!(lot:% = held.id; "lots: no longer open");
                 held.end();
             }
         }
@@ -245,25 +251,25 @@
             ClaimAnswer::Claimed(mut held) => {
                 self.candidates.remove(lot);
                 if self.find(lot).is_some() {
-                    log::error!(lot = lot; "lots: claimed twice");
+                    log::error!(lot = lot; "lots: claimed although it is held already");
                     return;
                 }
                 log::info!(
-                    lot = lot, items = held.head.total, listed = held.listed, due = held.head.due;
+                    lot = lot, items = held.head.total, listed = held.stored_results, due = held.head.due;
                     "lots: claimed"
                 );
                 self.node.metrics.lot("claimed", 1);
                 held.give_up_failed(now);
-                self.tell_progress(&held, now);
-                let place = self.held.partition_point(|it| it.head.due <= held.head.due);
-                self.held.insert(place, *held);
+                self.report_progress(&held, now);
+                let index = self.held.partition_point(|it| it.head.due <= held.head.due);
+                self.held.insert(index, *held);
             }
-            ClaimAnswer::Gone => {
+            ClaimAnswer::NothingLeft => {
                 self.candidates.remove(lot);
-                self.gone.push((lot.to_owned(), now));
+                self.exhausted.push((lot.to_owned(), now));
             }
             ClaimAnswer::Taken | ClaimAnswer::Unknown => {
-                self.candidates.put_back(lot, now + CLAIM_PAUSE);
+                self.candidates.put_back(lot, now + CLAIM_BACKOFF);
             }
         }
     }
@@ -289,8 +295,9 @@
         self.node.metrics.lot("handed_over", 1);
     }
 
-    /// A lot whose claim was lost may be left to nobody: it is looked at again.
-    pub(super) fn add_candidate_again(&mut self, lot: &str, now: Timestamp) {
-        self.candidates.add(lot, now, now + CLAIM_PAUSE);
+    /// Makes a lot whose claim was lost a candidate again, since it may have been left
+    /// without a daemon to run it.
+    pub(super) fn retry_candidate(&mut self, lot: &str, now: Timestamp) {
+        self.candidates.add(lot, now, now + CLAIM_BACKOFF);
     }
 }
--- a/crates/serving/src/lots/writer.rs
+++ b/crates/serving/src/lots/writer.rs
@@ -1,4 +1,4 @@
-//! Claims on lots, and the results written under them.
+//! Writes claims on lots, and the results and fault counts guarded by them.
 
 use std::rc::Rc;
 
@@ -14,60 +14,60 @@
 };
 use crate::{dialect::Dialect, model::ItemResult, node::Node};
 
-/// How often a write is sent before the store is left alone for a moment.
-const WRITE_TRIES: u32 = 3;
+/// Number of attempts at a write before the caller backs off.
+const MAX_WRITE_ATTEMPTS: u32 = 3;
 
-/// How a claim went.
+/// Outcome of claiming and reading a lot.
 #[derive(Debug)]
 pub(super) enum ClaimAnswer {
-    /// The lot is this daemon's; here is what the store holds of it.
+    /// This daemon holds the lot, in the state that was read from the store.
     Claimed(Box<HeldLot>),
-    /// There is nothing to run.
-    Gone,
-    /// Another daemon has it.
+    /// The lot has nothing left to run.
+    NothingLeft,
+    /// Another daemon holds the lot.
     Taken,
-    /// The store didn't answer; it is tried again later.
+    /// The store didn't answer; the claim is repeated later.
     Unknown,
 }
 
-/// How a write of results went.
+/// Outcome of a write that is guarded by a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteAnswer {
-    /// They are in the store.
+    /// The store holds the written data.
     Written,
-    /// The claim is another daemon's, or the lot was ended.
+    /// Another daemon holds the claim, or the lot was ended.
     Fenced,
-    /// The store didn't answer; the same write is tried again later.
+    /// The store didn't answer; the same write is repeated later.
     Unknown,
 }
 
-/// Claims a lot and reads it.
+/// Claims a lot and reads its records.
 pub(super) async fn claim_lot<D: Dialect>(node: &Rc<Node<D>>, lot: &str) -> ClaimAnswer {
     let Some(lease) = node.lease() else {
         return ClaimAnswer::Unknown;
     };
     let revision = match write_claim(node, lot, lease.id, None).await {
-        Ok(ClaimEnd::Claimed(revision)) => revision,
-        Ok(ClaimEnd::Taken) => return ClaimAnswer::Taken,
-        Ok(ClaimEnd::Ended) => return ClaimAnswer::Gone,
-        Err(error) => return unknown(node, lot, &error),
+        Ok(ClaimOutcome::Claimed(revision)) => revision,
+        Ok(ClaimOutcome::Taken) => return ClaimAnswer::Taken,
+        Ok(ClaimOutcome::Ended) => return ClaimAnswer::NothingLeft,
+        Err(error) => return claim_unknown(node, lot, &error),
     };
     let range = KeyRange::Prefix(keys::data(lot));
-    let asked_at = node.clock.now();
+    let requested_at = node.clock.now();
     let listed = match node.store.range(range, 0).await {
         Ok(listed) => listed,
         Err(error) => {
             release(node, lot, revision).await;
-            return unknown(node, lot, &error);
+            return claim_unknown(node, lot, &error);
         }
     };
     let now = node.clock.now();
     let taken = node
         .lot_cache
         .borrow_mut()
-        .take(lot, &listed.pairs, asked_at, now);
+        .take(lot, &listed.pairs, requested_at, now);
     if let Err(error) = taken {
-        log::error!(lot = lot, error:% = error; "lots: damaged");
+        log::error!(lot = lot, error:% = error; "lots: a record is damaged");
     }
     match HeldLot::load(lot, &listed.pairs, node.clock.now()) {
         Ok(Some(mut held)) if !held.is_done() => {
@@ -77,57 +77,57 @@
         }
         Ok(_) => {
             release_done(node, lot, revision).await;
-            ClaimAnswer::Gone
+            ClaimAnswer::NothingLeft
         }
         Err(error) => {
-            log::error!(lot = lot, error:% = error; "lots: damaged");
-            ClaimAnswer::Gone
+            log::error!(lot = lot, error:% = error; "lots: a record is damaged");
+            ClaimAnswer::NothingLeft
         }
     }
 }
 
-fn unknown<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> ClaimAnswer {
+fn claim_unknown<D: Dialect>(node: &Node<D>, lot: &str, error: &StoreError) -> ClaimAnswer {
     node.note_store_trouble();
-    log::warn!(lot = lot, error:% = error; "lots: not claimed");
+    log::warn!(lot = lot, error:% = error; "lots: not claimed, since the store failed");
     ClaimAnswer::Unknown
 }
 
-/// How the write of a claim went.
+/// Outcome of the write of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ClaimEnd {
-    /// The lot is this daemon's, by the claim of this revision.
+pub(super) enum ClaimOutcome {
+    /// This daemon holds the lot by the claim at this revision.
     Claimed(Revision),
-    /// Another daemon has it, or has gone further with it.
+    /// Another daemon holds the lot or has written further results.
     Taken,
-    /// Its customer ended it.
+    /// The customer ended the lot.
     Ended,
 }
 
-/// Writes a claim. A daemon that runs a lot already, and whose lease lapsed, says
-/// which group of results it would write next.
+/// Writes a claim. A daemon that already runs the lot and whose lease expired passes the
+/// number of the group of results it would write next.
 ///
-/// The claim of a daemon that was restarted hangs on a lease that lapses only
-/// seconds later. Its new life runs nothing of the lot, as its number tells, so
-/// that such a claim is taken over at once.
+/// The claim of a restarted daemon is bound to a lease that expires only seconds later. Its
+/// new incarnation runs nothing of the lot, so a claim with the incarnation number of a
+/// former process is taken over at once.
 ///
-/// A daemon behind a cut may miss that another one took its lot over, went on
-/// with it, or stopped it when its customer ended it, and left no claim behind.
-/// So a claim holds only where there is neither an end nor a further group.
+/// A daemon that was cut off may miss that another one took its lot over and wrote further
+/// results, or stopped it when its customer ended it, and left no claim behind. So the
+/// claim is written only if there is neither an end record nor a further group.
 pub(super) async fn write_claim<D: Dialect>(
     node: &Node<D>,
     lot: &str,
     lease: LeaseId,
     next_group: Option<usize>,
-) -> Result<ClaimEnd, StoreError> {
+) -> Result<ClaimOutcome, StoreError> {
     let own = ClaimRecord {
         daemon: node.settings.name.clone(),
         incarnation: node.incarnation,
         lease: lease.0,
     };
     let key = keys::claim(lot);
-    let mut claim_is = Comparison::Absent(key.clone());
+    let mut claim_condition = Comparison::Absent(key.clone());
     loop {
-        let mut when = vec![claim_is.clone(), Comparison::Absent(keys::end(lot))];
+        let mut when = vec![claim_condition.clone(), Comparison::Absent(keys::end(lot))];
         when.extend(next_group.map(|it| Comparison::Absent(keys::group(lot, it))));
         let batch = WriteBatch {
             when,
@@ -138,34 +138,34 @@
             }],
             read_back: vec![key.clone(), keys::end(lot)],
         };
-        let pace = RetryPace::new(node.incarnation).attempts(WRITE_TRIES);
+        let pace = RetryPace::new(node.incarnation).attempts(MAX_WRITE_ATTEMPTS);
         let found = match write_once(&node.store, batch, pace).await? {
-            OnceOutcome::Written(revision) => return Ok(ClaimEnd::Claimed(revision)),
+            OnceOutcome::Written(revision) => return Ok(ClaimOutcome::Claimed(revision)),
             OnceOutcome::Refused { found, .. } | OnceOutcome::Overtaken { found, .. } => found,
         };
         if found.iter().any(|it| it.key == keys::end(lot)) {
-            return Ok(ClaimEnd::Ended);
+            return Ok(ClaimOutcome::Ended);
         }
         let Some(pair) = found.iter().find(|it| it.key == key) else {
-            return Ok(ClaimEnd::Taken);
+            return Ok(ClaimOutcome::Taken);
         };
         let Ok(claim) = from_json::<ClaimRecord>(pair) else {
-            return Ok(ClaimEnd::Taken);
+            return Ok(ClaimOutcome::Taken);
         };
         if claim == own {
-            return Ok(ClaimEnd::Claimed(pair.modified));
+            return Ok(ClaimOutcome::Claimed(pair.modified));
         }
-        let is_first = matches!(claim_is, Comparison::Absent(_));
+        let is_first = matches!(claim_condition, Comparison::Absent(_));
         if !is_first || !node.is_former_life(&claim.daemon, claim.incarnation) {
-            return Ok(ClaimEnd::Taken);
+            return Ok(ClaimOutcome::Taken);
         }
         log::info!(lot = lot, daemon = claim.daemon; "lots: a claim of a former life is taken over");
-        claim_is = Comparison::ModifiedAt(key.clone(), pair.modified);
+        claim_condition = Comparison::ModifiedAt(key.clone(), pair.modified);
     }
 }
 
-/// Writes a group of results, and what the lot's mark tells from then on: none once it
-/// has all results. Then its claim goes as well.
+/// Writes a group of results and updates the lot's open mark. Once the lot has all its
+/// results, the mark and the claim are deleted instead.
 pub(super) async fn write_results<D: Dialect>(
     node: &Node<D>,
     lot: &str,
@@ -201,11 +201,12 @@
         then,
         read_back: vec![group_key],
     };
-    let pace = RetryPace::new(node.incarnation).attempts(WRITE_TRIES);
+    let pace = RetryPace::new(node.incarnation).attempts(MAX_WRITE_ATTEMPTS);
     match write_once(&node.store, batch, pace).await {
         Ok(OnceOutcome::Written(_)) => WriteAnswer::Written,
         Ok(OnceOutcome::Refused { found, .. } | OnceOutcome::Overtaken { found, .. }) => {
-            // An earlier try of this same group, whose answer was lost.
+            // The group exists already if an earlier attempt was written and its answer
+            // lost.
             let own = to_packed(&results);
             let is_own = |it: &comfreyramp_store::KeyValue| it.value == own;
             match found.iter().any(is_own) {
@@ -221,7 +222,7 @@
     }
 }
 
-/// Writes how often servers failed at items of a lot. Written twice it says the same.
+/// Writes how often servers failed at the items of a lot. Repeating the write is harmless.
 pub(super) async fn write_faults<D: Dialect>(
     node: &Node<D>,
     lot: &str,
@@ -251,27 +252,27 @@
     }
 }
 
-/// Gives a claim back. Should this fail, it lapses with the lease.
+/// Releases a claim. If this fails, the claim expires with its lease.
 pub(super) async fn release<D: Dialect>(node: &Node<D>, lot: &str, claim: Revision) {
-    remove(node, lot, claim, vec![Write::Delete(keys::claim(lot))]).await;
+    remove_claim(node, lot, claim, vec![Write::Delete(keys::claim(lot))]).await;
 }
 
-/// Gives back the claim on a lot that has nothing left to run.
+/// Releases the claim on a lot that has nothing left to run, and deletes its open mark.
 async fn release_done<D: Dialect>(node: &Node<D>, lot: &str, claim: Revision) {
     let then = vec![
         Write::Delete(keys::claim(lot)),
         Write::Delete(keys::open(lot)),
     ];
-    remove(node, lot, claim, then).await;
+    remove_claim(node, lot, claim, then).await;
 }
 
-async fn remove<D: Dialect>(node: &Node<D>, lot: &str, claim: Revision, then: Vec<Write>) {
+async fn remove_claim<D: Dialect>(node: &Node<D>, lot: &str, claim: Revision, then: Vec<Write>) {
     let batch = WriteBatch {
         when: vec![Comparison::ModifiedAt(keys::claim(lot), claim)],
         then,
         read_back: Vec::new(),
     };
     if let Err(error) = node.store.transact(batch).await {
-        log::warn!(lot = lot, error:% = error; "lots: a claim lapses by itself");
+        log::warn!(lot = lot, error:% = error; "lots: a claim wasn't released and expires with its lease");
     }
 }
