--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,5 @@
-//! `comfreyramp-node`, the program of the fleet's VMs.
+//! `comfreyramp-node`, the daemon that runs on each VM of the fleet on the users'
+//! platform.
 
 use std::{path::PathBuf, process::ExitCode, rc::Rc, time::Duration};
 
@@ -11,17 +12,18 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Where the platform says that the settings file lies.
+/// The environment variable in which the platform passes the path of the settings file.
 const SETTINGS_VARIABLE: &str = "COMFREYRAMP_BOOT";
-/// How long a call to the store may take. The store answers in milliseconds; a
-/// slow one took a quarter of a second, one that is away never answers.
+/// The timeout of calls to the store. The store answers in milliseconds; a slow one
+/// took 250 ms, and an unavailable one never answers.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long a watch waits before it is asked anew. Each asking is billed; but the
-/// store keeps 20 s of history, and a watch that waits as long has to list anew
-/// whenever anything else was written meanwhile.
+/// How long a watch waits before its request is reissued. Each request is billed, so
+/// the wait is long; but the store keeps only 20 s of history, and a watch that waits
+/// that long has to list all keys again whenever an unrelated key was written in the
+/// meantime.
 const WATCH_WAIT: Duration = Duration::from_secs(17);
 
-/// A daemon of comfreyramp on the users' platform.
+/// The comfreyramp daemon for the users' platform.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -35,20 +37,20 @@
     Check(CheckArguments),
 }
 
-/// Serves until it is told to stop.
+/// Serves until it receives SIGTERM or SIGINT.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct ServeArguments {
-    /// the settings file; without it the one that COMFREYRAMP_BOOT names
+    /// path of the settings file; defaults to the value of COMFREYRAMP_BOOT
     #[argh(option)]
     settings: Option<PathBuf>,
 }
 
-/// Checks a settings file and says what is wrong in it.
+/// Checks a settings file and lists its errors.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct CheckArguments {
-    /// the settings file; without it the one that COMFREYRAMP_BOOT names
+    /// path of the settings file; defaults to the value of COMFREYRAMP_BOOT
     #[argh(option)]
     settings: Option<PathBuf>,
 }
@@ -58,7 +60,7 @@
     let result = match arguments.command {
         Command::Serve(serve) => serve_node(serve.settings),
         Command::Check(check) => read_settings(check.settings).map(|it| {
-            println!("{}: nothing to find", it.name);
+            println!("{}: no errors found", it.name);
         }),
     };
     match result {
@@ -70,7 +72,7 @@
     }
 }
 
-/// One thread runs everything: a VM has a part of a core, and each hand-over
+/// Runs everything on one thread: a VM has a fraction of a core, and each handover
 /// between threads costs a wake-up.
 fn serve_node(path: Option<PathBuf>) -> anyhow::Result<()> {
     let settings = read_settings(path.clone())?;
@@ -115,21 +117,22 @@
     Ok(())
 }
 
-/// A changed settings file holds for the next start: addresses and names can't
-/// change while the daemon runs. What is wrong in it is said now.
+/// Checks the settings file on SIGHUP and logs its errors now. A changed file only
+/// takes effect at the next start, since addresses and names can't change while the
+/// daemon runs.
 fn check_again(path: Option<PathBuf>) {
     match read_settings(path) {
-        Ok(settings) => log::info!(name = settings.name; "node: settings read again"),
-        Err(error) => log::error!(error:% = format!("{error:#}"); "node: settings can't be used"),
+        Ok(settings) => log::info!(name = settings.name; "node: settings file checked; changes apply at the next start"),
+        Err(error) => log::error!(error:% = format!("{error:#}"); "node: invalid settings file"),
     }
 }
 
 fn read_settings(path: Option<PathBuf>) -> anyhow::Result<NodeSettings> {
     let path = path.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
     let Some(path) = path else {
-        bail!("no settings file: name one with --settings or in {SETTINGS_VARIABLE}");
+        bail!("no settings file: pass --settings or set {SETTINGS_VARIABLE}");
     };
-    let text = std::fs::read(&path).with_context(|| format!("can't read {}", path.display()))?;
+    let text = std::fs::read(&path).with_context(|| format!("failed to read {}", path.display()))?;
     NodeSettings::check(&text).map_err(|findings| {
         let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
         anyhow::anyhow!("{}:\n{}", path.display(), lines.join("\n"))
--- a/crates/settings/src/change_history.rs
+++ b/crates/settings/src/change_history.rs
@@ -1,39 +1,41 @@
-//! Who changed a team's settings, when and what.
+//! The history of changes of a team's settings: who changed what, and when.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 use crate::SettingsDifference;
 
-/// The most changes that are kept.
+/// The maximum number of changes in a history.
 const KEPT_CHANGES: usize = 50;
-/// The most differences that are kept of one change.
+/// The maximum number of differences stored with a change.
 const KEPT_DIFFERENCES: usize = 20;
-/// The most characters that are kept of a value.
+/// The maximum number of characters stored of a value.
 const KEPT_CHARACTERS: usize = 100;
-/// The most bytes of a whole history. The platform takes a megabyte as one
-/// value, and the history is written together with the settings themselves.
+/// The maximum size of a history in bytes. The platform accepts values of up to one
+/// megabyte, and the history is written in the same transaction as the settings
+/// themselves.
 const HISTORY_BYTES: usize = 200_000;
 
 /// One change of a team's settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsChange {
-    /// Its own id, by which its writer recognises it.
+    /// The change's unique id, by which its writer recognises it.
     pub id: String,
-    /// Who made it, as the operator named himself.
+    /// Who made the change: the name that the operator gave.
     pub by: String,
-    /// When it was made, in milliseconds since 1970.
+    /// When the change was made, in milliseconds since 1970.
     pub at_ms: u64,
-    /// The revision that it replaced, 0 for the first one.
+    /// The revision of the settings that the change replaced, 0 for the first change.
     pub replaced: i64,
-    /// What it changed.
+    /// The differences between the settings before and after the change.
     pub differences: Vec<SettingsDifference>,
-    /// How many further differences were not kept.
+    /// How many further differences were left out.
     pub more: usize,
 }
 
 impl SettingsChange {
-    /// Takes in what a change did, shortened to what is kept.
+    /// Sets the differences between the settings before and after the change, truncated
+    /// to the limits of a history.
     pub fn differ(mut self, before: &Value, after: &Value) -> Self {
         let mut differences = SettingsDifference::between(before, after);
         self.more = differences.len().saturating_sub(KEPT_DIFFERENCES);
@@ -57,8 +59,8 @@
 
 /// The last changes of a team's settings, oldest first.
 ///
-/// It is written in the same transaction as the settings, so that there is no
-/// change without its entry, and none in it that never took effect.
+/// The history is written in the same transaction as the settings, so every change has
+/// an entry and every entry took effect.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeHistory {
     /// The changes, oldest first.
@@ -66,7 +68,7 @@
 }
 
 impl ChangeHistory {
-    /// Adds a change and drops the oldest ones that no longer fit.
+    /// Adds a change and drops the oldest ones beyond the limits of a history.
     pub fn add(&mut self, change: SettingsChange) {
         self.changes.push(change);
         let excess = self.changes.len().saturating_sub(KEPT_CHANGES);
@@ -77,20 +79,21 @@
         }
     }
 
-    /// The index of the change with this id.
+    /// Returns the index of the change with this id.
     pub fn position(&self, id: &str) -> Option<usize> {
         self.changes.iter().position(|it| it.id == id)
     }
 
-    /// The revision that a change led to. `newest` is the last one's.
+    /// Returns the revision that a change produced. `newest` is the revision of the
+    /// last change.
     pub fn revision_of(&self, index: usize, newest: i64) -> i64 {
         self.changes
             .get(index + 1)
             .map_or(newest, |next| next.replaced)
     }
 
-    /// The index of the first change made on top of a revision, if the history
-    /// reaches back to it.
+    /// Returns the index of the first change made on top of revision `seen`, if the
+    /// history reaches back to it.
     pub fn first_since(&self, seen: i64) -> Option<usize> {
         self.changes.iter().position(|it| it.replaced == seen)
     }
--- a/crates/settings/src/check_daemon.rs
+++ b/crates/settings/src/check_daemon.rs
@@ -1,4 +1,4 @@
-//! The checks made on a daemon's own file.
+//! The checks of a daemon's settings file.
 
 use std::path::PathBuf;
 
@@ -9,11 +9,11 @@
     doubled_fields::find_doubled_fields, object_reader::ObjectReader,
 };
 
-/// The shortest operators' token: shorter ones can be guessed.
+/// The minimum length of the operators' token in bytes; shorter ones can be guessed.
 const SHORTEST_TOKEN: usize = 16;
 
 impl DaemonSettings {
-    /// Reads a daemon's file from JSON and checks all of it.
+    /// Parses a daemon's settings file from JSON and checks all of it.
     pub fn check(text: &[u8]) -> Result<DaemonSettings, FindingList> {
         const ADDRESS: &str =
             "write ip:port, such as \"10.0.0.5:8080\"; port 0 lets the system choose";
@@ -69,7 +69,7 @@
     let vm_list = inner.text("vm_list", FIX);
     for (field, address) in [("store", &store), ("vm_list", &vm_list)] {
         if !address.is_empty() && !address.starts_with("http://") {
-            inner.find(field, "is no http address", FIX);
+            inner.find(field, "is not an http address", FIX);
         }
     }
     inner.finish();
@@ -92,7 +92,7 @@
         Some(_) => {
             inner.find(
                 "format",
-                "is no form of a log",
+                "is not a log format",
                 "write \"text\" or \"json\"",
             );
             LogFormat::Text
@@ -101,7 +101,7 @@
     let fix = format!("write one of {}", LEVELS.join(", "));
     let level = inner.optional_text("level", &fix);
     if level.as_deref().is_some_and(|it| !LEVELS.contains(&it)) {
-        inner.find("level", "is no level", fix);
+        inner.find("level", "is not a log level", fix);
     }
     inner.finish();
     LogSettings { format, level }
--- a/crates/settings/src/check_team.rs
+++ b/crates/settings/src/check_team.rs
@@ -1,4 +1,4 @@
-//! The checks made on a team's subtree.
+//! The checks of a team's settings.
 
 use serde_json::Value;
 
@@ -9,25 +9,25 @@
     object_reader::{ObjectReader, shown},
 };
 
-/// The highest rate, in requests a second.
+/// The maximum rate of a customer, in requests per second.
 const HIGHEST_RATE: f64 = 1_000_000.0;
-/// The largest burst, in requests.
+/// The maximum burst of a customer, in requests.
 const LARGEST_BURST: u64 = 1_000_000;
-/// The greatest weight.
+/// The maximum weight of a customer.
 const GREATEST_WEIGHT: f64 = 1000.0;
-/// The longest time a request may take, in milliseconds: an hour.
+/// The maximum timeout of a service's requests, in milliseconds: one hour.
 const LONGEST_TIMEOUT_MS: u64 = 3_600_000;
-/// The shortest bound on the age of a view, in seconds. A view is up to 3 s old
-/// while all is well; a shorter bound would refuse callers for nothing. See
-/// `docs/FRESHNESS.md`.
+/// The minimum for `refuse_after`, the maximum age of a view, in seconds. A view is up
+/// to 3 s old in normal operation; with a lower limit callers would be rejected without
+/// any failure. See `docs/FRESHNESS.md`.
 const SHORTEST_REFUSE_AFTER: u64 = 5;
-/// The longest bound on the age of a view, in seconds: a day.
+/// The maximum for `refuse_after`, in seconds: one day.
 const LONGEST_REFUSE_AFTER: u64 = 86_400;
-/// What `timeout_ms` is when it isn't set.
+/// The default of `timeout_ms`.
 const DEFAULT_TIMEOUT_MS: u64 = 120_000;
 
 impl TeamSettings {
-    /// Reads a subtree from JSON and checks all of it.
+    /// Parses a team's settings from JSON and checks all of them.
     ///
     /// ```
     /// use comfreyramp_settings::TeamSettings;
@@ -60,11 +60,12 @@
         findings.or_value(settings)
     }
 
-    /// Finds what two teams both claim. `others` are the teams in force.
+    /// Finds names, keys, models and prefixes that another team in `others`, the teams
+    /// in force, already has.
     ///
-    /// A name belongs to the team that set it first; a second team that could
-    /// set it too would change the first one's customers or services. A prefix
-    /// below another team's would take away that team's calls, so it counts too.
+    /// A name belongs to the team that set it first; if a second team could set it too,
+    /// it would change the first team's customers or services. A prefix below another
+    /// team's prefix also conflicts, as it would take over that team's calls.
     pub fn check_against<'a>(
         &self,
         others: impl IntoIterator<Item = (&'a str, &'a TeamSettings)>,
@@ -89,13 +90,13 @@
                 .iter()
                 .find(|it| it.1 == *kind && it.2 == *claimed);
             if let Some(first) = first {
-                let problem = format!("this {kind} stands at {} too", first.0);
+                let problem = format!("this {kind} is already set at {}", first.0);
                 findings.add(place, problem, "keep one of them");
             }
         }
     }
 
-    /// Everything that only one team may have: place, kind, value.
+    /// Returns every value that only one team may have, as (place, kind, value).
     fn claims(&self) -> Vec<(String, &'static str, &str)> {
         let mut claims = Vec::new();
         for (at, customer) in self.customers.iter().enumerate() {
@@ -126,7 +127,7 @@
     }
 }
 
-/// Whether two teams can't both have these.
+/// Returns whether two teams can't both have these values.
 fn clash(kind: &str, mine: &str, other_kind: &str, theirs: &str) -> bool {
     if kind != other_kind {
         return false;
@@ -139,15 +140,15 @@
     rest.is_some_and(|it| it.starts_with('/'))
 }
 
-/// Parses JSON; what can't be parsed is a finding with its line.
+/// Parses JSON. A syntax error becomes a finding with its line and column.
 pub(crate) fn parse(text: &[u8]) -> Result<Value, FindingList> {
     serde_json::from_slice(text).map_err(|error| {
         let mut findings = FindingList::default();
         let place = format!("line {}, column {}", error.line(), error.column());
         findings.add(
             place,
-            format!("is no JSON: {error}"),
-            "mend the text at this place",
+            format!("is not valid JSON: {error}"),
+            "fix the syntax error at this position",
         );
         findings
     })
@@ -167,7 +168,7 @@
     for (at, key) in keys.iter().enumerate() {
         if keys[..at].iter().any(|it| it.name == key.name) {
             let place = format!("keys[{at}].name");
-            reader.find(&place, "stands twice", "choose another name");
+            reader.find(&place, "is used twice", "choose another name");
         }
     }
     let when_cut = read_cut_policy(&mut reader);
@@ -192,8 +193,9 @@
     let sha256 = reader.text("sha256", FIX);
     let is_hex = |it: char| it.is_ascii_digit() || ('a'..='f').contains(&it);
     if !sha256.is_empty() && (sha256.len() != 64 || !sha256.chars().all(is_hex)) {
-        // The value isn't shown: somebody may have written the key itself here.
-        reader.find("sha256", "is no SHA-256", FIX);
+        // The value isn't printed: an operator may have entered the key itself instead
+        // of its hash.
+        reader.find("sha256", "is not a SHA-256 hash", FIX);
     }
     reader.finish();
     KeySettings { name, sha256 }
@@ -217,7 +219,7 @@
             }
         }
         other => {
-            reader.find("when_cut", format!("{} is no choice", shown(other)), FIX);
+            reader.find("when_cut", format!("{} is not one of the choices", shown(other)), FIX);
             CutPolicy::default()
         }
     }
@@ -231,7 +233,7 @@
     if group == "entry" {
         reader.find(
             "group",
-            "is the group of the daemons",
+            "is reserved for the daemons",
             "name the group of the servers",
         );
     }
@@ -273,7 +275,7 @@
             read_plain(fields, place, reader.findings())
         }
         _ => {
-            reader.find("kind", format!("is {} of no known kind", shown(value)), FIX);
+            reader.find("kind", format!("is {} that names no known kind", shown(value)), FIX);
             nothing
         }
     }
@@ -294,7 +296,7 @@
                 models.push(model.to_owned());
             }
             _ => {
-                let problem = format!("{} is no model name", shown(value));
+                let problem = format!("{} is not a model name", shown(value));
                 reader.findings().add(place, problem, FIX);
             }
         }
@@ -310,12 +312,12 @@
     let prefix = reader.text("prefix", FIX);
     let below = prefix.trim_end_matches('/');
     if !prefix.is_empty() && !is_path_prefix(&prefix) {
-        reader.find("prefix", "is no path prefix", FIX);
+        reader.find("prefix", "is not a valid path prefix", FIX);
     }
     if below == "/v1" || below.starts_with("/v1/") {
         reader.find(
             "prefix",
-            "lies in /v1, which models use",
+            "is below /v1, which is reserved for models",
             "choose another prefix",
         );
     }
@@ -323,8 +325,8 @@
     ServiceKind::Plain { prefix }
 }
 
-/// Whether a prefix can match the path of a call: plain segments, none of them
-/// empty or of dots alone, without escapes, query or fragment.
+/// Returns whether a prefix can match the path of a call: plain segments, none of them
+/// empty or made of dots alone, without escapes, query or fragment.
 fn is_path_prefix(prefix: &str) -> bool {
     let fits = |it: char| it.is_ascii_alphanumeric() || "-_.~".contains(it);
     let is_segment = |it: &str| !it.is_empty() && it != "." && it != ".." && it.chars().all(fits);
--- a/crates/settings/src/daemon_settings.rs
+++ b/crates/settings/src/daemon_settings.rs
@@ -1,36 +1,37 @@
-//! A daemon's own file.
+//! The settings of a single daemon, read from its settings file.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 use serde::{Deserialize, Serialize};
 
-/// What one daemon needs to know of itself and its surroundings.
+/// The settings of a single daemon, read from its settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// The daemon's name: its VM's name in the platform's list.
+    /// The daemon's name, which is the name of its VM in the platform's VM list.
     pub name: String,
-    /// Its region.
+    /// The region of the daemon's VM.
     pub region: String,
-    /// Its availability zone.
+    /// The availability zone of the daemon's VM.
     pub zone: String,
-    /// Where callers connect.
+    /// The address to listen on for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// The address to listen on for operators.
     pub operators: SocketAddr,
-    /// Where other daemons connect.
+    /// The address to listen on for peers (other daemons).
     pub peers: SocketAddr,
     /// How to reach the platform.
     pub platform: PlatformSettings,
-    /// The folder for bulk data, on VMs with a disk.
+    /// The directory for bulk data, on VMs with a disk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data_folder: Option<PathBuf>,
-    /// What operators show at the operators' door.
+    /// The token with which operators authenticate to the daemon.
     pub operators_token: String,
-    /// How to log.
+    /// The settings of the daemon's log.
     #[serde(default)]
     pub log: LogSettings,
-    /// Where to write the addresses in use, for ports chosen by the system.
+    /// The file to which the daemon writes the addresses that it listens on, for ports
+    /// chosen by the system.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub addresses_file: Option<PathBuf>,
 }
@@ -41,27 +42,27 @@
 pub struct PlatformSettings {
     /// The base address of the key-value service, `http://ip:port`.
     pub store: String,
-    /// The address of the VM list.
+    /// The base address of the service that lists the VMs, `http://ip:port`.
     pub vm_list: String,
 }
 
-/// How to log.
+/// The settings of a daemon's log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The form of each line.
+    /// The format of each line.
     pub format: LogFormat,
-    /// The least severe level that is written: `error`, `warn`, `info`, `debug`.
+    /// The least severe level that is logged: `error`, `warn`, `info` or `debug`.
     pub level: Option<String>,
 }
 
-/// The form of a log line.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text for people.
     #[default]
     Text,
-    /// For programs: one JSON object a line.
+    /// One JSON object per line, for programs.
     Json,
 }
--- a/crates/settings/src/difference.rs
+++ b/crates/settings/src/difference.rs
@@ -1,24 +1,24 @@
-//! What differs between two states of a team's settings.
+//! The differences between two versions of a team's settings.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// What became of a place.
+/// How the value at a place differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DifferenceKind {
-    /// It wasn't there before.
+    /// The value was added.
     Added,
-    /// It has another value.
+    /// The value changed.
     Changed,
-    /// It is no longer there.
+    /// The value was removed.
     Removed,
 }
 
 impl DifferenceKind {
-    /// The word that tables show.
+    /// Returns the word that tables print for the kind.
     pub fn as_str(self) -> &'static str {
         match self {
             DifferenceKind::Added => "added",
@@ -28,12 +28,12 @@
     }
 }
 
-/// One place at which two settings differ.
+/// One place at which two versions of the settings differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsDifference {
-    /// What became of it.
+    /// How the value differs.
     pub what: DifferenceKind,
-    /// The place, such as `customers[press].rate`.
+    /// The path of the value, such as `customers[press].rate`.
     pub place: String,
     /// The value before, as JSON; empty if there was none.
     pub before: String,
@@ -42,10 +42,10 @@
 }
 
 impl SettingsDifference {
-    /// All differences between two settings, by place.
+    /// Returns all differences between two versions, ordered by place.
     ///
-    /// Entries of lists are placed by their names, so that one entry that was
-    /// added doesn't shift all that follow.
+    /// Entries of lists are identified by their names, so that an added entry doesn't
+    /// change the places of those after it.
     pub fn between(before: &Value, after: &Value) -> Vec<SettingsDifference> {
         let (before, after) = (flatten(before), flatten(after));
         let mut differences = Vec::new();
@@ -84,7 +84,7 @@
     }
 }
 
-/// Each value with its place.
+/// Returns every leaf value by its place.
 fn flatten(value: &Value) -> BTreeMap<String, Value> {
     let mut flat = BTreeMap::new();
     flatten_into(value, String::new(), &mut flat);
--- a/crates/settings/src/doubled_fields.rs
+++ b/crates/settings/src/doubled_fields.rs
@@ -1,8 +1,8 @@
-//! Finds fields that stand twice in one JSON object.
+//! Finds duplicate fields in JSON objects.
 //!
-//! A parser keeps the last of two equal fields and drops the first without a
-//! word. An operator who pastes a second `customers` list would lose the first
-//! one, and notice it by callers that are refused.
+//! A JSON parser silently keeps the last of two equal fields. An operator who pastes a
+//! second `customers` list would lose the first one, and only notice when its callers
+//! are rejected.
 
 use std::fmt;
 
@@ -10,16 +10,16 @@
 
 use crate::{FindingList, object_reader::shown_field};
 
-/// Adds a finding for each field of `text` that stands twice in its object.
-/// Text that is no JSON is none of its business.
+/// Adds a finding for each field of `text` that occurs twice in its object. Invalid
+/// JSON is ignored, as the parser that reads the settings reports it.
 pub(crate) fn find_doubled_fields(text: &[u8], findings: &mut FindingList) {
     let mut parser = serde_json::Deserializer::from_slice(text);
     let place = String::new();
-    // A text that can't be parsed was reported by the parser that reads it.
+    // A syntax error has already been reported by the parser that reads the settings.
     let _ = FieldWalk { place, findings }.deserialize(&mut parser);
 }
 
-/// Walks one value at its place.
+/// Visits one value and everything below it.
 struct FieldWalk<'f> {
     place: String,
     findings: &'f mut FindingList,
@@ -51,8 +51,8 @@
             };
             match known.binary_search(&field) {
                 Ok(_) => {
-                    let fix = "keep one of them; the first would be dropped";
-                    self.findings.add(place, "stands twice in its object", fix);
+                    let fix = "keep one of them; otherwise the first would be ignored";
+                    self.findings.add(place, "occurs twice in its object", fix);
                     fields.next_value::<IgnoredAny>()?;
                 }
                 Err(index) => {
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -1,17 +1,17 @@
-//! What is wrong with some settings, and where.
+//! Errors found in settings, each with its place.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One thing that is wrong, where it stands, and what would be right.
+/// An error in settings: where it is, what is wrong and how to fix it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Finding {
-    /// The place, such as `customers[2].rate`.
+    /// The path of the value, such as `customers[2].rate`.
     pub place: String,
-    /// What is wrong there.
+    /// What is wrong with the value.
     pub problem: String,
-    /// What would be right.
+    /// How to fix it.
     pub fix: String,
 }
 
@@ -23,8 +23,8 @@
 
 /// All findings of one check, reported together.
 ///
-/// An operator who is told of one mistake at a time has to repeat a change for
-/// each of them.
+/// If findings were reported one at a time, an operator would have to repeat a change
+/// for each of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(transparent)]
 pub struct FindingList {
@@ -58,7 +58,7 @@
         self.findings.push(finding);
     }
 
-    /// The value if nothing was found, otherwise all findings.
+    /// Returns the value if there are no findings, otherwise the findings.
     pub fn or_value<T>(self, value: T) -> Result<T, FindingList> {
         if self.findings.is_empty() {
             Ok(value)
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,13 @@
-//! The settings of daemons and operators, and the checks made on them.
+//! The settings of daemons and teams, and the checks made on them.
 //!
-//! - [`DaemonSettings`] is a daemon's own file, read by [`DaemonSettings::check`].
-//! - [`TeamSettings`] is one team's subtree in the platform's store, read by
-//!   [`TeamSettings::check`]. Every daemon and the tool use the same checks.
-//! - [`ChangeHistory`] is who changed a subtree, when and what.
-//! - [`FindingList`] is all that a check found, each with its place.
+//! - [`DaemonSettings`]: a daemon's settings file, read by [`DaemonSettings::check`].
+//! - [`TeamSettings`]: one team's customers and services, a subtree of the platform's
+//!   store, read by [`TeamSettings::check`]. Daemons and the command-line tool use the
+//!   same checks.
+//! - [`ChangeHistory`]: who changed a team's settings, when and what.
+//! - [`FindingList`]: everything that a check found, each finding with its place.
 //!
-//! Each field with its unit, bounds and default stands in `docs/SETTINGS.md`.
+//! `docs/SETTINGS.md` lists each field with its unit, bounds and default.
 
 mod change_history;
 mod check_daemon;
--- a/crates/settings/src/object_reader.rs
+++ b/crates/settings/src/object_reader.rs
@@ -1,8 +1,8 @@
-//! Reads the fields of a JSON object and collects what is wrong with them.
+//! Reads the fields of a JSON object and collects the errors in them.
 //!
-//! Findings are printed, logged and sent to scripts, and an operator may well
-//! have put a key or a token into the wrong field. So a finding names the place
-//! and never repeats a text that stands there.
+//! Findings are printed, logged and sent to scripts, and an operator may have put a key
+//! or a token into the wrong field. So a finding names the place of a value and never
+//! repeats a string found there.
 
 use std::{ops::RangeInclusive, str::FromStr};
 
@@ -10,13 +10,14 @@
 
 use crate::FindingList;
 
-/// What every key starts with.
+/// The prefix of every customer key.
 const KEY_PREFIX: &str = "cfr-";
-/// The longest name of an unknown field that is shown. Field names are short;
-/// what is longer may be a key in the wrong place.
+/// The longest name of an unknown field that a finding prints, in bytes. Field names
+/// are short; a longer one may be a key in the wrong place.
 const LONGEST_SHOWN_FIELD: usize = 24;
 
-/// Reads one object field by field. Fields nobody asked for are findings.
+/// Reads one object field by field. Fields that were never read are reported as
+/// unknown.
 pub(crate) struct ObjectReader<'a, 'f> {
     fields: Option<&'a Map<String, Value>>,
     place: String,
@@ -25,7 +26,8 @@
 }
 
 impl<'a, 'f> ObjectReader<'a, 'f> {
-    /// A reader of the object at `place`, which is empty for the whole text.
+    /// Creates a reader of the object at `place`, which is empty for the top-level
+    /// value.
     pub(crate) fn new(value: &'a Value, place: String, findings: &'f mut FindingList) -> Self {
         let fields = value.as_object();
         if fields.is_none() {
@@ -45,7 +47,7 @@
         }
     }
 
-    /// The place of a field.
+    /// Returns the place of a field.
     pub(crate) fn place_of(&self, field: &str) -> String {
         if self.place.is_empty() {
             field.to_owned()
@@ -60,18 +62,18 @@
         self.findings.add(place, problem, fix);
     }
 
-    /// The findings, for readers of what lies below.
+    /// Returns the findings, for readers of nested objects.
     pub(crate) fn findings(&mut self) -> &mut FindingList {
         self.findings
     }
 
-    /// A field that may be absent.
+    /// Reads a field that may be absent.
     pub(crate) fn optional(&mut self, field: &'static str) -> Option<&'a Value> {
         self.known.push(field);
         self.fields?.get(field).filter(|it| !it.is_null())
     }
 
-    /// A field that must be there.
+    /// Reads a required field.
     pub(crate) fn required(&mut self, field: &'static str, fix: &str) -> Option<&'a Value> {
         let value = self.optional(field);
         if value.is_none() && self.fields.is_some() {
@@ -80,19 +82,19 @@
         value
     }
 
-    /// A text that must be there and not be empty.
+    /// Reads a required string that must not be empty.
     pub(crate) fn text(&mut self, field: &'static str, fix: &str) -> String {
         let value = self.required(field, fix);
         self.text_of(field, value, fix).unwrap_or_default()
     }
 
-    /// A text that may be absent.
+    /// Reads a string that may be absent.
     pub(crate) fn optional_text(&mut self, field: &'static str, fix: &str) -> Option<String> {
         let value = self.optional(field);
         self.text_of(field, value, fix)
     }
 
-    /// A text in a form that a type of its own reads.
+    /// Reads a required string and parses it as a `T`.
     pub(crate) fn parsed<T: FromStr>(&mut self, field: &'static str, fix: &str) -> Option<T> {
         let text = self.text(field, fix);
         if text.is_empty() {
@@ -105,33 +107,33 @@
         parsed
     }
 
-    /// A name: lower-case letters, digits, `-`, `_` and `.`, 1 to 64 of them.
+    /// Reads a required name: 1 to 64 lower-case letters, digits, `-`, `_` and `.`.
     pub(crate) fn name(&mut self, field: &'static str) -> String {
         const FIX: &str = "use 1 to 64 of a-z, 0-9, -, _ and .";
         let text = self.text(field, FIX);
         if !text.is_empty() && !is_name(&text) {
-            self.find(field, "is no name", FIX);
+            self.find(field, "is not a name", FIX);
         }
         self.refuse_key(field, &text);
         text
     }
 
-    /// Finds a key that stands where a name is due: names are shown to every
-    /// operator and in metrics.
+    /// Reports a key in a field for names: names are shown to every operator and in
+    /// metrics.
     fn refuse_key(&mut self, field: &str, text: &str) {
         let place = self.place_of(field);
         Self::refuse_key_at(&place, text, self.findings);
     }
 
-    /// Finds a key at a place where a name is due.
+    /// Reports a key at a place where a name is expected.
     pub(crate) fn refuse_key_at(place: &str, text: &str, findings: &mut FindingList) {
         if text.starts_with(KEY_PREFIX) {
-            let fix = "withdraw the key if it is one, and choose a name that starts otherwise";
-            findings.add(place, "starts as a key does", fix);
+            let fix = "revoke the key if it is one, and choose a name that starts differently";
+            findings.add(place, "looks like a key", fix);
         }
     }
 
-    /// A number within bounds. Without a default it must be there.
+    /// Reads a number within bounds. It is required unless there is a default.
     pub(crate) fn number(
         &mut self,
         field: &'static str,
@@ -160,7 +162,7 @@
         }
     }
 
-    /// A whole number within bounds. Without a default it must be there.
+    /// Reads an integer within bounds. It is required unless there is a default.
     pub(crate) fn whole(
         &mut self,
         field: &'static str,
@@ -189,7 +191,7 @@
         }
     }
 
-    /// A yes or no, no if absent.
+    /// Reads a boolean, which is false if absent.
     pub(crate) fn flag(&mut self, field: &'static str) -> bool {
         let Some(value) = self.optional(field) else {
             return false;
@@ -204,7 +206,7 @@
         })
     }
 
-    /// The entries of a list, each with its place. Absent means empty.
+    /// Returns the entries of a list, each with its place. An absent list is empty.
     pub(crate) fn list(&mut self, field: &'static str) -> Vec<(String, &'a Value)> {
         let Some(value) = self.optional(field) else {
             return Vec::new();
@@ -225,7 +227,7 @@
             .collect()
     }
 
-    /// Reports the fields that nobody asked for.
+    /// Reports the fields that were never read.
     pub(crate) fn finish(mut self) {
         let Some(fields) = self.fields else { return };
         let known = self.known.join(", ");
@@ -235,7 +237,7 @@
         {
             let place = self.place_of(shown_field(field));
             let fix = format!("remove it, or use one of: {known}");
-            self.findings.add(place, "is no known field", fix);
+            self.findings.add(place, "is not a known field", fix);
         }
         self.known.clear();
     }
@@ -249,20 +251,21 @@
                 None
             }
             None => {
-                self.find(field, format!("is {}, not a text", kind_of(value)), fix);
+                self.find(field, format!("is {}, not a string", kind_of(value)), fix);
                 None
             }
         }
     }
 }
 
-/// Whether a text is a name as settings use it.
+/// Returns whether a string is a valid name in settings.
 pub(crate) fn is_name(text: &str) -> bool {
     let fits = |it: char| it.is_ascii_lowercase() || it.is_ascii_digit() || "-_.".contains(it);
     (1..=64).contains(&text.len()) && text.chars().all(fits)
 }
 
-/// A field's name as a place shows it.
+/// Returns a field's name as it is printed in a place, or a placeholder for a name that
+/// may be a secret.
 pub(crate) fn shown_field(field: &str) -> &str {
     let fits = |it: char| it.is_ascii_alphabetic() || it == '_' || it == '-';
     if field.len() <= LONGEST_SHOWN_FIELD && field.chars().all(fits) && !field.is_empty() {
@@ -272,7 +275,7 @@
     }
 }
 
-/// A value as a finding shows it: numbers as they are, all else by its kind.
+/// Describes a value in a finding: numbers as they are, all others by their type only.
 pub(crate) fn shown(value: &Value) -> String {
     match value {
         Value::Number(number) => number.to_string(),
@@ -283,9 +286,9 @@
 pub(crate) fn kind_of(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
-        Value::Bool(_) => "a yes or no",
+        Value::Bool(_) => "a boolean",
         Value::Number(_) => "a number",
-        Value::String(_) => "a text",
+        Value::String(_) => "a string",
         Value::Array(_) => "a list",
         Value::Object(_) => "an object",
     }
--- a/crates/settings/src/team_settings.rs
+++ b/crates/settings/src/team_settings.rs
@@ -1,37 +1,39 @@
-//! One team's subtree in the platform's store.
+//! One team's settings, a subtree of the platform's store.
 
 use serde::{Deserialize, Serialize};
 
-/// What one team has set: its customers, and the services that answer them.
+/// The settings of one team: its customers and the services that serve them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TeamSettings {
-    /// Its customers.
+    /// The team's customers.
     pub customers: Vec<CustomerSettings>,
-    /// Its services.
+    /// The team's services.
     pub services: Vec<ServiceSettings>,
 }
 
-/// A customer.
+/// A customer, whose callers authenticate with its keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerSettings {
     /// Its name, unique over all teams.
     pub name: String,
-    /// Requests a second, counted over the whole fleet.
+    /// The customer's rate limit in requests per second, over the whole fleet.
     pub rate: f64,
-    /// Requests it may send at once after a pause.
+    /// How many requests the customer may send at once after being idle.
     pub burst: u32,
-    /// Its part of scarce capacity against other customers.
+    /// The customer's weight when scarce capacity is divided between customers.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Its keys.
+    /// The customer's keys.
     #[serde(default)]
     pub keys: Vec<KeySettings>,
-    /// What a daemon does with its keys once its view of the settings is old.
+    /// What a daemon does with the customer's keys once its view of the settings is
+    /// old.
     #[serde(default)]
     pub when_cut: CutPolicy,
-    /// Whether its lots may delay live work rather than miss their due time.
+    /// Whether the customer's lots (batch jobs) may delay live requests rather than
+    /// miss their due time.
     #[serde(default)]
     pub lots_may_delay_live: bool,
 }
@@ -40,44 +42,45 @@
     1.0
 }
 
-/// A key, by its hash.
+/// A customer's key, stored as a hash.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySettings {
-    /// The operators' name for it, unique within the customer.
+    /// The name that operators gave the key, unique within the customer.
     pub name: String,
-    /// SHA-256 of the key, 64 hex digits.
+    /// The SHA-256 of the key, as 64 lower-case hex digits.
     pub sha256: String,
 }
 
-/// What a daemon does with a customer's keys once it can't learn of withdrawals.
+/// What a daemon does with a customer's keys while it is cut off from the store and
+/// can't learn of revoked keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum CutPolicy {
-    /// It goes on serving with the keys it knows.
+    /// Keep serving with the keys it knows.
     #[default]
     Serve,
-    /// It refuses once its view is older than this many seconds.
+    /// Reject the customer's requests once the view of the settings is older than this.
     RefuseAfter {
-        /// The greatest age of the view, in seconds.
+        /// The maximum age of the view, in seconds.
         seconds: u32,
     },
 }
 
-/// A service: models on engines, or a plain service.
+/// A service, made of model engines or plain HTTP servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSettings {
     /// Its name, unique over all teams.
     pub name: String,
-    /// What it is.
+    /// The kind of service, with the settings of that kind.
     pub kind: ServiceKind,
     /// The group of VMs that serves it.
     pub group: String,
-    /// How long a request may take in all, in milliseconds.
+    /// The timeout of a whole request, in milliseconds.
     #[serde(default = "default_timeout_ms")]
     pub timeout_ms: u64,
-    /// Whether its servers refuse orders with an old fencing number.
+    /// Whether the service's servers reject requests with an old fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
 }
@@ -86,16 +89,16 @@
     120_000
 }
 
-/// What a service is.
+/// The kind of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ServiceKind {
-    /// Model engines.
+    /// Engines, servers that run models.
     Engine {
-        /// The models they serve.
+        /// The models that the engines serve.
         models: Vec<String>,
     },
-    /// A plain service.
+    /// Plain HTTP servers.
     Plain {
         /// The path prefix under which callers reach it.
         prefix: String,
--- a/crates/settings/tests/daemon_checks.rs
+++ b/crates/settings/tests/daemon_checks.rs
@@ -1,4 +1,4 @@
-//! What the checks of a daemon's own file find, and where.
+//! The findings of the checks of a daemon's settings file, and their places.
 
 use comfreyramp_settings::{DaemonSettings, FindingList, LogFormat};
 use serde_json::{Value, json};
@@ -28,8 +28,8 @@
     assert_eq!(settings.log.format, LogFormat::Json);
 }
 
-/// A daemon that starts with a wrong file serves at the wrong place or not at
-/// all; the operator needs the place and what would be right.
+/// A daemon started with a wrong file listens at the wrong address or not at all. The
+/// finding must name the place of the mistake and a fix.
 #[test]
 fn each_field_is_found_at_its_place_with_a_fix() {
     let cases = [
@@ -94,9 +94,9 @@
 
 #[test]
 fn a_list_is_no_object() {
-    let list = DaemonSettings::check(b"[]").expect_err("a list");
+    let list = DaemonSettings::check(b"[]").expect_err("a list instead of an object");
     assert_eq!(list.findings[0].place, "(the whole text)");
     let text = br#"{"name": "a", "name": "b"}"#;
-    let list = DaemonSettings::check(text).expect_err("a doubled field");
+    let list = DaemonSettings::check(text).expect_err("a duplicate field");
     assert_eq!(list.findings[0].place, "name");
 }
--- a/crates/settings/tests/random_settings.rs
+++ b/crates/settings/tests/random_settings.rs
@@ -1,5 +1,5 @@
-//! Random settings, the same ones in every run: no check panics, and no finding
-//! repeats a secret.
+//! Checks of random settings with a fixed seed: no check panics, and no finding
+//! contains a secret.
 
 use comfreyramp_settings::{DaemonSettings, FindingList, TeamSettings};
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -88,7 +88,7 @@
     }
 }
 
-/// Replaces one value anywhere below by a random one.
+/// Replaces one value, at any depth, by a random one.
 fn disturb(value: &mut Value, rng: &mut StdRng) {
     let stop = rng.random_ratio(1, 5);
     match value {
@@ -131,15 +131,15 @@
 
 fn refuse_secrets(list: &FindingList, text: &str) {
     let shown = list.to_string();
-    // A part of a secret is one guess less for whoever finds it in a log.
+    // Even a part of a secret in a log makes it easier to guess.
     for secret in [KEY, TOKEN] {
         let part = &secret[4..16];
-        assert!(!shown.contains(part), "{shown}\nfound in {text}");
+        assert!(!shown.contains(part), "{shown}\nfindings of {text}");
     }
 }
 
-/// An operator, or a script, sends anything at all, with a key or the token in
-/// the wrong place. Findings end up in logs and on screens.
+/// Settings may have any shape and contain a key or the token in the wrong field.
+/// Findings are logged and printed, so they must not repeat it.
 #[test]
 fn no_check_panics_or_shows_a_secret() {
     let mut rng = StdRng::seed_from_u64(SEED);
@@ -170,12 +170,12 @@
     }
     assert!(
         finding_count > ROUNDS,
-        "the settings were hardly ever wrong"
+        "the random settings caused too few findings"
     );
 }
 
-/// A text is cut or damaged on the way. Whatever the parser makes of it, the
-/// checks end with a verdict.
+/// A settings file may be truncated or damaged in transit. The checks must return a
+/// result whatever the bytes are.
 #[test]
 fn no_check_panics_on_damaged_bytes() {
     let mut rng = StdRng::seed_from_u64(SEED);
--- a/crates/settings/tests/team_checks.rs
+++ b/crates/settings/tests/team_checks.rs
@@ -1,4 +1,4 @@
-//! What the checks of a team's subtree find, and where.
+//! The findings of the checks of a team's settings, and their places.
 
 use comfreyramp_settings::{FindingList, TeamSettings};
 use serde_json::{Value, json};
@@ -33,7 +33,8 @@
     list.findings.iter().map(|it| it.place.as_str()).collect()
 }
 
-/// Sets the value at a pointer such as `/customers/0/rate`.
+/// Returns valid settings with the value at a pointer such as `/customers/0/rate`
+/// replaced.
 fn with(pointer: &str, value: Value) -> Value {
     let mut settings = valid();
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
@@ -49,8 +50,8 @@
     assert_eq!(found(&valid()), FindingList::default());
 }
 
-/// An operator mistypes one field. Told only that something is wrong, he would
-/// have to search a file of many customers.
+/// One field is wrong. Without its place an operator would have to search a file of
+/// many customers.
 #[test]
 fn each_field_is_found_at_its_place_with_a_fix() {
     let long = "a".repeat(65);
@@ -159,8 +160,8 @@
     }
 }
 
-/// A view of the settings is up to 3 s old while all is well. With a bound
-/// below that the customer's callers are refused although nothing failed.
+/// A view of the settings is up to 3 s old in normal operation. A lower limit would
+/// reject the customer's callers although nothing failed.
 #[test]
 fn a_bound_on_the_views_age_must_leave_room_for_the_usual_age() {
     let bound = |seconds: u64| {
@@ -178,8 +179,8 @@
     }
 }
 
-/// A prefix with dots, escapes or a query never matches the path of a call, or
-/// matches one that a server reads as another.
+/// A prefix with dots, escapes or a query never matches the path of a call, or matches
+/// one that a server interprets as another path.
 #[test]
 fn a_prefix_is_made_of_plain_segments() {
     let wrong = [
@@ -211,8 +212,8 @@
     }
 }
 
-/// A file has several mistakes. An operator who is told of one at a time has
-/// to repeat the change for each of them.
+/// A file has several mistakes. If they were reported one at a time, an operator would
+/// have to repeat the change for each of them.
 #[test]
 fn all_findings_come_together_in_the_order_of_the_text() {
     let settings = json!({
@@ -236,8 +237,8 @@
     assert_eq!(places(&list), expected, "{list}");
 }
 
-/// A list stands where an object is due. Some readers take the entries for the
-/// fields in their order, and put a rate into a name's place.
+/// A list is given instead of an object. Deserializers of structs accept a list as the
+/// fields in order, which could put a rate into the name.
 #[test]
 fn a_list_is_no_object() {
     for text in [
@@ -255,7 +256,7 @@
     assert!(places(&list).contains(&"customers[0]"), "{list}");
 }
 
-/// A text is cut off or isn't JSON at all.
+/// The settings are truncated or aren't JSON at all.
 #[test]
 fn broken_json_is_found_at_its_line() {
     let list = TeamSettings::check(b"{\n  \"customers\": [\n    {,\n").expect_err("broken");
@@ -266,17 +267,17 @@
     assert!(TeamSettings::check(deep.as_bytes()).is_err());
 }
 
-/// An operator pastes a second list of customers below the first. A parser
-/// keeps the last one, and the customers of the first would lose their keys.
+/// An operator pastes a second list of customers below the first. A JSON parser keeps
+/// only the last one, so the customers of the first would lose their keys.
 #[test]
 fn a_field_that_stands_twice_is_found() {
     let text =
         r#"{"customers": [{"name": "a", "rate": 1, "rate": 2, "burst": 1}], "customers": []}"#;
-    let list = TeamSettings::check(text.as_bytes()).expect_err("doubled fields");
+    let list = TeamSettings::check(text.as_bytes()).expect_err("duplicate fields");
     assert_eq!(places(&list), ["customers[0].rate", "customers"], "{list}");
 }
 
-/// Two entries of one team claim the same name, key, model or prefix.
+/// Two entries of one team have the same name, key, model or prefix.
 #[test]
 fn doubles_within_a_team_name_both_places() {
     let mut settings = valid();
@@ -314,8 +315,8 @@
     assert_eq!(places(&found(&settings)), ["customers[0].keys[1].name"]);
 }
 
-/// A second team claims what another has, or a prefix below another's, and
-/// would take over its calls.
+/// A second team uses a value of another team, or a prefix below that team's, and would
+/// take over its calls.
 #[test]
 fn doubles_across_teams_name_the_other_team() {
     let check = |settings: &Value| {
