--- a/crates/store/src/call_counts.rs
+++ b/crates/store/src/call_counts.rs
@@ -1,4 +1,4 @@
-//! What the platform's calls are reported to.
+//! The trait through which clients count their calls to the platform.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
     Transaction,
     /// A new lease.
     LeaseGrant,
-    /// A lease's renewal.
+    /// The renewal of a lease.
     LeaseRenew,
-    /// A lease's end.
+    /// The revocation of a lease.
     LeaseRevoke,
     /// The opening of a watch.
     Watch,
@@ -24,7 +24,7 @@
 }
 
 impl StoreCall {
-    /// All kinds, for whoever prepares a label for each.
+    /// All kinds, for metrics that prepare a label for each.
     pub const ALL: [StoreCall; 7] = [
         StoreCall::Range,
         StoreCall::Transaction,
@@ -35,7 +35,7 @@
         StoreCall::VmList,
     ];
 
-    /// The kind as a label.
+    /// Returns the kind as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             StoreCall::Range => "range",
@@ -52,18 +52,18 @@
 /// How a call to the platform ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CallEnd {
-    /// With an answer.
+    /// The platform answered without an error.
     Answered,
-    /// With an error of the platform's own.
+    /// The platform answered with an error.
     Refused,
-    /// No byte left.
+    /// The platform couldn't be reached, so no byte was sent.
     Unreachable,
-    /// Without an answer.
+    /// The call was sent, but no answer arrived.
     AnswerLost,
 }
 
 impl CallEnd {
-    /// All ends, for whoever prepares a label for each.
+    /// All ends, for metrics that prepare a label for each.
     pub const ALL: [CallEnd; 4] = [
         CallEnd::Answered,
         CallEnd::Refused,
@@ -71,7 +71,7 @@
         CallEnd::AnswerLost,
     ];
 
-    /// The end as a label.
+    /// Returns the end as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             CallEnd::Answered => "answered",
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The end that a call's result stands for.
+    /// Returns the end that corresponds to a call's result.
     pub fn of<T>(result: &Result<T, StoreError>) -> Self {
         match result {
             Ok(_) => CallEnd::Answered,
@@ -92,20 +92,20 @@
     }
 }
 
-/// Where a client reports its calls, for metrics. The platform counts each
-/// call, a waiting watch as one.
+/// Receives the calls of a client, for metrics. The platform counts each call, and a
+/// waiting watch as one call.
 pub trait CallCounts: Clone + Send + Sync + 'static {
-    /// Takes note of a call that ended.
+    /// Counts a call that ended after `took`.
     fn count(&self, call: StoreCall, end: CallEnd, took: Duration);
 
-    /// Takes note that a watch began to wait.
+    /// Counts a watch that was opened.
     fn watch_opened(&self) {}
 
-    /// Takes note that a waiting watch ended.
+    /// Counts an open watch that was closed.
     fn watch_closed(&self) {}
 }
 
-/// Counts nothing.
+/// Ignores all calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoCounts;
 
--- a/crates/store/src/convert.rs
+++ b/crates/store/src/convert.rs
@@ -1,4 +1,4 @@
-//! From the project's types to the gateway's JSON shapes and back.
+//! Converts between the project's types and the gateway's JSON messages.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 };
 
 impl RangeRequest {
-    /// A read of at most `limit` pairs, or all of them for 0.
+    /// Creates a read of at most `limit` pairs, or of all of them for 0.
     pub fn new(range: &KeyRange, limit: usize) -> Self {
         let (key, range_end) = range.bounds();
         let limit = i64::try_from(limit).unwrap_or(i64::MAX);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A read of all keys without their values.
+    /// Creates a read of all keys without their values.
     pub fn keys_only(range: &KeyRange) -> Self {
         RangeRequest {
             keys_only: true,
@@ -37,7 +37,7 @@
 }
 
 impl WatchCreateRequest {
-    /// A watch that reports all writes from revision `from` on, and its
+    /// Creates a watch that reports all writes from revision `from` on, and its
     /// progress while nothing is written.
     pub fn new(range: &KeyRange, from: i64) -> Self {
         let (key, range_end) = range.bounds();
@@ -51,8 +51,8 @@
 }
 
 impl LeaseMessage {
-    /// Asks for a lease. The platform counts whole seconds; rounding up keeps
-    /// the lease at least as long as its holder believes.
+    /// Creates a request for a lease. The platform counts whole seconds; rounding up
+    /// keeps the lease at least as long as its holder assumes.
     pub fn grant(ttl: Duration) -> Self {
         let seconds = ttl.as_millis().div_ceil(1000).max(1);
         LeaseMessage {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Asks for a renewal, or names the lease to revoke.
+    /// Creates a request to renew or revoke `lease`.
     pub fn named(lease: LeaseId) -> Self {
         LeaseMessage {
             id: lease.0,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The time a renewed lease has left.
+    /// Returns the time that a renewed lease has left.
     pub fn time_left(&self) -> Result<Duration, StoreError> {
         match u64::try_from(self.ttl) {
             Ok(0) | Err(_) => Err(StoreError::LeaseLapsed),
@@ -104,7 +104,8 @@
     }
 }
 
-/// An absent key counts as created at revision 0.
+/// Compares a key's creation revision with 0, which the platform reports for an absent
+/// key.
 fn compare_created(key: String, result: CompareResult) -> CompareMessage {
     CompareMessage {
         result,
@@ -158,10 +159,11 @@
     }
 }
 
-/// The project writes text keys only, so that others point to a wrong prefix.
+/// Returns a key as text. The project only writes text keys, so any other key indicates
+/// a wrong prefix.
 fn key_text(key: &Bytes) -> Result<String, StoreError> {
     let text = String::from_utf8(key.to_vec());
-    text.map_err(|_| StoreError::Rejected(format!("the key {key:?} is no text")))
+    text.map_err(|_| StoreError::Rejected(format!("the key {key:?} is not UTF-8 text")))
 }
 
 fn pairs(messages: Vec<PairMessage>) -> Result<Vec<KeyValue>, StoreError> {
@@ -201,22 +203,23 @@
 impl TryFrom<WatchResponse> for WatchBatch {
     type Error = StoreError;
 
-    /// Fails with the reason when the message ends the watch.
+    /// Returns the reason as an error if the message ends the watch.
     fn try_from(response: WatchResponse) -> Result<Self, StoreError> {
         if response.compact_revision > 0 {
             return Err(StoreError::Compacted(response.compact_revision));
         }
         if response.canceled {
-            let reason = format!("it ended the watch: {}", response.cancel_reason);
+            let reason = format!("the watch was canceled: {}", response.cancel_reason);
             return Err(StoreError::Rejected(reason));
         }
         batch_of(response.events, response.header.revision)
     }
 }
 
-/// A message without events reports progress, and its head then names the
-/// revision seen. With events the head may already be ahead of them, and
-/// resuming from there would skip writes; the last event's own revision counts.
+/// Builds a batch from a watch message. A message without events reports progress, and
+/// the revision in its header is the one that the watch has reached. In a message with
+/// events the header may already be ahead of them, and resuming from there would skip
+/// writes, so the last event's revision counts.
 fn batch_of(events: Vec<EventMessage>, head_revision: i64) -> Result<WatchBatch, StoreError> {
     let last = events.iter().map(|it| it.kv.mod_revision).max();
     let mut batch = WatchBatch {
--- a/crates/store/src/fenced_lease.rs
+++ b/crates/store/src/fenced_lease.rs
@@ -1,4 +1,4 @@
-//! What one process at a time may do.
+//! Leases with fencing numbers, for work that only one process at a time may do.
 
 use std::time::Duration;
 
@@ -10,58 +10,58 @@
     StoreError, Write, WriteBatch, write_once,
 };
 
-/// Which lease is wanted.
+/// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRequest {
     /// The key that stands for what is leased.
     pub key: String,
-    /// Who asks.
+    /// The name of the process that requests the lease.
     pub holder: String,
-    /// How long the lease outlives its last renewal. Whole seconds.
+    /// How long the lease lasts after its last renewal. Whole seconds.
     pub span: Duration,
 }
 
-/// What the lease's key holds. The lease's number makes it unlike what the
-/// same holder wrote before a restart.
+/// The value of the lease's key. The lease's number distinguishes it from a value that
+/// the same holder wrote before a restart.
 #[derive(Debug, Serialize, Deserialize)]
 struct LeaseOwner {
     holder: String,
     lease: i64,
 }
 
-/// What an attempt to get a lease came to.
+/// The outcome of an attempt to acquire a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AcquireOutcome {
-    /// The lease is held.
+    /// The lease was acquired.
     Held(FencedLease),
-    /// Somebody else holds it.
+    /// Another holder has the lease.
     Taken {
-        /// Who does, when the key could be read.
+        /// The other holder's name, if the key could be read.
         holder: Option<String>,
     },
 }
 
 /// A lease with a fencing number.
 ///
-/// Two things keep a holder that was paused past its lease from doing harm:
-/// [`FencedLease::is_valid`] tells it so by its own clock, and
-/// [`FencedLease::guard`], put into each of its writes, makes the platform
-/// refuse those that were already under way.
+/// Two checks keep a holder that was paused past the end of its lease from overwriting
+/// the work of the next one: [`FencedLease::is_valid`] compares the lease with the
+/// holder's own clock, and the condition of [`FencedLease::guard`], added to each of
+/// the holder's writes, makes the platform reject writes that were already in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FencedLease {
     /// The key that stands for what is leased.
     pub key: String,
-    /// The platform's lease.
+    /// The id of the platform's lease.
     pub lease: LeaseId,
-    /// The fencing number: the revision at which the key was created. Later
-    /// holders have higher numbers.
+    /// The fencing number: the revision at which the key was created. Later holders
+    /// have higher numbers.
     pub fence: Revision,
-    /// When the holder may act.
+    /// The time until which the holder may act.
     pub term: LeaseTerm,
 }
 
 impl FencedLease {
-    /// Tries to get a lease. `now` is a moment before the call.
+    /// Attempts to acquire a lease. `now` is a time before the call.
     pub async fn acquire<S: PlatformStore>(
         store: &S,
         request: &LeaseRequest,
@@ -78,11 +78,11 @@
                 term: LeaseTerm::new(now, request.span),
             }));
         }
-        // An undecided claim must not stay in force for a holder that doesn't
-        // know of it. If this call fails too, the lease lapses by itself.
+        // A claim of unknown outcome must not stay in force for a holder that doesn't
+        // know of it. If this call fails too, the lease expires on its own.
         let revoked = store.revoke(lease).await;
         if let Err(error) = revoked {
-            log::debug!("platform: left lease {} to lapse: {error}", lease.0);
+            log::debug!("platform: failed to revoke lease {}, which now has to expire: {error}", lease.0);
         }
         let holder = match claimed? {
             OnceOutcome::Written(_) => None,
@@ -93,20 +93,20 @@
         Ok(AcquireOutcome::Taken { holder })
     }
 
-    /// Whether the holder may act. To be asked right before each act.
+    /// Returns whether the holder may act. Call it right before each action.
     pub fn is_valid(&self, now: Timestamp) -> bool {
         self.term.is_valid(now)
     }
 
-    /// Whether it is time to renew.
+    /// Returns whether it is time to renew.
     pub fn is_renewal_due(&self, now: Timestamp) -> bool {
         now >= self.term.renewal_due()
     }
 
-    /// Renews the lease. `now` is a moment before the call.
+    /// Renews the lease. `now` is a time before the call.
     ///
-    /// After [`StoreError::LeaseLapsed`] the lease is over for good. After any
-    /// other error it runs on as before, and the renewal can be tried again.
+    /// After [`StoreError::LeaseLapsed`] the lease is lost for good. After any other
+    /// error it continues unchanged, and the renewal can be attempted again.
     pub async fn renew<S: PlatformStore>(
         &mut self,
         store: &S,
@@ -125,13 +125,13 @@
         }
     }
 
-    /// The comparison that holds only while this lease is in force and its key
-    /// is this holder's.
+    /// Returns a condition that holds only while this lease is in force and its key
+    /// belongs to this holder.
     pub fn guard(&self) -> Comparison {
         Comparison::ModifiedAt(self.key.clone(), self.fence)
     }
 
-    /// Gives the lease back, so that others needn't wait for it to lapse.
+    /// Releases the lease, so that others needn't wait for it to expire.
     pub async fn release<S: PlatformStore>(self, store: &S) -> Result<(), StoreError> {
         match store.revoke(self.lease).await {
             Ok(()) | Err(StoreError::LeaseLapsed) => Ok(()),
@@ -145,7 +145,7 @@
         holder: request.holder.clone(),
         lease: lease.0,
     };
-    // Two plain fields: serializing can't fail.
+    // A string and a number: serializing them can't fail.
     let value = serde_json::to_vec(&owner).unwrap_or_default();
     WriteBatch {
         when: vec![Comparison::Absent(request.key.clone())],
--- a/crates/store/src/gateway_store.rs
+++ b/crates/store/src/gateway_store.rs
@@ -19,27 +19,27 @@
     },
 };
 
-/// How long a call may take, unless the settings say otherwise.
+/// The default timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest answer that is read.
+/// The maximum size of a response in bytes.
 const ANSWER_LIMIT: usize = 256_000_000;
-/// The longest error answer that is read.
+/// The maximum size of an error response in bytes.
 pub(crate) const ERROR_LIMIT: usize = 64_000;
-/// gRPC's code for a thing that doesn't exist.
+/// The gRPC code `NOT_FOUND`.
 const NOT_FOUND: i32 = 5;
-/// The gRPC codes that say for certain that nothing was done: invalid
-/// argument, not found, already exists, permission denied, resource exhausted,
-/// failed precondition, out of range, unimplemented, unauthenticated.
+/// The gRPC codes which guarantee that nothing was done: invalid argument, not found,
+/// already exists, permission denied, resource exhausted, failed precondition, out of
+/// range, unimplemented, unauthenticated.
 const CERTAIN_REFUSALS: [i32; 9] = [3, 5, 6, 7, 8, 9, 11, 12, 16];
 
-/// Where the gateway is and how long to wait for it.
+/// The gateway's address and timeout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewaySettings {
     /// The gateway's `ip:port`.
     pub address: String,
-    /// How long one call may take, from opening a connection to the last byte
-    /// of the answer. Half of it is left to opening a connection, so that a
-    /// platform behind a cut is told from one that lost an answer.
+    /// The timeout of a call, from opening a connection to the last byte of the
+    /// response. Connecting may take half of it, so that a platform which can't be
+    /// reached is distinguished from one whose answer was lost.
     pub call_timeout: Duration,
 }
 
@@ -53,7 +53,8 @@
 }
 
 impl GatewaySettings {
-    /// The gateway at `ip:port` or `http://ip:port`, with the default timeout.
+    /// Creates settings for the gateway at `ip:port` or `http://ip:port`, with the
+    /// default timeout.
     pub fn new(address: &str) -> Self {
         let address = address.trim_start_matches("http://").trim_end_matches('/');
         GatewaySettings {
@@ -62,24 +63,25 @@
         }
     }
 
-    /// Sets how long one call may take.
+    /// Sets the timeout of a call.
     pub fn call_timeout(mut self, timeout: Duration) -> Self {
         self.call_timeout = timeout;
         self
     }
 
-    /// The address of one call.
+    /// Returns the URL of a path at the gateway.
     pub(crate) fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.address)
     }
 
-    /// A client whose connections leave a call time for its answer.
+    /// Creates an HTTP client that may spend half of a call's timeout on connecting,
+    /// which leaves the rest for the response.
     pub(crate) fn client(&self) -> HttpClient {
         HttpClient::new(self.call_timeout / 2)
     }
 }
 
-/// The platform's key-value service over HTTP.
+/// A client of the platform's key-value service over HTTP.
 #[derive(Clone, Debug)]
 pub struct GatewayStore<C: CallCounts = NoCounts> {
     client: HttpClient,
@@ -88,7 +90,7 @@
 }
 
 impl<C: CallCounts> GatewayStore<C> {
-    /// A client that reports its calls to `counts`.
+    /// Creates a client that reports its calls to `counts`.
     pub fn new(settings: GatewaySettings, counts: C) -> Self {
         let client = settings.client();
         GatewayStore {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Makes one call and reads its whole answer.
+    /// Makes a call and reads its whole response.
     async fn call<Q, A>(&self, call: StoreCall, path: &str, request: &Q) -> Result<A, StoreError>
     where
         Q: Serialize + Sync,
@@ -112,7 +114,7 @@
         self.timed(call, exchange).await
     }
 
-    /// Makes one call and reads the first line of its answer.
+    /// Makes a call and returns a reader of the lines of its streamed response.
     async fn open<Q: Serialize + Sync>(
         &self,
         path: &str,
@@ -136,7 +138,7 @@
         exchange(&self.client, request).await
     }
 
-    /// Limits a call's time and reports how it ended.
+    /// Applies the timeout to a call and counts how it ended.
     async fn timed<T>(
         &self,
         call: StoreCall,
@@ -151,7 +153,7 @@
     }
 }
 
-/// Sends a request and tells a refusal from an answer.
+/// Sends a request. A response with a status other than 200 becomes an error.
 pub(crate) async fn exchange(
     client: &HttpClient,
     request: Request<comfreyramp_http::MessageBody>,
@@ -165,26 +167,28 @@
     Err(refusal(status, &body.unwrap_or_default()))
 }
 
-/// Limits the time of an exchange. Its request may have left by then.
+/// Applies a timeout to a call. A timeout counts as a lost answer, since the request
+/// may already have been sent.
 pub(crate) async fn within<T>(
     limit: Duration,
     exchange: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     match tokio::time::timeout(limit, exchange).await {
         Ok(result) => result,
-        Err(_) => Err(StoreError::AnswerLost(format!("nothing within {limit:?}"))),
+        Err(_) => Err(StoreError::AnswerLost(format!("no answer within {limit:?}"))),
     }
 }
 
-/// Reads an answer. One that can't be read tells nothing of what was done.
+/// Parses a response body. An unreadable body counts as a lost answer, since it doesn't
+/// tell whether the call took effect.
 pub(crate) fn read_json<T: DeserializeOwned>(body: &Bytes) -> Result<T, StoreError> {
     let parsed = serde_json::from_slice(body);
-    parsed.map_err(|error| StoreError::AnswerLost(format!("unreadable: {error}")))
+    parsed.map_err(|error| StoreError::AnswerLost(format!("invalid response: {error}")))
 }
 
-/// What an error answer means. Some of the platform's errors, a change of its
-/// leader among them, leave open whether a write took effect; taking such an
-/// answer for a refusal would make a caller write twice.
+/// Converts an error response to a [`StoreError`]. Some errors of the platform, such as
+/// a change of its leader, leave open whether a write took effect; if they counted as
+/// rejections, a caller would write twice.
 pub(crate) fn refusal(status: StatusCode, body: &Bytes) -> StoreError {
     let Ok(error) = serde_json::from_slice::<ErrorMessage>(body) else {
         let text = format!("status {status}");
@@ -207,7 +211,7 @@
 }
 
 impl<T: Default> StreamLine<T> {
-    /// The line's message, or the error that ends the stream.
+    /// Returns the line's message, or the error that ends the stream.
     pub(crate) fn into_result(self) -> Result<T, StoreError> {
         match self.error {
             Some(error) => Err(coded_error(error.grpc_code, error.message)),
--- a/crates/store/src/gateway_vm_list.rs
+++ b/crates/store/src/gateway_vm_list.rs
@@ -14,22 +14,22 @@
     gateway_store::{ERROR_LIMIT, read_json, refusal, within},
 };
 
-/// The longest list that is read, in bytes.
+/// The maximum size of a list in bytes.
 const LIST_LIMIT: usize = 8_000_000;
 
-/// A list as it was read, with the tag that the platform gave it.
+/// A list and the `ETag` that it was sent with.
 #[derive(Clone, Debug)]
 struct TaggedList {
     tag: HeaderValue,
     vms: Vec<ListedVm>,
 }
 
-/// The platform's VM list over HTTP: `GET /vms` gives a JSON array.
+/// A client of the platform's VM list over HTTP: `GET /vms` returns a JSON array.
 ///
-/// The list of a whole fleet is over 100 KB and rarely changes. Where the platform
-/// gives it an `ETag`, the next read asks with `If-None-Match`, and an unchanged
-/// list costs a few bytes. Read whole each second, it would take six times of what
-/// a daemon may spend on control; see docs/CAPACITY.md.
+/// The list of a whole fleet is over 100 KB and rarely changes. If the platform sends
+/// it with an `ETag`, the next read sends `If-None-Match`, and an unchanged list costs
+/// a few bytes. Reading the whole list each second would take six times the bandwidth
+/// that a daemon may spend on control traffic; see docs/CAPACITY.md.
 #[derive(Clone, Debug)]
 pub struct GatewayVmList<C: CallCounts = NoCounts> {
     client: HttpClient,
@@ -39,7 +39,7 @@
 }
 
 impl<C: CallCounts> GatewayVmList<C> {
-    /// A client that reports its calls to `counts`.
+    /// Creates a client that reports its calls to `counts`.
     pub fn new(settings: GatewaySettings, counts: C) -> Self {
         let client = settings.client();
         GatewayVmList {
--- a/crates/store/src/gateway_watch.rs
+++ b/crates/store/src/gateway_watch.rs
@@ -1,4 +1,4 @@
-//! A watch over the gateway.
+//! A watch that streams changes from the gateway.
 
 use crate::{
     CallCounts, StoreError, WatchBatch, WatchStream,
@@ -7,12 +7,12 @@
     wire::{StreamLine, WatchResponse},
 };
 
-/// An open watch. It ends with an error when it breaks; whoever needs it
-/// further opens another from the revision after the last one seen.
+/// An open watch. It ends with an error when its connection breaks; the caller then
+/// opens another from the revision after the last one received.
 ///
-/// A connection that dies without a word looks like a watch without news. The
-/// platform reports its revision now and then, but at times of its own choice,
-/// so a reader with bounds on the age of its view must look for itself.
+/// A connection that died silently looks like a watch without changes. The platform
+/// reports its revision from time to time, but not at a guaranteed interval, so a
+/// reader that limits the age of its view must also check the store itself.
 #[derive(Debug)]
 pub struct GatewayWatch<C: CallCounts> {
     lines: LineReader,
@@ -20,14 +20,14 @@
 }
 
 impl<C: CallCounts> GatewayWatch<C> {
-    /// Waits until the platform says that the watch stands.
+    /// Waits until the platform confirms that the watch is open.
     pub(crate) async fn open(lines: LineReader, counts: C) -> Result<Self, StoreError> {
         let mut lines = lines;
         let response = next_response(&mut lines).await?;
         if !response.created {
-            // It never stood: the message says why.
+            // The watch was never opened: the message says why.
             WatchBatch::try_from(response)?;
-            return Err(StoreError::Rejected("it opened no watch".into()));
+            return Err(StoreError::Rejected("the platform didn't confirm the watch".into()));
         }
         if response.canceled {
             WatchBatch::try_from(response)?;
@@ -51,7 +51,7 @@
 
 async fn next_response(lines: &mut LineReader) -> Result<WatchResponse, StoreError> {
     let Some(line) = lines.next().await? else {
-        return Err(StoreError::AnswerLost("the watch ended".into()));
+        return Err(StoreError::AnswerLost("the platform closed the watch".into()));
     };
     let line: StreamLine<WatchResponse> = read_json(&line)?;
     line.into_result()
--- a/crates/store/src/lease_term.rs
+++ b/crates/store/src/lease_term.rs
@@ -1,22 +1,23 @@
-//! How long a holder may act on its lease.
+//! The time in which a holder may act on its lease.
 
 use std::time::Duration;
 
 use comfreyramp_policy::Timestamp;
 
-/// What part of a lease the holder leaves unused. The two clocks need not run
-/// equally fast, and a check and the act that follows it take time.
+/// The holder leaves one part in this many of a lease unused, since the two clocks may
+/// not run equally fast, and since a check and the action after it take time.
 const MARGIN_SHARE: u32 = 10;
-/// How many renewals fit into the time a lease runs, so that two of them can
-/// fail before it lapses.
+/// How many renewals fit into the duration of a lease: two of them can fail before it
+/// expires.
 const RENEWALS_PER_TERM: u32 = 3;
 
 /// The time in which a holder may act, on the holder's own clock.
 ///
-/// The platform counts a lease from when it handled the grant or the renewal,
-/// the holder from before it sent that: whatever the call took, the holder
-/// stops first. A holder that was paused finds out by asking here again after
-/// the pause; it must therefore ask right before each act, not once per task.
+/// The platform counts a lease from when it handled the grant or the renewal, the
+/// holder from before it sent the request: however long the call took, the holder
+/// stops first. A holder that was paused only notices the end of its lease when it
+/// checks this term after the pause, so it must check right before each action, not
+/// once per task.
 ///
 /// ```
 /// use std::time::Duration;
@@ -32,14 +33,14 @@
 pub struct LeaseTerm {
     /// How long the platform keeps the lease after a renewal.
     pub span: Duration,
-    /// When the lease was last asked for with success.
+    /// When the last successful grant or renewal was sent.
     sent: Timestamp,
-    /// From when on the holder may not act.
+    /// From when on the holder may no longer act.
     ends: Timestamp,
 }
 
 impl LeaseTerm {
-    /// A lease of `span` that was asked for at `sent`.
+    /// Creates the term of a lease of `span` whose request was sent at `sent`.
     pub fn new(sent: Timestamp, span: Duration) -> Self {
         LeaseTerm {
             span,
@@ -48,35 +49,36 @@
         }
     }
 
-    /// Takes note that a renewal sent at `sent` left the lease `left` to run.
+    /// Extends the term after a renewal that was sent at `sent` and left the lease
+    /// `left` to run.
     ///
-    /// A lease that the platform could still renew never lapsed there, so a
-    /// holder that believed it over may act again.
+    /// A lease that the platform could renew never expired there, so a holder that
+    /// considered it expired may act again.
     pub fn renew(&mut self, sent: Timestamp, left: Duration) {
         if sent < self.sent {
-            // An answer overtaken by that of a later renewal says nothing new.
+            // The answer to a later renewal has already arrived.
             return;
         }
         self.sent = sent;
         self.ends = sent + usable(left);
     }
 
-    /// Takes note that the lease is over.
+    /// Ends the term when the lease is lost.
     pub fn end(&mut self) {
         self.ends = Timestamp::ZERO;
     }
 
-    /// Whether the holder may act.
+    /// Returns whether the holder may act.
     pub fn is_valid(&self, now: Timestamp) -> bool {
         now < self.ends
     }
 
-    /// How long the holder may act still.
+    /// Returns how much longer the holder may act.
     pub fn left(&self, now: Timestamp) -> Duration {
         self.ends.since(now)
     }
 
-    /// When to send the next renewal.
+    /// Returns when to send the next renewal.
     pub fn renewal_due(&self) -> Timestamp {
         self.sent + self.span / RENEWALS_PER_TERM
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,12 +1,12 @@
-//! The platform's key-value service and VM list behind small traits.
+//! Access to the platform's key-value service and VM list.
 //!
-//! [`PlatformStore`] is what the rest of the project asks for. The daemon's
-//! client speaks the JSON gateway of the etcd v3 API, which has exactly
-//! compare-and-swap, leases and watches.
+//! [`PlatformStore`] is the trait that the rest of the project uses. The daemon's
+//! client implements it over the JSON gateway of the etcd v3 API, which provides
+//! exactly what is needed: compare-and-swap, leases and watches.
 //!
-//! An answer can be lost after its write took effect, so each write here is a
-//! transaction that its caller can read back and repeat: [`write_once`] does
-//! that. [`FencedLease`] is for what one process at a time may do.
+//! An answer can be lost after its write took effect. So each write is a transaction
+//! that its caller can read back and repeat, as [`write_once`] does. [`FencedLease`] is
+//! for work that only one process at a time may do.
 
 mod call_counts;
 mod convert;
--- a/crates/store/src/line_reader.rs
+++ b/crates/store/src/line_reader.rs
@@ -1,4 +1,4 @@
-//! Newline-separated JSON from a streamed answer.
+//! A reader of newline-separated JSON in a streamed response.
 
 use bytes::{Bytes, BytesMut};
 use comfreyramp_http::Incoming;
@@ -6,15 +6,17 @@
 
 use crate::StoreError;
 
-/// The longest line. A watch that catches up gets many values in one line.
+/// The maximum length of a line in bytes. A watch that catches up receives many values
+/// in one line.
 const LINE_LIMIT: usize = 64_000_000;
 
-/// Reads an answer line by line. A wait may be dropped and taken up again.
+/// Reads a response line by line. [`LineReader::next`] is cancel safe: no data is lost
+/// when its future is dropped.
 #[derive(Debug)]
 pub(crate) struct LineReader {
     body: Incoming,
     buffer: BytesMut,
-    /// How much of the buffer is known to hold no line end.
+    /// The length of the buffer's prefix that is known to contain no line end.
     searched: usize,
 }
 
@@ -27,14 +29,14 @@
         }
     }
 
-    /// The next line without its end, or nothing after the last.
+    /// Returns the next line without its line end, or nothing after the last one.
     pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, StoreError> {
         loop {
             if let Some(line) = self.take_line() {
                 return Ok(Some(line));
             }
             if self.buffer.len() > LINE_LIMIT {
-                let reason = format!("a line of more than {LINE_LIMIT} bytes");
+                let reason = format!("a line exceeds {LINE_LIMIT} bytes");
                 return Err(StoreError::AnswerLost(reason));
             }
             match self.body.frame().await {
--- a/crates/store/src/renewed_watch.rs
+++ b/crates/store/src/renewed_watch.rs
@@ -1,22 +1,23 @@
-//! A watch that doesn't hang for ever.
+//! A watch that is reopened when it stalls.
 
 use std::time::Duration;
 
 use crate::{KeyRange, PlatformStore, Revision, StoreError, WatchBatch, WatchStream};
 
-/// A watch that says nothing for so long is opened anew. Each opening is billed, and a
-/// fleet of hundreds of daemons has one each.
+/// How long a watch may receive nothing before it is reopened. Each opening is billed,
+/// and a fleet of hundreds of daemons has one watch each.
 const SILENT_SPAN: Duration = Duration::from_secs(30);
 
-/// A watch that is opened anew, from where it stood, when nothing was heard for a while.
+/// A watch that is reopened, from the revision it had reached, when it received nothing
+/// for a while.
 ///
-/// One whose connection stands but whose messages were lost looks like one without news.
-/// A reader without bounds on the age of its view would never find out.
+/// A watch whose connection is up but whose messages were lost looks like a watch
+/// without changes. A reader that doesn't limit the age of its view would never notice.
 #[derive(Debug)]
 pub struct RenewedWatch<S: PlatformStore> {
     store: S,
     range: KeyRange,
-    /// The first revision that wasn't seen.
+    /// The first revision that hasn't been received.
     from: Revision,
     watch: Option<S::Watch>,
 }
--- a/crates/store/src/retry_pace.rs
+++ b/crates/store/src/retry_pace.rs
@@ -1,28 +1,28 @@
-//! How fast a call is repeated.
+//! The attempts and delays of repeated calls.
 
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// How often and with which waits a call is repeated.
+/// How often a call is attempted and how long to wait between attempts.
 ///
-/// The waits double up to a bound, and each is drawn between half of it and
-/// all of it: when the platform comes back, hundreds of daemons would otherwise
-/// call it in the same instant, again and again.
+/// The delays double up to a maximum, and each is drawn at random between half of its
+/// value and all of it: otherwise, when the platform recovers from an outage, hundreds
+/// of daemons would call it at the same instant, again and again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPace {
-    /// How often the call is made at most.
+    /// The maximum number of attempts, including the first.
     pub attempts: u32,
-    /// The longest wait before the first repetition.
+    /// The maximum delay before the first repetition.
     pub first_wait: Duration,
-    /// The longest wait before any repetition.
+    /// The maximum delay before any repetition.
     pub longest_wait: Duration,
-    /// The seed of the draws; each process needs its own.
+    /// The seed of the random delays; each process needs its own.
     pub seed: u64,
 }
 
 impl RetryPace {
-    /// The default pace, with this process's seed.
+    /// Creates the default policy with this process's seed.
     pub fn new(seed: u64) -> Self {
         RetryPace {
             attempts: 4,
@@ -32,32 +32,32 @@
         }
     }
 
-    /// Sets how often the call is made at most.
+    /// Sets the maximum number of attempts.
     pub fn attempts(mut self, attempts: u32) -> Self {
         self.attempts = attempts;
         self
     }
 
-    /// Sets the longest wait before the first repetition.
+    /// Sets the maximum delay before the first repetition.
     pub fn first_wait(mut self, wait: Duration) -> Self {
         self.first_wait = wait;
         self
     }
 
-    /// Sets the longest wait before any repetition.
+    /// Sets the maximum delay before any repetition.
     pub fn longest_wait(mut self, wait: Duration) -> Self {
         self.longest_wait = wait;
         self
     }
 
-    /// The waits between the attempts.
+    /// Returns the delays between the attempts.
     pub fn waits(self) -> impl Iterator<Item = Duration> + Send {
         let mut rng = StdRng::seed_from_u64(self.seed);
         let repetitions = self.attempts.saturating_sub(1);
         (0..repetitions).map(move |repetition| self.wait(repetition, &mut rng))
     }
 
-    /// The wait before a repetition, the first being number 0.
+    /// Returns the delay before a repetition, the first being number 0.
     pub fn wait(&self, repetition: u32, rng: &mut impl Rng) -> Duration {
         let factor = 2_u32.saturating_pow(repetition.min(20));
         let longest = self.first_wait.saturating_mul(factor);
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,21 +1,21 @@
-//! The store as the project sees it.
+//! The trait for the platform's key-value store and the types of its calls.
 
 use std::{future::Future, time::Duration};
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// The most bytes that the platform takes as one value.
+/// The maximum size of a value in bytes.
 pub const VALUE_LIMIT: usize = 1_000_000;
-/// The most comparisons or steps that the platform takes in one transaction.
+/// The maximum number of comparisons, and of steps, in a transaction.
 pub const STEP_LIMIT: usize = 128;
-/// The bounds of the range that holds every key.
+/// The bounds of the range that contains every key.
 const ALL_KEYS: (Bytes, Bytes) = (Bytes::from_static(&[0]), Bytes::from_static(&[0]));
 
 /// A revision of the whole store. Later writes have higher revisions.
 pub type Revision = i64;
 
-/// A lease of the platform. Keys written under it vanish when it lapses.
+/// A lease of the platform: keys written under it are deleted when it expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseId(pub i64);
 
@@ -37,24 +37,24 @@
 /// The keys that a read or watch covers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyRange {
-    /// Exactly this key.
+    /// Only this key.
     One(String),
-    /// Each key that starts with this text.
+    /// Each key that starts with this string.
     Prefix(String),
-    /// Each key that starts with a text and sorts after another.
+    /// Each key that starts with a string and sorts after another key.
     After {
-        /// What the keys start with.
+        /// The prefix of the keys.
         prefix: String,
-        /// The key after which they begin.
+        /// The key after which the range begins.
         after: String,
     },
-    /// Each key from the first up to, not with, the second.
+    /// Each key from the first one up to, but excluding, the second.
     Between(String, String),
 }
 
 impl KeyRange {
-    /// The first key and the end of the range, as the platform's calls name
-    /// them: no end for one key, a single zero byte for all keys that follow.
+    /// Returns the first key and the end of the range in the form of the platform's
+    /// calls: no end for a single key, a single zero byte for all keys that follow.
     pub fn bounds(&self) -> (Bytes, Bytes) {
         match self {
             KeyRange::One(key) => (key.clone().into(), Bytes::new()),
@@ -66,8 +66,8 @@
     }
 }
 
-/// The first byte string after all that start with `prefix`. Text never holds
-/// the byte 255, so that adding one to its last byte can't overflow.
+/// Returns the first byte string that sorts after all those starting with `prefix`.
+/// Text never contains the byte 255, so adding one to the last byte can't overflow.
 fn prefix_end(prefix: &str) -> Bytes {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
@@ -76,14 +76,14 @@
     end.into()
 }
 
-/// What a read returned.
+/// The result of a read.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeAnswer {
     /// The pairs found, in key order.
     pub pairs: Vec<KeyValue>,
     /// The store's revision when it answered.
     pub revision: Revision,
-    /// Whether the limit cut the answer short.
+    /// Whether the limit truncated the result.
     pub more: bool,
 }
 
@@ -107,7 +107,7 @@
         key: String,
         /// Its new value, 1 MB at most.
         value: Bytes,
-        /// The lease with which the key shall vanish.
+        /// The lease with which the key is deleted.
         lease: Option<LeaseId>,
     },
     /// Deletes a key if it exists.
@@ -115,7 +115,7 @@
 }
 
 impl Write {
-    /// The key that is written.
+    /// Returns the key that is written.
     pub fn key(&self) -> &String {
         match self {
             Write::Put { key, .. } | Write::Delete(key) => key,
@@ -123,20 +123,20 @@
     }
 }
 
-/// A transaction: the writes happen together if every comparison holds.
+/// A transaction: all writes are applied if every comparison holds.
 ///
-/// When one doesn't, the keys in `read_back` are read in the same step.
+/// Otherwise the keys in `read_back` are read in the same step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteBatch {
-    /// All of these must hold.
+    /// The conditions, all of which must hold.
     pub when: Vec<Comparison>,
-    /// Then these are written.
+    /// The writes if all conditions hold.
     pub then: Vec<Write>,
-    /// Otherwise these keys are read.
+    /// The keys to read if a condition fails.
     pub read_back: Vec<String>,
 }
 
-/// What a transaction did.
+/// The result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransactionAnswer {
     /// Everything was written at this revision.
@@ -152,38 +152,38 @@
 
 /// One message of a watch.
 ///
-/// A key that changed more than once since the last message stands here once,
-/// as its last change left it.
+/// A key that changed more than once since the last message occurs once, in its final
+/// state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchBatch {
     /// The pairs written since the last message.
     pub written: Vec<KeyValue>,
     /// The keys deleted since the last message.
     pub deleted: Vec<String>,
-    /// The store's revision up to which the watcher has now seen everything.
+    /// The store's revision up to which the watch has now reported all changes.
     pub revision: Revision,
-    /// The revision of the newest change in this message; 0 without one. Two watches
-    /// may report the same change up to different revisions.
+    /// The revision of the latest change in this message; 0 if there is none. Two
+    /// watches may report the same change up to different revisions.
     pub changed: Revision,
 }
 
-/// Why the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// No byte of the call reached the platform: it has certainly not run.
+    /// The platform couldn't be reached. The call has certainly not run.
     #[error("the platform can't be reached: {0}")]
     Unreachable(String),
-    /// The call was sent and no answer came: a write may have taken effect.
-    #[error("the platform gave no answer: {0}")]
+    /// The call was sent, but no answer arrived: a write may have taken effect.
+    #[error("no answer from the platform: {0}")]
     AnswerLost(String),
-    /// The platform answered with an error of its own.
-    #[error("the platform refused: {0}")]
+    /// The platform rejected the call with an error.
+    #[error("the platform rejected the call: {0}")]
     Rejected(String),
-    /// A watch asked for revisions that the platform no longer has.
-    #[error("the platform dropped history before revision {0}")]
+    /// A watch requested revisions that the platform no longer has.
+    #[error("the platform has compacted the history before revision {0}")]
     Compacted(Revision),
-    /// The lease is unknown to the platform: it lapsed or was revoked.
-    #[error("the lease has lapsed")]
+    /// The platform doesn't know the lease: it expired or was revoked.
+    #[error("the lease has expired")]
     LeaseLapsed,
 }
 
@@ -195,18 +195,18 @@
 
 /// The platform's key-value service.
 pub trait PlatformStore: Clone + Send + Sync + 'static {
-    /// The watch that this store opens.
+    /// The type of watch that this store opens.
     type Watch: WatchStream;
 
-    /// Reads a range of keys, `limit` pairs at most (0 for all).
+    /// Reads a range of keys, at most `limit` pairs (0 for all).
     fn range(
         &self,
         range: KeyRange,
         limit: usize,
     ) -> impl Future<Output = Result<RangeAnswer, StoreError>> + Send;
 
-    /// Reads all keys of a range with their revisions and without values: the
-    /// cheap way to learn whether a view of them is current.
+    /// Reads all keys of a range with their revisions but without their values: a cheap
+    /// way to check whether a view of them is current.
     fn read_keys(
         &self,
         range: KeyRange,
@@ -226,13 +226,13 @@
         batch: WriteBatch,
     ) -> impl Future<Output = Result<TransactionAnswer, StoreError>> + Send;
 
-    /// Grants a lease that lapses `ttl` after its last renewal.
+    /// Requests a lease that expires `ttl` after its last renewal.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, StoreError>> + Send;
 
     /// Renews a lease and returns the time it has left.
     fn renew(&self, lease: LeaseId) -> impl Future<Output = Result<Duration, StoreError>> + Send;
 
-    /// Revokes a lease; its keys vanish.
+    /// Revokes a lease and deletes its keys.
     fn revoke(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>> + Send;
 
     /// Opens a watch that reports all writes from revision `from` on.
--- a/crates/store/src/vms.rs
+++ b/crates/store/src/vms.rs
@@ -6,31 +6,33 @@
 
 use crate::StoreError;
 
-/// What the platform says of a VM.
+/// The state of a VM according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
     /// In service.
     Live,
-    /// On its way out: no new work.
+    /// About to be removed: it gets no new work.
     Leaving,
 }
 
-/// A VM as the platform lists it.
+/// A VM in the platform's list.
 ///
-/// The list lags: a VM can be gone and still be listed, or run and not yet be.
+/// The list lags behind: a VM may be listed after it is gone, or run before it is
+/// listed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// The platform's name for the VM.
+    /// The name that the platform gave the VM.
     pub name: String,
-    /// Its availability zone.
+    /// The VM's availability zone.
     pub zone: String,
-    /// The group it was started in; services name the group that serves them,
-    /// and the daemons are the group `entry`.
+    /// The group that the VM was started in. Services name the group of their servers;
+    /// the group `entry` is that of the daemons.
     pub group: String,
-    /// Where it listens, as `ip:port`. For a daemon this is its peers' door.
+    /// The address at which the VM listens, as `ip:port`. For a daemon this is the
+    /// address for its peers.
     pub address: String,
-    /// Whether it is in service.
+    /// Whether the VM is in service.
     pub state: VmState,
 }
 
--- a/crates/store/src/wire/mod.rs
+++ b/crates/store/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! The JSON shapes of the etcd v3 gateway, as its documentation publishes them.
+//! The JSON messages of the etcd v3 gateway, as its documentation defines them.
 //!
-//! Keys and values are base64, 64-bit numbers are strings, and fields that
-//! hold their default are left out. The client and the stand-in server share
-//! these types; a test of the stand-in compares them with literal JSON.
+//! Keys and values are base64, 64-bit numbers are strings, and fields with their
+//! default value are omitted. The client and the simulated platform of the tests share
+//! these types; a test of the simulated platform compares them with literal JSON.
 
 mod pairs;
 mod streams;
--- a/crates/store/src/wire/pairs.rs
+++ b/crates/store/src/wire/pairs.rs
@@ -1,4 +1,4 @@
-//! Reads, plain writes and leases.
+//! Messages of reads, unconditional writes and leases.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -6,16 +6,16 @@
 
 use super::{Int64, is_default};
 
-/// The head of each answer.
+/// The header of every response.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseHeader {
-    /// The platform's own name for itself.
+    /// The id of the platform's cluster.
     #[serde_as(as = "Int64")]
     #[serde(skip_serializing_if = "is_default")]
     pub cluster_id: u64,
-    /// The member that answered.
+    /// The id of the cluster member that responded.
     #[serde_as(as = "Int64")]
     #[serde(skip_serializing_if = "is_default")]
     pub member_id: u64,
@@ -23,7 +23,7 @@
     #[serde_as(as = "Int64")]
     #[serde(skip_serializing_if = "is_default")]
     pub revision: i64,
-    /// The term of the platform's leader.
+    /// The Raft term of the platform's leader.
     #[serde_as(as = "Int64")]
     #[serde(skip_serializing_if = "is_default")]
     pub raft_term: u64,
@@ -71,16 +71,16 @@
     #[serde_as(as = "Base64")]
     #[serde(skip_serializing_if = "is_default")]
     pub range_end: Bytes,
-    /// The most pairs to return, or 0.
+    /// The maximum number of pairs to return, or 0 for all.
     #[serde_as(as = "Int64")]
     #[serde(skip_serializing_if = "is_default")]
     pub limit: i64,
-    /// Whether to leave the values out.
+    /// Whether to omit the values.
     #[serde(skip_serializing_if = "is_default")]
     pub keys_only: bool,
 }
 
-/// The answer to a [`RangeRequest`].
+/// The response to a [`RangeRequest`].
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
@@ -90,7 +90,7 @@
     /// The pairs found, in key order.
     #[serde(skip_serializing_if = "is_default")]
     pub kvs: Vec<PairMessage>,
-    /// Whether the limit cut the answer short.
+    /// Whether the limit truncated the result.
     #[serde(skip_serializing_if = "is_default")]
     pub more: bool,
     /// How many pairs the range holds.
@@ -117,7 +117,7 @@
     pub lease: i64,
 }
 
-/// An answer that holds a head alone.
+/// A response that consists of a header only.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HeaderResponse {
@@ -139,7 +139,7 @@
     pub range_end: Bytes,
 }
 
-/// The answer to a [`DeleteRangeRequest`].
+/// The response to a [`DeleteRangeRequest`].
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
@@ -157,14 +157,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseMessage {
-    /// The head, in answers.
+    /// The header, in responses only.
     #[serde(skip_serializing_if = "is_default")]
     pub header: ResponseHeader,
     /// The lease; 0 in a request lets the platform choose.
     #[serde(rename = "ID", skip_serializing_if = "is_default")]
     #[serde_as(as = "Int64")]
     pub id: i64,
-    /// Seconds to live; left out for a lease that has lapsed.
+    /// The time to live in seconds; omitted for an expired lease.
     #[serde(rename = "TTL", skip_serializing_if = "is_default")]
     #[serde_as(as = "Int64")]
     pub ttl: i64,
@@ -175,7 +175,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CompactionRequest {
-    /// Revisions before this one lose their history.
+    /// The revision before which the history is discarded.
     #[serde_as(as = "Int64")]
     pub revision: i64,
 }
--- a/crates/store/src/wire/streams.rs
+++ b/crates/store/src/wire/streams.rs
@@ -1,8 +1,8 @@
-//! Streamed answers and errors.
+//! Streamed responses and errors.
 
 use serde::{Deserialize, Serialize};
 
-/// One line of a streamed answer.
+/// One line of a streamed response.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StreamLine<T> {
@@ -15,7 +15,7 @@
 }
 
 impl<T> StreamLine<T> {
-    /// A line with a message.
+    /// Creates a line with a message.
     pub fn of(message: T) -> Self {
         StreamLine {
             result: Some(message),
@@ -24,19 +24,19 @@
     }
 }
 
-/// An error inside a streamed answer.
+/// An error in a streamed response.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StreamError {
     /// The gRPC code.
     pub grpc_code: i32,
-    /// The HTTP status it stands for.
+    /// The HTTP status that corresponds to the gRPC code.
     pub http_code: i32,
     /// What is wrong.
     pub message: String,
 }
 
-/// An error answer.
+/// An error response.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ErrorMessage {
@@ -44,6 +44,6 @@
     pub error: String,
     /// The gRPC code.
     pub code: i32,
-    /// What is wrong, again.
+    /// The same text as in `error`.
     pub message: String,
 }
--- a/crates/store/src/wire/transaction.rs
+++ b/crates/store/src/wire/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions.
+//! Messages of transactions.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
     RangeResponse, ResponseHeader, is_default,
 };
 
-/// What a comparison looks at.
+/// The property of a key that a comparison tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum CompareTarget {
@@ -22,18 +22,18 @@
     Mod,
 }
 
-/// How a comparison's two sides must relate.
+/// How a key's property must relate to the given value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareResult {
-    /// Equal.
+    /// It must be equal.
     #[default]
     Equal,
-    /// The key's number is greater.
+    /// It must be greater.
     Greater,
-    /// The key's number is less.
+    /// It must be less.
     Less,
-    /// Not equal.
+    /// It must differ.
     NotEqual,
 }
 
@@ -42,22 +42,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CompareMessage {
-    /// How the two sides must relate.
+    /// How the property must relate to the given value.
     pub result: CompareResult,
-    /// What to look at.
+    /// The property to test.
     pub target: CompareTarget,
     /// The key.
     #[serde_as(as = "Base64")]
     pub key: Bytes,
-    /// The other side, for [`CompareTarget::Version`].
+    /// The value to compare with, for [`CompareTarget::Version`].
     #[serde_as(as = "Option<Int64>")]
     #[serde(skip_serializing_if = "is_default")]
     pub version: Option<i64>,
-    /// The other side, for [`CompareTarget::Create`].
+    /// The value to compare with, for [`CompareTarget::Create`].
     #[serde_as(as = "Option<Int64>")]
     #[serde(skip_serializing_if = "is_default")]
     pub create_revision: Option<i64>,
-    /// The other side, for [`CompareTarget::Mod`].
+    /// The value to compare with, for [`CompareTarget::Mod`].
     #[serde_as(as = "Option<Int64>")]
     #[serde(skip_serializing_if = "is_default")]
     pub mod_revision: Option<i64>,
@@ -67,28 +67,28 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RequestStep {
-    /// Reads.
+    /// A read.
     #[serde(skip_serializing_if = "is_default")]
     pub request_range: Option<RangeRequest>,
-    /// Writes.
+    /// A write.
     #[serde(skip_serializing_if = "is_default")]
     pub request_put: Option<PutRequest>,
-    /// Deletes.
+    /// A deletion.
     #[serde(skip_serializing_if = "is_default")]
     pub request_delete_range: Option<DeleteRangeRequest>,
 }
 
-/// What one step of a transaction did: exactly one field is set.
+/// The result of one step of a transaction: exactly one field is set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseStep {
-    /// Read.
+    /// The result of a read.
     #[serde(skip_serializing_if = "is_default")]
     pub response_range: Option<RangeResponse>,
-    /// Written.
+    /// The result of a write.
     #[serde(skip_serializing_if = "is_default")]
     pub response_put: Option<HeaderResponse>,
-    /// Deleted.
+    /// The result of a deletion.
     #[serde(skip_serializing_if = "is_default")]
     pub response_delete_range: Option<DeleteRangeResponse>,
 }
@@ -108,16 +108,16 @@
     pub failure: Vec<RequestStep>,
 }
 
-/// The answer to a [`TransactionRequest`].
+/// The response to a [`TransactionRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TransactionResponse {
-    /// The head.
+    /// The header.
     pub header: ResponseHeader,
     /// Whether all conditions held.
     #[serde(skip_serializing_if = "is_default")]
     pub succeeded: bool,
-    /// What the steps did, in order.
+    /// The results of the steps, in order.
     #[serde(skip_serializing_if = "is_default")]
     pub responses: Vec<ResponseStep>,
 }
--- a/crates/store/src/wire/watch.rs
+++ b/crates/store/src/wire/watch.rs
@@ -1,4 +1,4 @@
-//! Watches.
+//! Messages of watches.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -27,11 +27,11 @@
     #[serde_as(as = "Base64")]
     #[serde(skip_serializing_if = "is_default")]
     pub range_end: Bytes,
-    /// The first revision to report; 0 for the next.
+    /// The first revision to report; 0 for changes from now on.
     #[serde_as(as = "Int64")]
     #[serde(skip_serializing_if = "is_default")]
     pub start_revision: i64,
-    /// Whether to report the revision now and then though nothing changed.
+    /// Whether to report the current revision from time to time while nothing changes.
     #[serde(skip_serializing_if = "is_default")]
     pub progress_notify: bool,
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResponse {
-    /// The head.
+    /// The header.
     pub header: ResponseHeader,
     /// Set on the first message.
     #[serde(skip_serializing_if = "is_default")]
@@ -49,7 +49,7 @@
     /// Set on the last message, when the platform ends the watch.
     #[serde(skip_serializing_if = "is_default")]
     pub canceled: bool,
-    /// The oldest revision still there, when the start was older.
+    /// The oldest available revision, if the requested start was older.
     #[serde_as(as = "Int64")]
     #[serde(skip_serializing_if = "is_default")]
     pub compact_revision: i64,
@@ -79,6 +79,6 @@
     /// What happened.
     #[serde(rename = "type", skip_serializing_if = "is_default")]
     pub kind: EventKind,
-    /// To which pair; of a deleted one only key and revision are set.
+    /// The pair that changed; for a deletion only its key and revision are set.
     pub kv: PairMessage,
 }
--- a/crates/store/src/write_once.rs
+++ b/crates/store/src/write_once.rs
@@ -7,20 +7,20 @@
     WriteBatch,
 };
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OnceOutcome {
-    /// It took effect, once, at this revision.
+    /// The write took effect exactly once, at this revision.
     Written(Revision),
-    /// It certainly never took effect: a comparison failed.
+    /// A comparison failed, and the write certainly never took effect.
     Refused {
         /// The pairs of the batch's `read_back` that exist.
         found: Vec<KeyValue>,
         /// The store's revision when it answered.
         revision: Revision,
     },
-    /// It isn't in force now. An answer was lost, and the key has been written
-    /// by somebody else, before our write or after it.
+    /// The write isn't in force now. An answer was lost, and another writer has written
+    /// the key, either before or after this write.
     Overtaken {
         /// The pairs of the batch's `read_back` that exist.
         found: Vec<KeyValue>,
@@ -32,25 +32,25 @@
 /// What to do after an attempt.
 #[derive(Debug)]
 pub enum OnceStep {
-    /// The write is decided.
+    /// The outcome is known.
     Done(Result<OnceOutcome, StoreError>),
-    /// The same batch has to be sent again.
+    /// The same batch must be sent again.
     Again,
 }
 
-/// The write by which a batch is recognised when it is read back.
+/// The write by which a batch is recognised when its keys are read back.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum OwnWrite {
-    /// The key holds this value.
+    /// The key has this value.
     Value(String, Bytes),
-    /// The key is gone.
+    /// The key was deleted.
     Gone(String),
 }
 
 impl OwnWrite {
-    /// A written value if there is one, of a compared key if possible. Only
-    /// when the batch does nothing but delete is a missing key a sign of it:
-    /// somebody else's deletion looks the same.
+    /// Returns the first written value, preferably of a compared key. A missing key
+    /// identifies the batch only if it contains nothing but deletions, since another
+    /// writer's deletion looks the same.
     fn of(batch: &WriteBatch) -> Option<Self> {
         let mut puts = batch.then.iter().filter_map(put_value);
         let guarded_put = puts.clone().find(|(key, _)| is_guarded(batch, key));
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The revision at which the write took effect, if it did and still shows.
+    /// Returns the revision at which the write took effect, if it is still visible.
     fn shows_in(&self, found: &[KeyValue], revision: Revision) -> Option<Revision> {
         let pair = found.iter().find(|it| it.key == *self.key());
         match (self, pair) {
@@ -92,15 +92,15 @@
     batch.when.iter().any(|it| guards(it, key))
 }
 
-/// Whether the batch compares a key that it writes. Once such a batch has
-/// taken effect its comparison fails, and no copy of it that is still under
-/// way can take effect again.
+/// Returns whether the batch compares a key that it writes. Once such a batch has taken
+/// effect its comparison fails, so no copy that is still in flight can take effect
+/// again.
 fn is_repeatable(batch: &WriteBatch) -> bool {
     let mut keys = batch.then.iter().map(Write::key);
     keys.any(|key| is_guarded(batch, key))
 }
 
-/// Whether writing `key` makes this comparison fail from then on.
+/// Returns whether writing `key` makes this comparison fail from then on.
 fn guards(comparison: &Comparison, key: &String) -> bool {
     match comparison {
         Comparison::Absent(guarded) | Comparison::ModifiedAt(guarded, _) => guarded == key,
@@ -108,7 +108,7 @@
     }
 }
 
-/// The deciding part of [`write_once`]: what the answers so far add up to.
+/// The state machine of [`write_once`]: determines the outcome from the answers so far.
 #[derive(Clone, Debug)]
 pub struct OnceProgress {
     own: OwnWrite,
@@ -116,12 +116,16 @@
 }
 
 impl OnceProgress {
-    /// Prepares a batch: its own write is added to what is read back.
-    /// Refuses a batch that could take effect twice.
+    /// Prepares a batch: adds the key that identifies its write to the keys that are
+    /// read back.
+    ///
+    /// # Errors
+    ///
+    /// Rejects a batch that could take effect twice.
     pub fn new(batch: &mut WriteBatch) -> Result<Self, StoreError> {
         let own = OwnWrite::of(batch).filter(|_| is_repeatable(batch));
         let Some(own) = own else {
-            let reason = "the batch compares none of the keys it writes, so it can't be repeated";
+            let reason = "the batch compares none of the keys that it writes, so it can't be repeated safely";
             return Err(StoreError::Rejected(reason.into()));
         };
         if !batch.read_back.contains(own.key()) {
@@ -133,7 +137,7 @@
         })
     }
 
-    /// Takes the result of one attempt.
+    /// Processes the result of one attempt.
     pub fn take(&mut self, result: Result<TransactionAnswer, StoreError>) -> OnceStep {
         match result {
             Ok(TransactionAnswer::Written(revision)) => {
@@ -146,8 +150,8 @@
                 self.answer_lost = true;
                 OnceStep::Again
             }
-            // Not to be reported as it is: an earlier attempt may have taken
-            // effect, and the caller would take "unreachable" for "not run".
+            // This error must not be returned as it is: an earlier attempt may have
+            // taken effect, and the caller would take "unreachable" for "not run".
             Err(_) if self.answer_lost => OnceStep::Again,
             Err(error) => OnceStep::Done(Err(error)),
         }
@@ -164,17 +168,19 @@
     }
 }
 
-/// Runs a transaction and, when its answer is lost, sends it again until an
-/// answer tells whether it took effect.
+/// Runs a transaction and, if its answer is lost, sends it again until an answer shows
+/// whether it took effect.
 ///
-/// Without this a writer that lost an answer either gives up a write that is
-/// in force, or repeats it and takes its own first attempt for somebody
-/// else's. The batch must compare a key that it writes, so that it can't take
-/// effect twice, and the value of that key must be unlike any other writer's:
-/// put the writer's name and a number of its own into it.
+/// Without this, a writer that lost an answer would either give up a write that is in
+/// force, or repeat it and mistake its own first attempt for another writer's. The
+/// batch must compare a key that it writes, so that it can't take effect twice, and the
+/// value of that key must differ from any other writer's: include the writer's name and
+/// a number that is unique to the write.
 ///
-/// [`StoreError::AnswerLost`] means that the write is still undecided after
-/// the last attempt. Any other error means that it never took effect.
+/// # Errors
+///
+/// [`StoreError::AnswerLost`] means that the outcome is still unknown after the last
+/// attempt. After any other error the write never took effect.
 pub async fn write_once<S: PlatformStore>(
     store: &S,
     mut batch: WriteBatch,
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A platform for tests, behind either implementation of its traits.
+//! A simulated platform for tests, accessed through either implementation of the store.
 
 #![allow(
     dead_code,
@@ -19,14 +19,14 @@
 };
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// How long a call may take that shall get its answer, on a busy machine too.
+/// The timeout of calls that should be answered, long enough for a busy machine.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a call may take that shall get no answer.
+/// The timeout of calls that should not be answered.
 pub const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Far beyond [`SHORT_TIMEOUT`].
+/// A delay of the platform that far exceeds [`SHORT_TIMEOUT`].
 pub const SLOW: Duration = Duration::from_secs(2);
 
-/// A client, the state behind it, and what keeps the server between them.
+/// A client, the simulated platform's state, and the guard that stops its server.
 pub struct TestBed<S> {
     pub store: S,
     pub platform: SharedPlatform,
@@ -65,7 +65,7 @@
     GatewaySettings::new(base_url).call_timeout(CALL_TIMEOUT)
 }
 
-/// A client that gives up soon.
+/// Returns a client with a short timeout.
 pub fn impatient(base_url: &str) -> GatewayStore {
     let settings = settings(base_url).call_timeout(SHORT_TIMEOUT);
     GatewayStore::new(settings, NoCounts)
@@ -75,7 +75,7 @@
     GatewayVmList::new(settings(base_url), NoCounts)
 }
 
-/// Runs each check against both implementations of the platform.
+/// Runs each test against both implementations of the store.
 #[macro_export]
 macro_rules! on_both_stores {
     ($($check:ident),* $(,)?) => {
@@ -95,7 +95,7 @@
     };
 }
 
-/// Few attempts in quick succession.
+/// A retry policy with few attempts and short delays.
 pub fn quick_pace() -> RetryPace {
     RetryPace::new(7)
         .attempts(4)
@@ -130,7 +130,7 @@
     }
 }
 
-/// Writes without a condition and returns the revision.
+/// Writes unconditionally and returns the revision.
 pub async fn write(store: &impl PlatformStore, then: Vec<Write>) -> i64 {
     match store.transact(batch(Vec::new(), then)).await.unwrap() {
         TransactionAnswer::Written(revision) => revision,
--- a/crates/store/tests/fenced_lease.rs
+++ b/crates/store/tests/fenced_lease.rs
@@ -1,4 +1,5 @@
-//! Leases whose holders are paused, cut off or late.
+//! Fenced leases whose holders are paused, cut off or restarted, and whose answers are
+//! late or lost.
 
 #![allow(
     clippy::panic,
@@ -72,14 +73,14 @@
     assert!(second.fence > fence);
 }
 
-/// A daemon is paused past its lease, and another takes the work over. When
-/// the first wakes it still believes that the work is its own; what it writes
-/// would stand beside, or in place of, the new holder's results.
+/// A daemon is paused past the end of its lease, and another takes over its work. When
+/// the first resumes it assumes that it still holds the lease; its writes must not be
+/// stored beside, or replace, the new holder's results.
 async fn a_paused_holder_finds_out_that_its_lease_lapsed<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let paused = hold(store, "a", START).await;
     assert!(paused.is_valid(START + SPAN * 8 / 10));
-    // The holder stops on its own clock while the platform still waits.
+    // The lease has ended by the holder's clock, but not yet on the platform.
     let pause = SPAN * 9 / 10;
     bed.platform.advance(pause);
     assert!(!paused.is_valid(START + pause));
@@ -122,8 +123,8 @@
     assert_matches!(written, TransactionAnswer::Written(_));
 }
 
-/// The platform is down while a lease is to be renewed. The holder must
-/// neither stop at once nor go on past the term it knows of.
+/// The platform is down when a lease should be renewed. The holder must neither stop at
+/// once nor continue past the term that it knows of.
 async fn a_renewal_without_an_answer_leaves_the_old_term<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let mut lease = hold(store, "a", START).await;
@@ -143,12 +144,12 @@
     assert!(lease.is_valid(START + SPAN));
 }
 
-/// Answers are lost while a daemon claims a piece of work. It must not believe
-/// that it holds what it doesn't, and what it doesn't know it holds must not
-/// stay locked.
+/// Answers are lost while a daemon claims a lease. It must not assume that it holds a
+/// lease that it doesn't, and a lease that it doesn't know it holds must not stay
+/// locked.
 async fn a_claim_whose_answer_is_lost_is_held_or_given_back<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
-    // The answer to the grant, then to the claim, then to all claims.
+    // The lost answers: that to the grant, that to the claim, those to all claims.
     for (answer, lost, held) in [(0, 1, false), (1, 1, true), (1, 4, false)] {
         let faults = LostAnswers::Later { answer, lose: lost };
         bed.platform.change_faults(lose(faults));
@@ -176,8 +177,8 @@
     assert_ne!(held[0], held[1]);
 }
 
-/// A daemon loses its process, is started again under its old name, and meets
-/// its own lease. What the old process had under way must not count as its own.
+/// A daemon is restarted under its old name and finds its own lease. Writes that the
+/// old process had in flight must not count as the new one's.
 async fn a_restarted_holder_is_no_longer_the_old_one<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let old = hold(store, "a", START).await;
@@ -192,8 +193,9 @@
     assert_matches!(late, TransactionAnswer::Refused { .. });
 }
 
-/// The platform takes three seconds to grant a lease. Counted from the answer,
-/// the holder would go on for three seconds after the platform let others in.
+/// The platform takes three seconds to grant a lease. If the term were counted from the
+/// answer, the holder would continue for three seconds after the platform admitted
+/// others.
 #[test]
 fn a_term_counts_from_before_the_call() {
     let answered = START + Duration::from_secs(3);
@@ -202,7 +204,7 @@
     let mut term = term;
     term.renew(answered, SPAN);
     assert!(term.is_valid(answered + Duration::from_secs(8)));
-    // The answer to an earlier renewal comes in later.
+    // The answer to an earlier renewal arrives later.
     term.renew(START + Duration::from_secs(1), SPAN);
     assert!(term.is_valid(answered + Duration::from_secs(8)));
     term.end();
--- a/crates/store/tests/renewed_watch.rs
+++ b/crates/store/tests/renewed_watch.rs
@@ -1,4 +1,4 @@
-//! A watch that hangs is opened anew.
+//! A stalled watch is reopened.
 
 #![allow(clippy::unwrap_used, reason = "tests end where something is missing")]
 
@@ -12,7 +12,7 @@
     TransactionAnswer, WatchBatch, WatchStream, WriteBatch,
 };
 
-/// A store of which each second watch hangs: it stands, and its messages are lost.
+/// A store of which every other watch stalls: it is open, but its messages are lost.
 #[derive(Clone, Debug, Default)]
 struct HangingStore {
     /// The revisions from which watches were opened.
@@ -21,7 +21,7 @@
 
 #[derive(Debug)]
 struct HangingWatch {
-    /// What it says first; nothing where it hangs.
+    /// The revision that the first message reports; none if the watch stalls.
     first: Option<Revision>,
 }
 
@@ -38,7 +38,7 @@
 }
 
 fn unused<T>() -> Result<T, StoreError> {
-    Err(StoreError::Rejected("not used here".to_owned()))
+    Err(StoreError::Rejected("unused by this test".to_owned()))
 }
 
 impl PlatformStore for HangingStore {
@@ -74,8 +74,8 @@
     }
 }
 
-/// The messages of a watch are lost while its connection stands. Lots that were accepted
-/// since, and requests that crash servers, stayed unknown to the daemon for ever.
+/// A watch's messages are lost while its connection is up. A daemon would then never
+/// learn of lots accepted since, or of requests that crash servers.
 #[tokio::test(start_paused = true)]
 async fn a_watch_hangs_while_its_connection_stands() {
     let store = HangingStore::default();
--- a/crates/store/tests/store_contract.rs
+++ b/crates/store/tests/store_contract.rs
@@ -1,4 +1,4 @@
-//! What every implementation of the store does alike.
+//! Behaviour that all implementations of the store share.
 
 #![allow(
     clippy::panic,
--- a/crates/store/tests/store_faults.rs
+++ b/crates/store/tests/store_faults.rs
@@ -1,4 +1,4 @@
-//! What callers are told when the platform fails.
+//! The errors that callers get when the platform fails.
 
 #![allow(
     clippy::panic,
@@ -33,8 +33,8 @@
     the_platform_counts_calls,
 );
 
-/// The platform is down. A caller whose write failed may be told that it
-/// didn't run only if that stays true once the platform is back.
+/// The platform is down. A caller may only be told that its write didn't run if that
+/// stays true once the platform is back.
 async fn an_outage_fails_calls_and_writes_nothing<S: PlatformStore>(bed: TestBed<S>) {
     bed.platform.change_faults(outage(true));
     let result = bed.store.transact(batch(vec![], vec![put("k", "")])).await;
@@ -48,8 +48,8 @@
     assert_eq!(value_of(&bed.store, "k").await, None);
 }
 
-/// A write takes effect and its answer is lost on the way. A caller told that
-/// it failed would do the work a second time.
+/// A write takes effect and its answer is lost. A caller told that it failed would do
+/// the work a second time.
 async fn a_lost_answer_is_no_refusal<S: PlatformStore>(bed: TestBed<S>) {
     bed.platform.change_faults(lose(LostAnswers::Next(1)));
     let result = bed.store.transact(batch(vec![], vec![put("k", "v")])).await;
@@ -80,8 +80,8 @@
     }
 }
 
-/// The platform answers slowly and a daemon stops waiting. The write takes
-/// effect after that, though a read in between shows nothing of it.
+/// The platform answers slowly and a daemon's call times out. The write takes effect
+/// afterwards, though a read in between doesn't show it.
 #[tokio::test]
 async fn a_slow_write_takes_effect_after_its_caller_gave_up() {
     let bed = gateway_bed().await;
@@ -94,8 +94,8 @@
     wait_for_value(&bed.store, "k", "v").await;
 }
 
-/// Nothing listens at the platform's address: no byte can have left, and only
-/// then may a caller be told so.
+/// Nothing listens at the platform's address. Only in such a case, when no byte can
+/// have been sent, may a caller be told that the platform is unreachable.
 #[tokio::test]
 async fn a_closed_port_is_unreachable() {
     let listener = bind(([127, 0, 0, 1], 0).into()).await.unwrap();
@@ -110,7 +110,7 @@
     assert_matches!(result, Err(StoreError::Unreachable(_)));
 }
 
-/// The platform accepts the connection, and then nothing comes.
+/// The platform accepts the connection and then sends nothing.
 #[tokio::test]
 async fn a_silent_platform_has_lost_the_answer() {
     let listener = bind(([127, 0, 0, 1], 0).into()).await.unwrap();
@@ -124,7 +124,7 @@
     assert_matches!(result, Err(StoreError::AnswerLost(_)));
 }
 
-/// A server that gives every request the same answer.
+/// Starts a server that gives every request the same response.
 async fn answering(status: u16, body: &'static str) -> (GatewayStore, DropGuard) {
     let listener = bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let base_url = format!("http://{}", listener.local_addr().unwrap());
@@ -140,9 +140,9 @@
     (store, stop.drop_guard())
 }
 
-/// The platform changes its leader while it handles a write and answers with
-/// an error, yet the write may stand. Only errors that rule this out may be
-/// passed on as refusals.
+/// The platform changes its leader while it handles a write and answers with an error,
+/// yet the write may have taken effect. Only errors that rule this out may be returned
+/// as rejections.
 #[tokio::test]
 async fn only_certain_errors_are_refusals() {
     let cases = [
@@ -180,7 +180,7 @@
     assert_matches!(result, Err(StoreError::AnswerLost(_)));
 }
 
-/// What a test's counter noted.
+/// Records the calls and open watches that a client reports.
 #[derive(Clone, Default)]
 struct NotedCounts {
     calls: Arc<Mutex<Vec<(StoreCall, CallEnd)>>>,
@@ -233,7 +233,7 @@
     }
 }
 
-/// A VM goes, and the list still shows it in service for a while.
+/// A VM is removed, and the list still shows it in service for a while.
 async fn the_vm_list_lags(platform: SharedPlatform, list: impl VmList) {
     let before = vec![listed("a", VmState::Live), listed("b", VmState::Live)];
     platform.set_vms(before.clone());
@@ -266,8 +266,9 @@
     the_vm_list_lags(bed.platform.clone(), list).await;
 }
 
-/// The list of a whole fleet is long, and read each second by each daemon. Sent
-/// whole each time, it would take most of what a daemon may spend on control.
+/// The list of a whole fleet is long, and each daemon reads it every second. Sent in
+/// full each time, it would take most of the bandwidth that a daemon may spend on
+/// control traffic.
 #[tokio::test]
 async fn an_unchanged_vm_list_is_not_sent_again() {
     let bed = gateway_bed().await;
--- a/crates/store/tests/watch_contract.rs
+++ b/crates/store/tests/watch_contract.rs
@@ -1,4 +1,4 @@
-//! What every implementation of the watch does alike.
+//! Behaviour that all implementations of the watch share.
 
 #![allow(
     clippy::panic,
@@ -19,7 +19,8 @@
 
 use common::{TestBed, outage, prefix, put, write};
 
-/// Longer than anything here takes, so that a hang shows as a failure.
+/// A timeout longer than any step of these tests, so that a hang is reported as a
+/// failure.
 const PATIENCE: Duration = Duration::from_secs(5);
 
 on_both_stores!(
@@ -33,7 +34,7 @@
     a_held_watch_reports_later,
 );
 
-/// The next message that reports a change; progress alone isn't one.
+/// Returns the next message that reports a change, skipping progress messages.
 async fn next_change(watch: &mut impl WatchStream) -> Result<WatchBatch, StoreError> {
     let change = async {
         loop {
@@ -83,8 +84,8 @@
     assert_eq!(batch.deleted, ["a"]);
 }
 
-/// A watch's connection breaks, and settings change before its reader has
-/// opened another. An operator would see a daemon that never takes the change.
+/// A watch's connection breaks, and settings change before its reader has opened
+/// another. The daemon must not miss the change.
 async fn a_watch_resumes_without_a_gap<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let first = write(store, vec![put("k", "1")]).await;
@@ -120,15 +121,15 @@
     assert_eq!(batch.revision, written + 1);
 }
 
-/// A daemon was away for so long that the platform has dropped the history it
-/// missed. Resuming as if nothing had happened would leave it with settings
-/// that were changed long ago.
+/// A daemon was disconnected for so long that the platform has dropped the history that
+/// it missed. If it resumed as if nothing had happened, it would keep settings that
+/// were changed long ago.
 async fn a_watch_behind_the_history_says_so<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let missed = write(store, vec![put("k", "1")]).await;
     let kept = write(store, vec![put("k", "2")]).await;
     bed.platform.compact();
-    // The platform may say so at once or with the first message.
+    // The platform may report it at once or with the first message.
     let error = match store.watch(prefix(""), missed).await {
         Ok(mut watch) => next_change(&mut watch).await.unwrap_err(),
         Err(error) => error,
@@ -184,9 +185,9 @@
     });
 }
 
-/// The platform writes on while it sends old events, so that the head of a
-/// message is ahead of them. A reader that resumed after the head's revision
-/// would miss what lies between.
+/// The platform continues writing while it sends old events, so that the revision in a
+/// message's header is ahead of them. A reader that resumed after that revision would
+/// miss the changes in between.
 #[test]
 fn a_message_counts_as_seen_up_to_its_last_event() {
     let json = serde_json::json!({
--- a/crates/store/tests/write_once.rs
+++ b/crates/store/tests/write_once.rs
@@ -35,9 +35,9 @@
     batch(vec![absent(key)], vec![put(key, value)])
 }
 
-/// The platform takes a write and its answer is lost. Sent again, the write
-/// meets its own first attempt; a caller that takes this for another writer
-/// reports a conflict though its change is in force.
+/// The platform applies a write and its answer is lost. Sent again, the write conflicts
+/// with its own first attempt; a caller that takes this for another writer's would
+/// report a conflict although its change is in force.
 async fn a_lost_answer_is_read_back<S: PlatformStore>(bed: TestBed<S>) {
     for lost in 1..4 {
         let key = format!("k{lost}");
@@ -76,8 +76,8 @@
     assert_eq!(value_of(&bed.store, "k").await, None);
 }
 
-/// Two operators change the same thing at the same time while answers are
-/// lost. If both were told that they won, one change would vanish silently.
+/// Two operators change the same key at the same time while answers are lost. If both
+/// were told that they succeeded, one change would vanish silently.
 async fn one_of_two_racing_writers_wins<S: PlatformStore>(bed: TestBed<S>) {
     for lost in 0..6 {
         let key = format!("k{lost}");
@@ -104,9 +104,9 @@
     assert_eq!(value_of(&bed.store, "k").await, None);
 }
 
-/// The platform is slow, the writer gives up waiting and sends its write
-/// again, and the first copy arrives after the second. Were both to take
-/// effect, the later copy would undo what others wrote in between.
+/// The platform is slow, the writer times out and sends its write again, and the first
+/// copy arrives after the second. If both took effect, the late copy would undo what
+/// others wrote in between.
 #[tokio::test]
 async fn a_copy_that_arrives_late_has_no_effect() {
     let bed = gateway_bed().await;
@@ -137,8 +137,8 @@
     Ok(TransactionAnswer::Refused { found, revision: 9 })
 }
 
-/// The first attempt's answer is lost, then the platform can't be reached at
-/// all. "Unreachable" would tell the caller that nothing ran.
+/// The first attempt's answer is lost, then the platform can't be reached at all.
+/// Reported as "unreachable", the caller would assume that nothing ran.
 #[test]
 fn an_outage_after_a_lost_answer_is_no_proof_of_not_run() {
     let mut progress = OnceProgress::new(&mut create("k", "mine")).unwrap();
@@ -154,8 +154,8 @@
     assert_matches!(step, OnceStep::Done(Err(StoreError::Unreachable(_))));
 }
 
-/// An answer is lost, and by the next attempt somebody else has written the
-/// key. Nobody can say whether ours was in force for a moment.
+/// An answer is lost, and by the next attempt another writer has written the key. It is
+/// unknown whether this write was in force for a moment.
 #[test]
 fn a_key_overwritten_after_a_lost_answer_is_told_as_overtaken() {
     let mut progress = OnceProgress::new(&mut create("k", "mine")).unwrap();
@@ -169,8 +169,8 @@
     assert_eq!(found[0].value, "theirs");
 }
 
-/// Somebody else deletes the key that our batch would have deleted beside a
-/// write. The missing key must not pass for a sign that our write is there.
+/// Another writer deletes a key that the batch would have deleted beside its write. The
+/// missing key must not be taken as proof that the batch took effect.
 #[test]
 fn a_missing_key_is_no_sign_of_a_batch_that_also_writes() {
     let when = vec![Comparison::ModifiedAt("k".into(), 4)];
@@ -182,8 +182,8 @@
     assert_matches!(step, OnceStep::Done(Ok(OnceOutcome::Overtaken { .. })));
 }
 
-/// A batch that may take effect twice: its repetition could undo a change that
-/// somebody made in between.
+/// A batch could take effect twice, and its repetition would undo a change that another
+/// writer made in between.
 #[test]
 fn a_batch_that_compares_nothing_it_writes_is_rejected() {
     let cases = [
