--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -109,7 +109,7 @@
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
-                _ = reload.recv() => check_again(path.clone()),
+                _ = reload.recv() => check_reloaded_settings(path.clone()),
             }
         }
         stop.cancel();
@@ -120,9 +120,11 @@
 /// Checks the settings file on SIGHUP and logs its errors now. A changed file only
 /// takes effect at the next start, since addresses and names can't change while the
 /// daemon runs.
-fn check_again(path: Option<PathBuf>) {
+fn check_reloaded_settings(path: Option<PathBuf>) {
     match read_settings(path) {
-        Ok(settings) => log::info!(name = settings.name; "node: settings file checked; changes apply at the next start"),
+        Ok(settings) => {
+            log::info!(name = settings.name; "node: settings file checked; changes apply at the next start")
+        }
         Err(error) => log::error!(error:% = format!("{error:#}"); "node: invalid settings file"),
     }
 }
@@ -132,7 +134,8 @@
     let Some(path) = path else {
         bail!("no settings file: pass --settings or set {SETTINGS_VARIABLE}");
     };
-    let text = std::fs::read(&path).with_context(|| format!("failed to read {}", path.display()))?;
+    let text =
+        std::fs::read(&path).with_context(|| format!("failed to read {}", path.display()))?;
     NodeSettings::check(&text).map_err(|findings| {
         let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
         anyhow::anyhow!("{}:\n{}", path.display(), lines.join("\n"))
--- a/crates/settings/src/change_history.rs
+++ b/crates/settings/src/change_history.rs
@@ -6,15 +6,15 @@
 use crate::SettingsDifference;
 
 /// The maximum number of changes in a history.
-const KEPT_CHANGES: usize = 50;
+const MAX_CHANGES: usize = 50;
 /// The maximum number of differences stored with a change.
-const KEPT_DIFFERENCES: usize = 20;
+const MAX_DIFFERENCES: usize = 20;
 /// The maximum number of characters stored of a value.
-const KEPT_CHARACTERS: usize = 100;
+const MAX_VALUE_CHARACTERS: usize = 100;
 /// The maximum size of a history in bytes. The platform accepts values of up to one
 /// megabyte, and the history is written in the same transaction as the settings
 /// themselves.
-const HISTORY_BYTES: usize = 200_000;
+const MAX_HISTORY_BYTES: usize = 200_000;
 
 /// One change of a team's settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,8 +38,8 @@
     /// to the limits of a history.
     pub fn differ(mut self, before: &Value, after: &Value) -> Self {
         let mut differences = SettingsDifference::between(before, after);
-        self.more = differences.len().saturating_sub(KEPT_DIFFERENCES);
-        differences.truncate(KEPT_DIFFERENCES);
+        self.more = differences.len().saturating_sub(MAX_DIFFERENCES);
+        differences.truncate(MAX_DIFFERENCES);
         for difference in &mut differences {
             shorten(&mut difference.place);
             shorten(&mut difference.before);
@@ -51,7 +51,7 @@
 }
 
 fn shorten(text: &mut String) {
-    if let Some((index, _)) = text.char_indices().nth(KEPT_CHARACTERS) {
+    if let Some((index, _)) = text.char_indices().nth(MAX_VALUE_CHARACTERS) {
         text.truncate(index);
         text.push('…');
     }
@@ -71,10 +71,10 @@
     /// Adds a change and drops the oldest ones beyond the limits of a history.
     pub fn add(&mut self, change: SettingsChange) {
         self.changes.push(change);
-        let excess = self.changes.len().saturating_sub(KEPT_CHANGES);
+        let excess = self.changes.len().saturating_sub(MAX_CHANGES);
         self.changes.drain(..excess);
         let mut bytes: usize = self.changes.iter().map(size_of_change).sum();
-        while bytes > HISTORY_BYTES && self.changes.len() > 1 {
+        while bytes > MAX_HISTORY_BYTES && self.changes.len() > 1 {
             bytes -= size_of_change(&self.changes.remove(0));
         }
     }
--- a/crates/settings/src/check_daemon.rs
+++ b/crates/settings/src/check_daemon.rs
@@ -6,11 +6,11 @@
 
 use crate::{
     DaemonSettings, FindingList, LogFormat, LogSettings, PlatformSettings, check_team::parse,
-    doubled_fields::find_doubled_fields, object_reader::ObjectReader,
+    duplicate_fields::find_duplicate_fields, object_reader::ObjectReader,
 };
 
 /// The minimum length of the operators' token in bytes; shorter ones can be guessed.
-const SHORTEST_TOKEN: usize = 16;
+const MIN_TOKEN_LENGTH: usize = 16;
 
 impl DaemonSettings {
     /// Parses a daemon's settings file from JSON and checks all of it.
@@ -19,16 +19,16 @@
             "write ip:port, such as \"10.0.0.5:8080\"; port 0 lets the system choose";
         let value = parse(text)?;
         let mut findings = FindingList::default();
-        find_doubled_fields(text, &mut findings);
-        let nowhere = ([0, 0, 0, 0], 0).into();
+        find_duplicate_fields(text, &mut findings);
+        let unspecified = ([0, 0, 0, 0], 0).into();
         let mut reader = ObjectReader::new(&value, String::new(), &mut findings);
         let settings = DaemonSettings {
             name: reader.name("name"),
             region: reader.name("region"),
             zone: reader.name("zone"),
-            callers: reader.parsed("callers", ADDRESS).unwrap_or(nowhere),
-            operators: reader.parsed("operators", ADDRESS).unwrap_or(nowhere),
-            peers: reader.parsed("peers", ADDRESS).unwrap_or(nowhere),
+            callers: reader.parse("callers", ADDRESS).unwrap_or(unspecified),
+            operators: reader.parse("operators", ADDRESS).unwrap_or(unspecified),
+            peers: reader.parse("peers", ADDRESS).unwrap_or(unspecified),
             platform: read_platform(&mut reader),
             data_folder: reader
                 .optional_text("data_folder", "write a path")
@@ -45,17 +45,17 @@
 }
 
 fn read_token(reader: &mut ObjectReader<'_, '_>) -> String {
-    let fix = format!("write a secret of {SHORTEST_TOKEN} characters or more");
+    let fix = format!("write a secret of {MIN_TOKEN_LENGTH} characters or more");
     let token = reader.text("operators_token", &fix);
-    if !token.is_empty() && token.len() < SHORTEST_TOKEN {
-        reader.find("operators_token", "is too short", fix);
+    if !token.is_empty() && token.len() < MIN_TOKEN_LENGTH {
+        reader.add_finding("operators_token", "is too short", fix);
     }
     token
 }
 
 fn read_platform(reader: &mut ObjectReader<'_, '_>) -> PlatformSettings {
     const FIX: &str = "write a base address, such as \"http://10.0.0.2:2379\"";
-    let nothing = &Value::Null;
+    let null = &Value::Null;
     let value = reader.required("platform", "write {\"store\": …, \"vm_list\": …}");
     if value.is_none() {
         return PlatformSettings {
@@ -64,12 +64,12 @@
         };
     }
     let place = reader.place_of("platform");
-    let mut inner = ObjectReader::new(value.unwrap_or(nothing), place, reader.findings());
+    let mut inner = ObjectReader::new(value.unwrap_or(null), place, reader.findings());
     let store = inner.text("store", FIX);
     let vm_list = inner.text("vm_list", FIX);
     for (field, address) in [("store", &store), ("vm_list", &vm_list)] {
         if !address.is_empty() && !address.starts_with("http://") {
-            inner.find(field, "is not an http address", FIX);
+            inner.add_finding(field, "is not an http address", FIX);
         }
     }
     inner.finish();
@@ -90,7 +90,7 @@
         None | Some("text") => LogFormat::Text,
         Some("json") => LogFormat::Json,
         Some(_) => {
-            inner.find(
+            inner.add_finding(
                 "format",
                 "is not a log format",
                 "write \"text\" or \"json\"",
@@ -101,7 +101,7 @@
     let fix = format!("write one of {}", LEVELS.join(", "));
     let level = inner.optional_text("level", &fix);
     if level.as_deref().is_some_and(|it| !LEVELS.contains(&it)) {
-        inner.find("level", "is not a log level", fix);
+        inner.add_finding("level", "is not a log level", fix);
     }
     inner.finish();
     LogSettings { format, level }
--- a/crates/settings/src/check_team.rs
+++ b/crates/settings/src/check_team.rs
@@ -5,24 +5,24 @@
 use crate::{
     CustomerSettings, CutPolicy, FindingList, KeySettings, ServiceKind, ServiceSettings,
     TeamSettings,
-    doubled_fields::find_doubled_fields,
-    object_reader::{ObjectReader, shown},
+    duplicate_fields::find_duplicate_fields,
+    object_reader::{ObjectReader, describe},
 };
 
 /// The maximum rate of a customer, in requests per second.
-const HIGHEST_RATE: f64 = 1_000_000.0;
+const MAX_RATE: f64 = 1_000_000.0;
 /// The maximum burst of a customer, in requests.
-const LARGEST_BURST: u64 = 1_000_000;
+const MAX_BURST: u64 = 1_000_000;
 /// The maximum weight of a customer.
-const GREATEST_WEIGHT: f64 = 1000.0;
+const MAX_WEIGHT: f64 = 1000.0;
 /// The maximum timeout of a service's requests, in milliseconds: one hour.
-const LONGEST_TIMEOUT_MS: u64 = 3_600_000;
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 /// The minimum for `refuse_after`, the maximum age of a view, in seconds. A view is up
 /// to 3 s old in normal operation; with a lower limit callers would be rejected without
 /// any failure. See `docs/FRESHNESS.md`.
-const SHORTEST_REFUSE_AFTER: u64 = 5;
+const MIN_REFUSE_AFTER_SECONDS: u64 = 5;
 /// The maximum for `refuse_after`, in seconds: one day.
-const LONGEST_REFUSE_AFTER: u64 = 86_400;
+const MAX_REFUSE_AFTER_SECONDS: u64 = 86_400;
 /// The default of `timeout_ms`.
 const DEFAULT_TIMEOUT_MS: u64 = 120_000;
 
@@ -39,7 +39,7 @@
     pub fn check(text: &[u8]) -> Result<TeamSettings, FindingList> {
         let value = parse(text)?;
         let mut findings = FindingList::default();
-        find_doubled_fields(text, &mut findings);
+        find_duplicate_fields(text, &mut findings);
         let mut reader = ObjectReader::new(&value, String::new(), &mut findings);
         let customers = reader.list("customers");
         let customers = customers
@@ -56,7 +56,7 @@
             customers,
             services,
         };
-        settings.find_doubles(&mut findings);
+        settings.find_duplicates(&mut findings);
         findings.or_value(settings)
     }
 
@@ -72,9 +72,9 @@
     ) -> FindingList {
         let mut findings = FindingList::default();
         for (team, other) in others {
-            let theirs = other.claims();
-            for (place, kind, claimed) in self.claims() {
-                if theirs.iter().any(|it| clash(kind, claimed, it.1, it.2)) {
+            let theirs = other.unique_values();
+            for (place, kind, claimed) in self.unique_values() {
+                if theirs.iter().any(|it| conflicts(kind, claimed, it.1, it.2)) {
                     let problem = format!("team {team} already has this {kind}");
                     findings.add(place, problem, "choose another one");
                 }
@@ -83,10 +83,10 @@
         findings
     }
 
-    fn find_doubles(&self, findings: &mut FindingList) {
-        let claims = self.claims();
-        for (index, (place, kind, claimed)) in claims.iter().enumerate() {
-            let first = claims[..index]
+    fn find_duplicates(&self, findings: &mut FindingList) {
+        let unique_values = self.unique_values();
+        for (index, (place, kind, claimed)) in unique_values.iter().enumerate() {
+            let first = unique_values[..index]
                 .iter()
                 .find(|it| it.1 == *kind && it.2 == *claimed);
             if let Some(first) = first {
@@ -97,38 +97,38 @@
     }
 
     /// Returns every value that only one team may have, as (place, kind, value).
-    fn claims(&self) -> Vec<(String, &'static str, &str)> {
-        let mut claims = Vec::new();
+    fn unique_values(&self) -> Vec<(String, &'static str, &str)> {
+        let mut unique_values = Vec::new();
         for (at, customer) in self.customers.iter().enumerate() {
             let place = format!("customers[{at}]");
-            claims.push((format!("{place}.name"), "customer", customer.name.as_str()));
+            unique_values.push((format!("{place}.name"), "customer", customer.name.as_str()));
             for (at, key) in customer.keys.iter().enumerate() {
                 let place = format!("{place}.keys[{at}].sha256");
-                claims.push((place, "key", key.sha256.as_str()));
+                unique_values.push((place, "key", key.sha256.as_str()));
             }
         }
         for (at, service) in self.services.iter().enumerate() {
             let place = format!("services[{at}]");
-            claims.push((format!("{place}.name"), "service", service.name.as_str()));
+            unique_values.push((format!("{place}.name"), "service", service.name.as_str()));
             match &service.kind {
                 ServiceKind::Engine { models } => {
                     for (at, model) in models.iter().enumerate() {
                         let place = format!("{place}.kind.engine.models[{at}]");
-                        claims.push((place, "model", model.as_str()));
+                        unique_values.push((place, "model", model.as_str()));
                     }
                 }
                 ServiceKind::Plain { prefix } => {
                     let place = format!("{place}.kind.plain.prefix");
-                    claims.push((place, "prefix", prefix.trim_end_matches('/')));
+                    unique_values.push((place, "prefix", prefix.trim_end_matches('/')));
                 }
             }
         }
-        claims
+        unique_values
     }
 }
 
 /// Returns whether two teams can't both have these values.
-fn clash(kind: &str, mine: &str, other_kind: &str, theirs: &str) -> bool {
+fn conflicts(kind: &str, mine: &str, other_kind: &str, theirs: &str) -> bool {
     if kind != other_kind {
         return false;
     }
@@ -157,9 +157,9 @@
 fn read_customer(value: &Value, place: String, findings: &mut FindingList) -> CustomerSettings {
     let mut reader = ObjectReader::new(value, place, findings);
     let name = reader.name("name");
-    let rate = reader.number("rate", None, 0.0..=HIGHEST_RATE, "requests a second");
-    let burst = reader.whole("burst", None, 1..=LARGEST_BURST, "requests");
-    let weight = reader.number("weight", Some(1.0), 0.001..=GREATEST_WEIGHT, "parts");
+    let rate = reader.number("rate", None, 0.0..=MAX_RATE, "requests a second");
+    let burst = reader.integer("burst", None, 1..=MAX_BURST, "requests");
+    let weight = reader.number("weight", Some(1.0), 0.001..=MAX_WEIGHT, "parts");
     let keys: Vec<KeySettings> = reader
         .list("keys")
         .into_iter()
@@ -168,11 +168,11 @@
     for (at, key) in keys.iter().enumerate() {
         if keys[..at].iter().any(|it| it.name == key.name) {
             let place = format!("keys[{at}].name");
-            reader.find(&place, "is used twice", "choose another name");
+            reader.add_finding(&place, "is used twice", "choose another name");
         }
     }
     let when_cut = read_cut_policy(&mut reader);
-    let lots_may_delay_live = reader.flag("lots_may_delay_live");
+    let lots_may_delay_live = reader.boolean("lots_may_delay_live");
     reader.finish();
     let burst = u32::try_from(burst).unwrap_or(u32::MAX);
     CustomerSettings {
@@ -195,7 +195,7 @@
     if !sha256.is_empty() && (sha256.len() != 64 || !sha256.chars().all(is_hex)) {
         // The value isn't printed: an operator may have entered the key itself instead
         // of its hash.
-        reader.find("sha256", "is not a SHA-256 hash", FIX);
+        reader.add_finding("sha256", "is not a SHA-256 hash", FIX);
     }
     reader.finish();
     KeySettings { name, sha256 }
@@ -210,16 +210,20 @@
         Value::String(word) if word == "serve" => CutPolicy::Serve,
         Value::Object(fields) if fields.len() == 1 && fields.contains_key("refuse_after") => {
             let place = reader.place_of("when_cut.refuse_after");
-            let bounds = SHORTEST_REFUSE_AFTER..=LONGEST_REFUSE_AFTER;
+            let bounds = MIN_REFUSE_AFTER_SECONDS..=MAX_REFUSE_AFTER_SECONDS;
             let mut inner = ObjectReader::new(&fields["refuse_after"], place, reader.findings());
-            let seconds = inner.whole("seconds", None, bounds, "seconds");
+            let seconds = inner.integer("seconds", None, bounds, "seconds");
             inner.finish();
             CutPolicy::RefuseAfter {
                 seconds: u32::try_from(seconds).unwrap_or(u32::MAX),
             }
         }
         other => {
-            reader.find("when_cut", format!("{} is not one of the choices", shown(other)), FIX);
+            reader.add_finding(
+                "when_cut",
+                format!("{} is not one of the choices", describe(other)),
+                FIX,
+            );
             CutPolicy::default()
         }
     }
@@ -231,20 +235,20 @@
     let kind = read_kind(&mut reader);
     let group = reader.name("group");
     if group == "entry" {
-        reader.find(
+        reader.add_finding(
             "group",
             "is reserved for the daemons",
             "name the group of the servers",
         );
     }
-    let bounds = 1..=LONGEST_TIMEOUT_MS;
-    let timeout_ms = reader.whole(
+    let bounds = 1..=MAX_TIMEOUT_MS;
+    let timeout_ms = reader.integer(
         "timeout_ms",
         Some(DEFAULT_TIMEOUT_MS),
         bounds,
         "milliseconds",
     );
-    let checks_fencing = reader.flag("checks_fencing");
+    let checks_fencing = reader.boolean("checks_fencing");
     reader.finish();
     ServiceSettings {
         name,
@@ -257,9 +261,9 @@
 
 fn read_kind(reader: &mut ObjectReader<'_, '_>) -> ServiceKind {
     const FIX: &str = "write {\"engine\": {\"models\": […]}} or {\"plain\": {\"prefix\": \"/…\"}}";
-    let nothing = ServiceKind::Engine { models: Vec::new() };
+    let fallback = ServiceKind::Engine { models: Vec::new() };
     let Some(value) = reader.required("kind", FIX) else {
-        return nothing;
+        return fallback;
     };
     let single = value
         .as_object()
@@ -275,8 +279,12 @@
             read_plain(fields, place, reader.findings())
         }
         _ => {
-            reader.find("kind", format!("is {} that names no known kind", shown(value)), FIX);
-            nothing
+            reader.add_finding(
+                "kind",
+                format!("is {} that names no known kind", describe(value)),
+                FIX,
+            );
+            fallback
         }
     }
 }
@@ -286,17 +294,17 @@
     let mut reader = ObjectReader::new(value, place, findings);
     let entries = reader.list("models");
     if entries.is_empty() {
-        reader.find("models", "names no model", FIX);
+        reader.add_finding("models", "names no model", FIX);
     }
     let mut models = Vec::new();
     for (place, value) in entries {
         match value.as_str() {
             Some(model) if (1..=128).contains(&model.len()) => {
-                ObjectReader::refuse_key_at(&place, model, reader.findings());
+                ObjectReader::reject_key_at(&place, model, reader.findings());
                 models.push(model.to_owned());
             }
             _ => {
-                let problem = format!("{} is not a model name", shown(value));
+                let problem = format!("{} is not a model name", describe(value));
                 reader.findings().add(place, problem, FIX);
             }
         }
@@ -310,14 +318,14 @@
         "write a path such as \"/proofs\", with a-z, A-Z, 0-9, -, _, . and ~ between the slashes";
     let mut reader = ObjectReader::new(value, place, findings);
     let prefix = reader.text("prefix", FIX);
-    let below = prefix.trim_end_matches('/');
+    let path = prefix.trim_end_matches('/');
     if !prefix.is_empty() && !is_path_prefix(&prefix) {
-        reader.find("prefix", "is not a valid path prefix", FIX);
+        reader.add_finding("prefix", "is not a valid path prefix", FIX);
     }
-    if below == "/v1" || below.starts_with("/v1/") {
-        reader.find(
+    if path == "/v1" || path.starts_with("/v1/") {
+        reader.add_finding(
             "prefix",
-            "is below /v1, which is reserved for models",
+            "is path /v1, which is reserved for models",
             "choose another prefix",
         );
     }
@@ -328,9 +336,10 @@
 /// Returns whether a prefix can match the path of a call: plain segments, none of them
 /// empty or made of dots alone, without escapes, query or fragment.
 fn is_path_prefix(prefix: &str) -> bool {
-    let fits = |it: char| it.is_ascii_alphanumeric() || "-_.~".contains(it);
-    let is_segment = |it: &str| !it.is_empty() && it != "." && it != ".." && it.chars().all(fits);
-    let below = prefix.strip_suffix('/').unwrap_or(prefix);
-    let segments = below.strip_prefix('/');
+    let is_allowed = |it: char| it.is_ascii_alphanumeric() || "-_.~".contains(it);
+    let is_segment =
+        |it: &str| !it.is_empty() && it != "." && it != ".." && it.chars().all(is_allowed);
+    let path = prefix.strip_suffix('/').unwrap_or(prefix);
+    let segments = path.strip_prefix('/');
     segments.is_some_and(|it| it.split('/').all(is_segment))
 }
--- a/crates/settings/src/difference.rs
+++ b/crates/settings/src/difference.rs
@@ -75,32 +75,32 @@
     before: Option<&Value>,
     after: Option<&Value>,
 ) -> SettingsDifference {
-    let shown = |it: Option<&Value>| it.map(ToString::to_string).unwrap_or_default();
+    let to_json = |it: Option<&Value>| it.map(ToString::to_string).unwrap_or_default();
     SettingsDifference {
         what,
         place: place.to_owned(),
-        before: shown(before),
-        after: shown(after),
+        before: to_json(before),
+        after: to_json(after),
     }
 }
 
 /// Returns every leaf value by its place.
 fn flatten(value: &Value) -> BTreeMap<String, Value> {
-    let mut flat = BTreeMap::new();
-    flatten_into(value, String::new(), &mut flat);
-    flat
+    let mut values = BTreeMap::new();
+    flatten_into(value, String::new(), &mut values);
+    values
 }
 
-fn flatten_into(value: &Value, place: String, flat: &mut BTreeMap<String, Value>) {
+fn flatten_into(value: &Value, place: String, values: &mut BTreeMap<String, Value>) {
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
-                let below = if place.is_empty() {
+                let child_place = if place.is_empty() {
                     name.clone()
                 } else {
                     format!("{place}.{name}")
                 };
-                flatten_into(value, below, flat);
+                flatten_into(value, child_place, values);
             }
         }
         Value::Array(entries) => {
@@ -108,11 +108,11 @@
                 let name = value["name"]
                     .as_str()
                     .map_or(index.to_string(), str::to_owned);
-                flatten_into(value, format!("{place}[{name}]"), flat);
+                flatten_into(value, format!("{place}[{name}]"), values);
             }
         }
         other => {
-            flat.insert(place, other.clone());
+            values.insert(place, other.clone());
         }
     }
 }
--- a/crates/settings/src/doubled_fields.rs
+++ b/crates/settings/src/duplicate_fields.rs
@@ -8,24 +8,24 @@
 
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 
-use crate::{FindingList, object_reader::shown_field};
+use crate::{FindingList, object_reader::printable_field_name};
 
 /// Adds a finding for each field of `text` that occurs twice in its object. Invalid
 /// JSON is ignored, as the parser that reads the settings reports it.
-pub(crate) fn find_doubled_fields(text: &[u8], findings: &mut FindingList) {
+pub(crate) fn find_duplicate_fields(text: &[u8], findings: &mut FindingList) {
     let mut parser = serde_json::Deserializer::from_slice(text);
     let place = String::new();
     // A syntax error has already been reported by the parser that reads the settings.
-    let _ = FieldWalk { place, findings }.deserialize(&mut parser);
+    let _ = DuplicateFieldVisitor { place, findings }.deserialize(&mut parser);
 }
 
 /// Visits one value and everything below it.
-struct FieldWalk<'f> {
+struct DuplicateFieldVisitor<'f> {
     place: String,
     findings: &'f mut FindingList,
 }
 
-impl<'de> DeserializeSeed<'de> for FieldWalk<'_> {
+impl<'de> DeserializeSeed<'de> for DuplicateFieldVisitor<'_> {
     type Value = ();
 
     fn deserialize<D: Deserializer<'de>>(self, parser: D) -> Result<(), D::Error> {
@@ -33,7 +33,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for FieldWalk<'_> {
+impl<'de> Visitor<'de> for DuplicateFieldVisitor<'_> {
     type Value = ();
 
     fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -43,7 +43,7 @@
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<(), A::Error> {
         let mut known: Vec<String> = Vec::new();
         while let Some(field) = fields.next_key::<String>()? {
-            let name = shown_field(&field);
+            let name = printable_field_name(&field);
             let place = if self.place.is_empty() {
                 name.to_owned()
             } else {
@@ -58,7 +58,7 @@
                 Err(index) => {
                     known.insert(index, field);
                     let findings = &mut *self.findings;
-                    fields.next_value_seed(FieldWalk { place, findings })?;
+                    fields.next_value_seed(DuplicateFieldVisitor { place, findings })?;
                 }
             }
         }
@@ -69,7 +69,7 @@
         for index in 0.. {
             let place = format!("{}[{index}]", self.place);
             let findings = &mut *self.findings;
-            let walked = entries.next_element_seed(FieldWalk { place, findings })?;
+            let walked = entries.next_element_seed(DuplicateFieldVisitor { place, findings })?;
             if walked.is_none() {
                 break;
             }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,7 +14,7 @@
 mod check_team;
 mod daemon_settings;
 mod difference;
-mod doubled_fields;
+mod duplicate_fields;
 mod finding;
 mod object_reader;
 mod team_settings;
--- a/crates/settings/src/object_reader.rs
+++ b/crates/settings/src/object_reader.rs
@@ -14,7 +14,7 @@
 const KEY_PREFIX: &str = "cfr-";
 /// The longest name of an unknown field that a finding prints, in bytes. Field names
 /// are short; a longer one may be a key in the wrong place.
-const LONGEST_SHOWN_FIELD: usize = 24;
+const MAX_PRINTED_FIELD_LENGTH: usize = 24;
 
 /// Reads one object field by field. Fields that were never read are reported as
 /// unknown.
@@ -31,13 +31,13 @@
     pub(crate) fn new(value: &'a Value, place: String, findings: &'f mut FindingList) -> Self {
         let fields = value.as_object();
         if fields.is_none() {
-            let shown = if place.is_empty() {
+            let printed_place = if place.is_empty() {
                 "(the whole text)"
             } else {
                 &place
             };
-            let problem = format!("is {}, not an object", kind_of(value));
-            findings.add(shown, problem, "write { \"field\": value, … }");
+            let problem = format!("is {}, not an object", type_name(value));
+            findings.add(printed_place, problem, "write { \"field\": value, … }");
         }
         ObjectReader {
             fields,
@@ -57,7 +57,12 @@
     }
 
     /// Adds a finding about a field.
-    pub(crate) fn find(&mut self, field: &str, problem: impl Into<String>, fix: impl Into<String>) {
+    pub(crate) fn add_finding(
+        &mut self,
+        field: &str,
+        problem: impl Into<String>,
+        fix: impl Into<String>,
+    ) {
         let place = self.place_of(field);
         self.findings.add(place, problem, fix);
     }
@@ -77,7 +82,7 @@
     pub(crate) fn required(&mut self, field: &'static str, fix: &str) -> Option<&'a Value> {
         let value = self.optional(field);
         if value.is_none() && self.fields.is_some() {
-            self.find(field, "is missing", fix);
+            self.add_finding(field, "is missing", fix);
         }
         value
     }
@@ -95,14 +100,14 @@
     }
 
     /// Reads a required string and parses it as a `T`.
-    pub(crate) fn parsed<T: FromStr>(&mut self, field: &'static str, fix: &str) -> Option<T> {
+    pub(crate) fn parse<T: FromStr>(&mut self, field: &'static str, fix: &str) -> Option<T> {
         let text = self.text(field, fix);
         if text.is_empty() {
             return None;
         }
         let parsed = text.parse().ok();
         if parsed.is_none() {
-            self.find(field, "can't be read", fix);
+            self.add_finding(field, "can't be read", fix);
         }
         parsed
     }
@@ -112,21 +117,21 @@
         const FIX: &str = "use 1 to 64 of a-z, 0-9, -, _ and .";
         let text = self.text(field, FIX);
         if !text.is_empty() && !is_name(&text) {
-            self.find(field, "is not a name", FIX);
+            self.add_finding(field, "is not a name", FIX);
         }
-        self.refuse_key(field, &text);
+        self.reject_key(field, &text);
         text
     }
 
     /// Reports a key in a field for names: names are shown to every operator and in
     /// metrics.
-    fn refuse_key(&mut self, field: &str, text: &str) {
+    fn reject_key(&mut self, field: &str, text: &str) {
         let place = self.place_of(field);
-        Self::refuse_key_at(&place, text, self.findings);
+        Self::reject_key_at(&place, text, self.findings);
     }
 
     /// Reports a key at a place where a name is expected.
-    pub(crate) fn refuse_key_at(place: &str, text: &str, findings: &mut FindingList) {
+    pub(crate) fn reject_key_at(place: &str, text: &str, findings: &mut FindingList) {
         if text.starts_with(KEY_PREFIX) {
             let fix = "revoke the key if it is one, and choose a name that starts differently";
             findings.add(place, "looks like a key", fix);
@@ -156,14 +161,14 @@
         match value.as_f64() {
             Some(number) if bounds.contains(&number) => number,
             _ => {
-                self.find(field, format!("{} is out of bounds", shown(value)), fix);
+                self.add_finding(field, format!("{} is out of bounds", describe(value)), fix);
                 *bounds.start()
             }
         }
     }
 
     /// Reads an integer within bounds. It is required unless there is a default.
-    pub(crate) fn whole(
+    pub(crate) fn integer(
         &mut self,
         field: &'static str,
         default: Option<u64>,
@@ -185,21 +190,21 @@
         match value.as_u64() {
             Some(number) if bounds.contains(&number) => number,
             _ => {
-                self.find(field, format!("{} is out of bounds", shown(value)), fix);
+                self.add_finding(field, format!("{} is out of bounds", describe(value)), fix);
                 *bounds.start()
             }
         }
     }
 
     /// Reads a boolean, which is false if absent.
-    pub(crate) fn flag(&mut self, field: &'static str) -> bool {
+    pub(crate) fn boolean(&mut self, field: &'static str) -> bool {
         let Some(value) = self.optional(field) else {
             return false;
         };
         value.as_bool().unwrap_or_else(|| {
-            self.find(
+            self.add_finding(
                 field,
-                format!("{} is neither true nor false", shown(value)),
+                format!("{} is neither true nor false", describe(value)),
                 "write true or false",
             );
             false
@@ -212,9 +217,9 @@
             return Vec::new();
         };
         let Some(entries) = value.as_array() else {
-            self.find(
+            self.add_finding(
                 field,
-                format!("is {}, not a list", kind_of(value)),
+                format!("is {}, not a list", type_name(value)),
                 "write [ … ]",
             );
             return Vec::new();
@@ -235,7 +240,7 @@
             .keys()
             .filter(|it| !self.known.contains(&it.as_str()))
         {
-            let place = self.place_of(shown_field(field));
+            let place = self.place_of(printable_field_name(field));
             let fix = format!("remove it, or use one of: {known}");
             self.findings.add(place, "is not a known field", fix);
         }
@@ -247,11 +252,11 @@
         match value.as_str() {
             Some(text) if !text.trim().is_empty() => Some(text.to_owned()),
             Some(_) => {
-                self.find(field, "is empty", fix);
+                self.add_finding(field, "is empty", fix);
                 None
             }
             None => {
-                self.find(field, format!("is {}, not a string", kind_of(value)), fix);
+                self.add_finding(field, format!("is {}, not a string", type_name(value)), fix);
                 None
             }
         }
@@ -260,15 +265,17 @@
 
 /// Returns whether a string is a valid name in settings.
 pub(crate) fn is_name(text: &str) -> bool {
-    let fits = |it: char| it.is_ascii_lowercase() || it.is_ascii_digit() || "-_.".contains(it);
-    (1..=64).contains(&text.len()) && text.chars().all(fits)
+    let is_allowed =
+        |it: char| it.is_ascii_lowercase() || it.is_ascii_digit() || "-_.".contains(it);
+    (1..=64).contains(&text.len()) && text.chars().all(is_allowed)
 }
 
 /// Returns a field's name as it is printed in a place, or a placeholder for a name that
 /// may be a secret.
-pub(crate) fn shown_field(field: &str) -> &str {
-    let fits = |it: char| it.is_ascii_alphabetic() || it == '_' || it == '-';
-    if field.len() <= LONGEST_SHOWN_FIELD && field.chars().all(fits) && !field.is_empty() {
+pub(crate) fn printable_field_name(field: &str) -> &str {
+    let is_allowed = |it: char| it.is_ascii_alphabetic() || it == '_' || it == '-';
+    if field.len() <= MAX_PRINTED_FIELD_LENGTH && field.chars().all(is_allowed) && !field.is_empty()
+    {
         field
     } else {
         "(a field whose name isn't shown)"
@@ -276,14 +283,14 @@
 }
 
 /// Describes a value in a finding: numbers as they are, all others by their type only.
-pub(crate) fn shown(value: &Value) -> String {
+pub(crate) fn describe(value: &Value) -> String {
     match value {
         Value::Number(number) => number.to_string(),
-        other => kind_of(other).to_owned(),
+        other => type_name(other).to_owned(),
     }
 }
 
-pub(crate) fn kind_of(value: &Value) -> &'static str {
+pub(crate) fn type_name(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
         Value::Bool(_) => "a boolean",
--- a/crates/settings/tests/daemon_checks.rs
+++ b/crates/settings/tests/daemon_checks.rs
@@ -14,7 +14,7 @@
     })
 }
 
-fn found(settings: &Value) -> FindingList {
+fn findings_of(settings: &Value) -> FindingList {
     DaemonSettings::check(settings.to_string().as_bytes())
         .err()
         .unwrap_or_default()
@@ -68,7 +68,7 @@
     for (field, value, place) in cases {
         let mut settings = valid();
         settings[field] = value.clone();
-        let list = found(&settings);
+        let list = findings_of(&settings);
         let places: Vec<&str> = list.findings.iter().map(|it| it.place.as_str()).collect();
         assert!(places.contains(&place), "{field} = {value}: {list}");
         assert!(list.findings.iter().all(|it| !it.fix.is_empty()), "{list}");
@@ -77,7 +77,7 @@
 
 #[test]
 fn an_empty_object_lacks_every_required_field() {
-    let list = found(&json!({}));
+    let list = findings_of(&json!({}));
     let places: Vec<&str> = list.findings.iter().map(|it| it.place.as_str()).collect();
     let expected = [
         "name",
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_list_is_no_object() {
+fn a_list_is_not_an_object() {
     let list = DaemonSettings::check(b"[]").expect_err("a list instead of an object");
     assert_eq!(list.findings[0].place, "(the whole text)");
     let text = br#"{"name": "a", "name": "b"}"#;
--- a/crates/settings/tests/random_settings.rs
+++ b/crates/settings/tests/random_settings.rs
@@ -89,24 +89,24 @@
 }
 
 /// Replaces one value, at any depth, by a random one.
-fn disturb(value: &mut Value, rng: &mut StdRng) {
+fn replace_random_value(value: &mut Value, rng: &mut StdRng) {
     let stop = rng.random_ratio(1, 5);
     match value {
         Value::Array(entries) if !entries.is_empty() && !stop => {
             let index = rng.random_range(0..entries.len());
-            disturb(&mut entries[index], rng);
+            replace_random_value(&mut entries[index], rng);
         }
         Value::Object(fields) if !fields.is_empty() && !stop => {
             let index = rng.random_range(0..fields.len());
             if let Some(below) = fields.values_mut().nth(index) {
-                disturb(below, rng);
+                replace_random_value(below, rng);
             }
         }
         other => *other = random_value(rng, 3),
     }
 }
 
-fn usual_team() -> Value {
+fn typical_team() -> Value {
     json!({
         "customers": [{
             "name": "press", "rate": 5, "burst": 10,
@@ -120,7 +120,7 @@
     })
 }
 
-fn usual_daemon() -> Value {
+fn typical_daemon() -> Value {
     json!({
         "name": TOKEN, "region": "south", "zone": "zone-1", "callers": TOKEN,
         "operators": "127.0.0.1:1", "peers": "127.0.0.1:2",
@@ -129,12 +129,12 @@
     })
 }
 
-fn refuse_secrets(list: &FindingList, text: &str) {
-    let shown = list.to_string();
+fn assert_no_secrets(list: &FindingList, text: &str) {
+    let printed = list.to_string();
     // Even a part of a secret in a log makes it easier to guess.
     for secret in [KEY, TOKEN] {
         let part = &secret[4..16];
-        assert!(!shown.contains(part), "{shown}\nfindings of {text}");
+        assert!(!printed.contains(part), "{printed}\nfindings of {text}");
     }
 }
 
@@ -148,13 +148,13 @@
         let value = match round % 3 {
             0 => random_value(&mut rng, 5),
             1 => {
-                let mut value = usual_team();
-                disturb(&mut value, &mut rng);
+                let mut value = typical_team();
+                replace_random_value(&mut value, &mut rng);
                 value
             }
             _ => {
-                let mut value = usual_daemon();
-                disturb(&mut value, &mut rng);
+                let mut value = typical_daemon();
+                replace_random_value(&mut value, &mut rng);
                 value
             }
         };
@@ -165,7 +165,7 @@
         ] {
             let list = list.unwrap_or_default();
             finding_count += list.findings.len();
-            refuse_secrets(&list, &text);
+            assert_no_secrets(&list, &text);
         }
     }
     assert!(
@@ -180,7 +180,7 @@
 fn no_check_panics_on_damaged_bytes() {
     let mut rng = StdRng::seed_from_u64(SEED);
     for _ in 0..ROUNDS {
-        let mut bytes = usual_team().to_string().into_bytes();
+        let mut bytes = typical_team().to_string().into_bytes();
         for _ in 0..rng.random_range(1..4) {
             let index = rng.random_range(0..bytes.len());
             bytes[index] = rng.random();
@@ -190,7 +190,7 @@
             TeamSettings::check(&bytes).err(),
             DaemonSettings::check(&bytes).err(),
         ] {
-            refuse_secrets(&list.unwrap_or_default(), &String::from_utf8_lossy(&bytes));
+            assert_no_secrets(&list.unwrap_or_default(), &String::from_utf8_lossy(&bytes));
         }
     }
 }
--- a/crates/settings/tests/team_checks.rs
+++ b/crates/settings/tests/team_checks.rs
@@ -23,7 +23,7 @@
     })
 }
 
-fn found(settings: &Value) -> FindingList {
+fn findings_of(settings: &Value) -> FindingList {
     TeamSettings::check(settings.to_string().as_bytes())
         .err()
         .unwrap_or_default()
@@ -47,7 +47,7 @@
 
 #[test]
 fn valid_settings_have_no_findings() {
-    assert_eq!(found(&valid()), FindingList::default());
+    assert_eq!(findings_of(&valid()), FindingList::default());
 }
 
 /// One field is wrong. Without its place an operator would have to search a file of
@@ -151,7 +151,7 @@
         ("/notes", json!(""), "notes"),
     ];
     for (pointer, value, place) in cases {
-        let list = found(&with(pointer, value.clone()));
+        let list = findings_of(&with(pointer, value.clone()));
         assert!(
             places(&list).contains(&place),
             "{pointer} = {value}: {list}"
@@ -163,9 +163,9 @@
 /// A view of the settings is up to 3 s old in normal operation. A lower limit would
 /// reject the customer's callers although nothing failed.
 #[test]
-fn a_bound_on_the_views_age_must_leave_room_for_the_usual_age() {
+fn a_limit_on_the_views_age_must_allow_for_the_typical_age() {
     let bound = |seconds: u64| {
-        found(&with(
+        findings_of(&with(
             "/customers/0/when_cut/refuse_after/seconds",
             json!(seconds),
         ))
@@ -200,14 +200,14 @@
         "/v1/files",
     ];
     for prefix in wrong {
-        let list = found(&with("/services/1/kind/plain/prefix", json!(prefix)));
+        let list = findings_of(&with("/services/1/kind/plain/prefix", json!(prefix)));
         assert!(
             places(&list).contains(&"services[1].kind.plain.prefix"),
             "{prefix}: {list}"
         );
     }
     for prefix in ["/a", "/a/", "/a/b", "/v10", "/a.b/c~d", "/..a"] {
-        let list = found(&with("/services/1/kind/plain/prefix", json!(prefix)));
+        let list = findings_of(&with("/services/1/kind/plain/prefix", json!(prefix)));
         assert_eq!(list, FindingList::default(), "{prefix}");
     }
 }
@@ -215,7 +215,7 @@
 /// A file has several mistakes. If they were reported one at a time, an operator would
 /// have to repeat the change for each of them.
 #[test]
-fn all_findings_come_together_in_the_order_of_the_text() {
+fn all_findings_are_reported_in_the_order_of_the_text() {
     let settings = json!({
         "customers": [
             { "name": "press", "rate": -1, "burst": 0, "colour": 1 },
@@ -224,7 +224,7 @@
         "services": [{ "name": "drafts", "group": "engines" }],
         "more": true,
     });
-    let list = found(&settings);
+    let list = findings_of(&settings);
     let expected = [
         "customers[0].rate",
         "customers[0].burst",
@@ -240,7 +240,7 @@
 /// A list is given instead of an object. Deserializers of structs accept a list as the
 /// fields in order, which could put a rate into the name.
 #[test]
-fn a_list_is_no_object() {
+fn a_list_is_not_an_object() {
     for text in [
         "[]",
         "[[], []]",
@@ -252,7 +252,7 @@
         let list = TeamSettings::check(text.as_bytes()).expect_err(text);
         assert_eq!(places(&list), ["(the whole text)"], "{text}");
     }
-    let list = found(&json!({ "customers": [["press", 5, 10]] }));
+    let list = findings_of(&json!({ "customers": [["press", 5, 10]] }));
     assert!(places(&list).contains(&"customers[0]"), "{list}");
 }
 
@@ -270,7 +270,7 @@
 /// An operator pastes a second list of customers below the first. A JSON parser keeps
 /// only the last one, so the customers of the first would lose their keys.
 #[test]
-fn a_field_that_stands_twice_is_found() {
+fn a_duplicate_field_is_found() {
     let text =
         r#"{"customers": [{"name": "a", "rate": 1, "rate": 2, "burst": 1}], "customers": []}"#;
     let list = TeamSettings::check(text.as_bytes()).expect_err("duplicate fields");
@@ -279,7 +279,7 @@
 
 /// Two entries of one team have the same name, key, model or prefix.
 #[test]
-fn doubles_within_a_team_name_both_places() {
+fn duplicates_within_a_team_name_both_places() {
     let mut settings = valid();
     let customer = settings["customers"][0].clone();
     settings["customers"]
@@ -292,7 +292,7 @@
         .expect("a list")
         .extend(services);
     settings["services"][3]["kind"]["plain"]["prefix"] = json!("/proofs/");
-    let list = found(&settings);
+    let list = findings_of(&settings);
     let expected = [
         "customers[1].name",
         "customers[1].keys[0].sha256",
@@ -312,13 +312,16 @@
         .as_array_mut()
         .expect("a list")
         .push(key);
-    assert_eq!(places(&found(&settings)), ["customers[0].keys[1].name"]);
+    assert_eq!(
+        places(&findings_of(&settings)),
+        ["customers[0].keys[1].name"]
+    );
 }
 
 /// A second team uses a value of another team, or a prefix below that team's, and would
 /// take over its calls.
 #[test]
-fn doubles_across_teams_name_the_other_team() {
+fn conflicts_between_teams_name_the_other_team() {
     let check = |settings: &Value| {
         TeamSettings::check(settings.to_string().as_bytes()).expect("valid settings")
     };
--- a/crates/store/src/convert.rs
+++ b/crates/store/src/convert.rs
@@ -62,7 +62,7 @@
     }
 
     /// Creates a request to renew or revoke `lease`.
-    pub fn named(lease: LeaseId) -> Self {
+    pub fn for_lease(lease: LeaseId) -> Self {
         LeaseMessage {
             id: lease.0,
             ..LeaseMessage::default()
@@ -212,7 +212,7 @@
             let reason = format!("the watch was canceled: {}", response.cancel_reason);
             return Err(StoreError::Rejected(reason));
         }
-        batch_of(response.events, response.header.revision)
+        watch_batch(response.events, response.header.revision)
     }
 }
 
@@ -220,7 +220,7 @@
 /// the revision in its header is the one that the watch has reached. In a message with
 /// events the header may already be ahead of them, and resuming from there would skip
 /// writes, so the last event's revision counts.
-fn batch_of(events: Vec<EventMessage>, head_revision: i64) -> Result<WatchBatch, StoreError> {
+fn watch_batch(events: Vec<EventMessage>, head_revision: i64) -> Result<WatchBatch, StoreError> {
     let last = events.iter().map(|it| it.kv.mod_revision).max();
     let mut batch = WatchBatch {
         revision: last.unwrap_or(head_revision),
--- a/crates/store/src/fenced_lease.rs
+++ b/crates/store/src/fenced_lease.rs
@@ -18,7 +18,7 @@
     /// The name of the process that requests the lease.
     pub holder: String,
     /// How long the lease lasts after its last renewal. Whole seconds.
-    pub span: Duration,
+    pub ttl: Duration,
 }
 
 /// The value of the lease's key. The lease's number distinguishes it from a value that
@@ -68,21 +68,24 @@
         pace: RetryPace,
         now: Timestamp,
     ) -> Result<AcquireOutcome, StoreError> {
-        let lease = store.grant(request.span).await?;
+        let lease = store.grant(request.ttl).await?;
         let claimed = write_once(store, claim(request, lease), pace).await;
         if let Ok(OnceOutcome::Written(fence)) = claimed {
             return Ok(AcquireOutcome::Held(FencedLease {
                 key: request.key.clone(),
                 lease,
                 fence,
-                term: LeaseTerm::new(now, request.span),
+                term: LeaseTerm::new(now, request.ttl),
             }));
         }
         // A claim of unknown outcome must not stay in force for a holder that doesn't
         // know of it. If this call fails too, the lease expires on its own.
         let revoked = store.revoke(lease).await;
         if let Err(error) = revoked {
-            log::debug!("platform: failed to revoke lease {}, which now has to expire: {error}", lease.0);
+            log::debug!(
+                "platform: failed to revoke lease {}, which now has to expire: {error}",
+                lease.0
+            );
         }
         let holder = match claimed? {
             OnceOutcome::Written(_) => None,
--- a/crates/store/src/gateway_store.rs
+++ b/crates/store/src/gateway_store.rs
@@ -22,15 +22,15 @@
 /// The default timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The maximum size of a response in bytes.
-const ANSWER_LIMIT: usize = 256_000_000;
+const MAX_ANSWER_BYTES: usize = 256_000_000;
 /// The maximum size of an error response in bytes.
-pub(crate) const ERROR_LIMIT: usize = 64_000;
+pub(crate) const MAX_ERROR_BYTES: usize = 64_000;
 /// The gRPC code `NOT_FOUND`.
 const NOT_FOUND: i32 = 5;
 /// The gRPC codes which guarantee that nothing was done: invalid argument, not found,
 /// already exists, permission denied, resource exhausted, failed precondition, out of
 /// range, unimplemented, unauthenticated.
-const CERTAIN_REFUSALS: [i32; 9] = [3, 5, 6, 7, 8, 9, 11, 12, 16];
+const DEFINITE_ERROR_CODES: [i32; 9] = [3, 5, 6, 7, 8, 9, 11, 12, 16];
 
 /// The gateway's address and timeout.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -108,10 +108,10 @@
     {
         let exchange = async {
             let response = self.send(path, request).await?;
-            let body = collect_limited(response.into_body(), ANSWER_LIMIT).await;
+            let body = collect_limited(response.into_body(), MAX_ANSWER_BYTES).await;
             read_json(&body.map_err(|error| StoreError::AnswerLost(error.to_string()))?)
         };
-        self.timed(call, exchange).await
+        self.counted(call, exchange).await
     }
 
     /// Makes a call and returns a reader of the lines of its streamed response.
@@ -139,14 +139,14 @@
     }
 
     /// Applies the timeout to a call and counts how it ended.
-    async fn timed<T>(
+    async fn counted<T>(
         &self,
         call: StoreCall,
         exchange: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         let limit = self.settings.call_timeout;
         let begin = Instant::now();
-        let result = within(limit, exchange).await;
+        let result = with_timeout(limit, exchange).await;
         self.counts
             .count(call, CallEnd::of(&result), begin.elapsed());
         result
@@ -163,19 +163,21 @@
         return Ok(response);
     }
     let status = response.status();
-    let body = collect_limited(response.into_body(), ERROR_LIMIT).await;
-    Err(refusal(status, &body.unwrap_or_default()))
+    let body = collect_limited(response.into_body(), MAX_ERROR_BYTES).await;
+    Err(response_error(status, &body.unwrap_or_default()))
 }
 
 /// Applies a timeout to a call. A timeout counts as a lost answer, since the request
 /// may already have been sent.
-pub(crate) async fn within<T>(
+pub(crate) async fn with_timeout<T>(
     limit: Duration,
     exchange: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     match tokio::time::timeout(limit, exchange).await {
         Ok(result) => result,
-        Err(_) => Err(StoreError::AnswerLost(format!("no answer within {limit:?}"))),
+        Err(_) => Err(StoreError::AnswerLost(format!(
+            "no answer within {limit:?}"
+        ))),
     }
 }
 
@@ -189,7 +191,7 @@
 /// Converts an error response to a [`StoreError`]. Some errors of the platform, such as
 /// a change of its leader, leave open whether a write took effect; if they counted as
 /// rejections, a caller would write twice.
-pub(crate) fn refusal(status: StatusCode, body: &Bytes) -> StoreError {
+pub(crate) fn response_error(status: StatusCode, body: &Bytes) -> StoreError {
     let Ok(error) = serde_json::from_slice::<ErrorMessage>(body) else {
         let text = format!("status {status}");
         return match status.is_client_error() {
@@ -197,14 +199,14 @@
             false => StoreError::AnswerLost(text),
         };
     };
-    coded_error(error.code, error.message)
+    grpc_error(error.code, error.message)
 }
 
-fn coded_error(code: i32, message: String) -> StoreError {
+fn grpc_error(code: i32, message: String) -> StoreError {
     if code == NOT_FOUND && message.contains("lease not found") {
         return StoreError::LeaseLapsed;
     }
-    if CERTAIN_REFUSALS.contains(&code) {
+    if DEFINITE_ERROR_CODES.contains(&code) {
         return StoreError::Rejected(message);
     }
     StoreError::AnswerLost(message)
@@ -214,7 +216,7 @@
     /// Returns the line's message, or the error that ends the stream.
     pub(crate) fn into_result(self) -> Result<T, StoreError> {
         match self.error {
-            Some(error) => Err(coded_error(error.grpc_code, error.message)),
+            Some(error) => Err(grpc_error(error.grpc_code, error.message)),
             None => Ok(self.result.unwrap_or_default()),
         }
     }
@@ -263,7 +265,7 @@
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<Duration, StoreError> {
-        let request = LeaseMessage::named(lease);
+        let request = LeaseMessage::for_lease(lease);
         let exchange = async {
             let mut lines = self.open("/v3/lease/keepalive", &request).await?;
             let line = lines.next().await?;
@@ -271,11 +273,11 @@
             let line: StreamLine<LeaseMessage> = read_json(&line)?;
             line.into_result()?.time_left()
         };
-        self.timed(StoreCall::LeaseRenew, exchange).await
+        self.counted(StoreCall::LeaseRenew, exchange).await
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), StoreError> {
-        let request = LeaseMessage::named(lease);
+        let request = LeaseMessage::for_lease(lease);
         let answer: Result<HeaderResponse, _> = self
             .call(StoreCall::LeaseRevoke, "/v3/lease/revoke", &request)
             .await;
@@ -290,6 +292,6 @@
             let lines = self.open("/v3/watch", &request).await?;
             GatewayWatch::open(lines, self.counts.clone()).await
         };
-        self.timed(StoreCall::Watch, exchange).await
+        self.counted(StoreCall::Watch, exchange).await
     }
 }
--- a/crates/store/src/gateway_vm_list.rs
+++ b/crates/store/src/gateway_vm_list.rs
@@ -11,11 +11,11 @@
 
 use crate::{
     CallCounts, CallEnd, GatewaySettings, ListedVm, NoCounts, StoreCall, StoreError, VmList,
-    gateway_store::{ERROR_LIMIT, read_json, refusal, within},
+    gateway_store::{MAX_ERROR_BYTES, read_json, response_error, with_timeout},
 };
 
 /// The maximum size of a list in bytes.
-const LIST_LIMIT: usize = 8_000_000;
+const MAX_LIST_BYTES: usize = 8_000_000;
 
 /// A list and the `ETag` that it was sent with.
 #[derive(Clone, Debug)]
@@ -62,14 +62,14 @@
         let response = self.client.send(request).await?;
         let status = response.status();
         let tag = response.headers().get(header::ETAG).cloned();
-        let body = collect_limited(response.into_body(), LIST_LIMIT).await;
+        let body = collect_limited(response.into_body(), MAX_LIST_BYTES).await;
         if let Some(last) = last.filter(|_| status == StatusCode::NOT_MODIFIED) {
             return Ok(last.vms);
         }
         if status != StatusCode::OK {
             let mut body = body.unwrap_or_default();
-            body.truncate(ERROR_LIMIT);
-            return Err(refusal(status, &body));
+            body.truncate(MAX_ERROR_BYTES);
+            return Err(response_error(status, &body));
         }
         let body = body.map_err(|error| StoreError::AnswerLost(error.to_string()))?;
         let vms: Vec<ListedVm> = read_json(&body)?;
@@ -93,7 +93,7 @@
 impl<C: CallCounts> VmList for GatewayVmList<C> {
     async fn vms(&self) -> Result<Vec<ListedVm>, StoreError> {
         let begin = Instant::now();
-        let result = within(self.settings.call_timeout, self.read()).await;
+        let result = with_timeout(self.settings.call_timeout, self.read()).await;
         let end = CallEnd::of(&result);
         self.counts.count(StoreCall::VmList, end, begin.elapsed());
         result
--- a/crates/store/src/gateway_watch.rs
+++ b/crates/store/src/gateway_watch.rs
@@ -27,7 +27,9 @@
         if !response.created {
             // The watch was never opened: the message says why.
             WatchBatch::try_from(response)?;
-            return Err(StoreError::Rejected("the platform didn't confirm the watch".into()));
+            return Err(StoreError::Rejected(
+                "the platform didn't confirm the watch".into(),
+            ));
         }
         if response.canceled {
             WatchBatch::try_from(response)?;
@@ -51,7 +53,9 @@
 
 async fn next_response(lines: &mut LineReader) -> Result<WatchResponse, StoreError> {
     let Some(line) = lines.next().await? else {
-        return Err(StoreError::AnswerLost("the platform closed the watch".into()));
+        return Err(StoreError::AnswerLost(
+            "the platform closed the watch".into(),
+        ));
     };
     let line: StreamLine<WatchResponse> = read_json(&line)?;
     line.into_result()
--- a/crates/store/src/lease_term.rs
+++ b/crates/store/src/lease_term.rs
@@ -6,7 +6,7 @@
 
 /// The holder leaves one part in this many of a lease unused, since the two clocks may
 /// not run equally fast, and since a check and the action after it take time.
-const MARGIN_SHARE: u32 = 10;
+const MARGIN_DIVISOR: u32 = 10;
 /// How many renewals fit into the duration of a lease: two of them can fail before it
 /// expires.
 const RENEWALS_PER_TERM: u32 = 3;
@@ -32,20 +32,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTerm {
     /// How long the platform keeps the lease after a renewal.
-    pub span: Duration,
+    pub ttl: Duration,
     /// When the last successful grant or renewal was sent.
     sent: Timestamp,
     /// From when on the holder may no longer act.
-    ends: Timestamp,
+    valid_until: Timestamp,
 }
 
 impl LeaseTerm {
-    /// Creates the term of a lease of `span` whose request was sent at `sent`.
-    pub fn new(sent: Timestamp, span: Duration) -> Self {
+    /// Creates the term of a lease of `ttl` whose request was sent at `sent`.
+    pub fn new(sent: Timestamp, ttl: Duration) -> Self {
         LeaseTerm {
-            span,
+            ttl,
             sent,
-            ends: sent + usable(span),
+            valid_until: sent + usable_duration(ttl),
         }
     }
 
@@ -60,30 +60,30 @@
             return;
         }
         self.sent = sent;
-        self.ends = sent + usable(left);
+        self.valid_until = sent + usable_duration(left);
     }
 
     /// Ends the term when the lease is lost.
     pub fn end(&mut self) {
-        self.ends = Timestamp::ZERO;
+        self.valid_until = Timestamp::ZERO;
     }
 
     /// Returns whether the holder may act.
     pub fn is_valid(&self, now: Timestamp) -> bool {
-        now < self.ends
+        now < self.valid_until
     }
 
     /// Returns how much longer the holder may act.
     pub fn left(&self, now: Timestamp) -> Duration {
-        self.ends.since(now)
+        self.valid_until.since(now)
     }
 
     /// Returns when to send the next renewal.
     pub fn renewal_due(&self) -> Timestamp {
-        self.sent + self.span / RENEWALS_PER_TERM
+        self.sent + self.ttl / RENEWALS_PER_TERM
     }
 }
 
-fn usable(span: Duration) -> Duration {
-    span - span / MARGIN_SHARE
+fn usable_duration(ttl: Duration) -> Duration {
+    ttl - ttl / MARGIN_DIVISOR
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -36,4 +36,4 @@
     StoreError, TransactionAnswer, VALUE_LIMIT, WatchBatch, WatchStream, Write, WriteBatch,
 };
 pub use vms::{ListedVm, VmList, VmState};
-pub use write_once::{OnceOutcome, OnceProgress, OnceStep, write_once};
+pub use write_once::{OnceOutcome, WriteOnceState, WriteOnceStep, write_once};
--- a/crates/store/src/line_reader.rs
+++ b/crates/store/src/line_reader.rs
@@ -8,7 +8,7 @@
 
 /// The maximum length of a line in bytes. A watch that catches up receives many values
 /// in one line.
-const LINE_LIMIT: usize = 64_000_000;
+const MAX_LINE_BYTES: usize = 64_000_000;
 
 /// Reads a response line by line. [`LineReader::next`] is cancel safe: no data is lost
 /// when its future is dropped.
@@ -35,8 +35,8 @@
             if let Some(line) = self.take_line() {
                 return Ok(Some(line));
             }
-            if self.buffer.len() > LINE_LIMIT {
-                let reason = format!("a line exceeds {LINE_LIMIT} bytes");
+            if self.buffer.len() > MAX_LINE_BYTES {
+                let reason = format!("a line exceeds {MAX_LINE_BYTES} bytes");
                 return Err(StoreError::AnswerLost(reason));
             }
             match self.body.frame().await {
--- a/crates/store/src/renewed_watch.rs
+++ b/crates/store/src/renewed_watch.rs
@@ -6,7 +6,7 @@
 
 /// How long a watch may receive nothing before it is reopened. Each opening is billed,
 /// and a fleet of hundreds of daemons has one watch each.
-const SILENT_SPAN: Duration = Duration::from_secs(30);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A watch that is reopened, from the revision it had reached, when it received nothing
 /// for a while.
@@ -38,7 +38,7 @@
         })
     }
 
-    async fn opened(&mut self) -> Result<S::Watch, StoreError> {
+    async fn take_or_open(&mut self) -> Result<S::Watch, StoreError> {
         match self.watch.take() {
             Some(watch) => Ok(watch),
             None => self.store.watch(self.range.clone(), self.from).await,
@@ -49,8 +49,8 @@
 impl<S: PlatformStore> WatchStream for RenewedWatch<S> {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
         loop {
-            let mut watch = self.opened().await?;
-            let Ok(batch) = tokio::time::timeout(SILENT_SPAN, watch.next()).await else {
+            let mut watch = self.take_or_open().await?;
+            let Ok(batch) = tokio::time::timeout(SILENCE_TIMEOUT, watch.next()).await else {
                 continue;
             };
             let batch = batch?;
--- a/crates/store/src/retry_pace.rs
+++ b/crates/store/src/retry_pace.rs
@@ -14,9 +14,9 @@
     /// The maximum number of attempts, including the first.
     pub attempts: u32,
     /// The maximum delay before the first repetition.
-    pub first_wait: Duration,
+    pub first_delay: Duration,
     /// The maximum delay before any repetition.
-    pub longest_wait: Duration,
+    pub max_delay: Duration,
     /// The seed of the random delays; each process needs its own.
     pub seed: u64,
 }
@@ -26,8 +26,8 @@
     pub fn new(seed: u64) -> Self {
         RetryPace {
             attempts: 4,
-            first_wait: Duration::from_millis(50),
-            longest_wait: Duration::from_secs(1),
+            first_delay: Duration::from_millis(50),
+            max_delay: Duration::from_secs(1),
             seed,
         }
     }
@@ -39,29 +39,29 @@
     }
 
     /// Sets the maximum delay before the first repetition.
-    pub fn first_wait(mut self, wait: Duration) -> Self {
-        self.first_wait = wait;
+    pub fn first_delay(mut self, delay: Duration) -> Self {
+        self.first_delay = delay;
         self
     }
 
     /// Sets the maximum delay before any repetition.
-    pub fn longest_wait(mut self, wait: Duration) -> Self {
-        self.longest_wait = wait;
+    pub fn longest_wait(mut self, delay: Duration) -> Self {
+        self.max_delay = delay;
         self
     }
 
     /// Returns the delays between the attempts.
-    pub fn waits(self) -> impl Iterator<Item = Duration> + Send {
+    pub fn delays(self) -> impl Iterator<Item = Duration> + Send {
         let mut rng = StdRng::seed_from_u64(self.seed);
         let repetitions = self.attempts.saturating_sub(1);
-        (0..repetitions).map(move |repetition| self.wait(repetition, &mut rng))
+        (0..repetitions).map(move |repetition| self.delay(repetition, &mut rng))
     }
 
     /// Returns the delay before a repetition, the first being number 0.
-    pub fn wait(&self, repetition: u32, rng: &mut impl Rng) -> Duration {
+    pub fn delay(&self, repetition: u32, rng: &mut impl Rng) -> Duration {
         let factor = 2_u32.saturating_pow(repetition.min(20));
-        let longest = self.first_wait.saturating_mul(factor);
-        let longest = longest.min(self.longest_wait);
-        longest.mul_f64(rng.random_range(0.5..=1.0))
+        let max_delay = self.first_delay.saturating_mul(factor);
+        let max_delay = max_delay.min(self.max_delay);
+        max_delay.mul_f64(rng.random_range(0.5..=1.0))
     }
 }
--- a/crates/store/src/write_once.rs
+++ b/crates/store/src/write_once.rs
@@ -31,7 +31,7 @@
 
 /// What to do after an attempt.
 #[derive(Debug)]
-pub enum OnceStep {
+pub enum WriteOnceStep {
     /// The outcome is known.
     Done(Result<OnceOutcome, StoreError>),
     /// The same batch must be sent again.
@@ -40,14 +40,14 @@
 
 /// The write by which a batch is recognised when its keys are read back.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum OwnWrite {
+enum MarkerWrite {
     /// The key has this value.
     Value(String, Bytes),
     /// The key was deleted.
-    Gone(String),
+    Deleted(String),
 }
 
-impl OwnWrite {
+impl MarkerWrite {
     /// Returns the first written value, preferably of a compared key. A missing key
     /// identifies the batch only if it contains nothing but deletions, since another
     /// writer's deletion looks the same.
@@ -55,27 +55,27 @@
         let mut puts = batch.then.iter().filter_map(put_value);
         let guarded_put = puts.clone().find(|(key, _)| is_guarded(batch, key));
         if let Some((key, value)) = guarded_put.or_else(|| puts.next()) {
-            return Some(OwnWrite::Value(key.clone(), value.clone()));
+            return Some(MarkerWrite::Value(key.clone(), value.clone()));
         }
         let mut keys = batch.then.iter().map(Write::key);
         let key = keys.find(|key| is_guarded(batch, key))?;
-        Some(OwnWrite::Gone(key.clone()))
+        Some(MarkerWrite::Deleted(key.clone()))
     }
 
     fn key(&self) -> &String {
         match self {
-            OwnWrite::Value(key, _) | OwnWrite::Gone(key) => key,
+            MarkerWrite::Value(key, _) | MarkerWrite::Deleted(key) => key,
         }
     }
 
     /// Returns the revision at which the write took effect, if it is still visible.
-    fn shows_in(&self, found: &[KeyValue], revision: Revision) -> Option<Revision> {
+    fn find_revision(&self, found: &[KeyValue], revision: Revision) -> Option<Revision> {
         let pair = found.iter().find(|it| it.key == *self.key());
         match (self, pair) {
-            (OwnWrite::Value(_, value), Some(pair)) => {
+            (MarkerWrite::Value(_, value), Some(pair)) => {
                 (pair.value == *value).then_some(pair.modified)
             }
-            (OwnWrite::Gone(_), None) => Some(revision),
+            (MarkerWrite::Deleted(_), None) => Some(revision),
             _ => None,
         }
     }
@@ -110,12 +110,12 @@
 
 /// The state machine of [`write_once`]: determines the outcome from the answers so far.
 #[derive(Clone, Debug)]
-pub struct OnceProgress {
-    own: OwnWrite,
+pub struct WriteOnceState {
+    marker: MarkerWrite,
     answer_lost: bool,
 }
 
-impl OnceProgress {
+impl WriteOnceState {
     /// Prepares a batch: adds the key that identifies its write to the keys that are
     /// read back.
     ///
@@ -123,37 +123,37 @@
     ///
     /// Rejects a batch that could take effect twice.
     pub fn new(batch: &mut WriteBatch) -> Result<Self, StoreError> {
-        let own = OwnWrite::of(batch).filter(|_| is_repeatable(batch));
-        let Some(own) = own else {
+        let marker = MarkerWrite::of(batch).filter(|_| is_repeatable(batch));
+        let Some(marker) = marker else {
             let reason = "the batch compares none of the keys that it writes, so it can't be repeated safely";
             return Err(StoreError::Rejected(reason.into()));
         };
-        if !batch.read_back.contains(own.key()) {
-            batch.read_back.push(own.key().clone());
+        if !batch.read_back.contains(marker.key()) {
+            batch.read_back.push(marker.key().clone());
         }
-        Ok(OnceProgress {
-            own,
+        Ok(WriteOnceState {
+            marker,
             answer_lost: false,
         })
     }
 
     /// Processes the result of one attempt.
-    pub fn take(&mut self, result: Result<TransactionAnswer, StoreError>) -> OnceStep {
+    pub fn on_result(&mut self, result: Result<TransactionAnswer, StoreError>) -> WriteOnceStep {
         match result {
             Ok(TransactionAnswer::Written(revision)) => {
-                OnceStep::Done(Ok(OnceOutcome::Written(revision)))
+                WriteOnceStep::Done(Ok(OnceOutcome::Written(revision)))
             }
             Ok(TransactionAnswer::Refused { found, revision }) => {
-                OnceStep::Done(Ok(self.refused(found, revision)))
+                WriteOnceStep::Done(Ok(self.refused(found, revision)))
             }
             Err(StoreError::AnswerLost(_)) => {
                 self.answer_lost = true;
-                OnceStep::Again
+                WriteOnceStep::Again
             }
             // This error must not be returned as it is: an earlier attempt may have
             // taken effect, and the caller would take "unreachable" for "not run".
-            Err(_) if self.answer_lost => OnceStep::Again,
-            Err(error) => OnceStep::Done(Err(error)),
+            Err(_) if self.answer_lost => WriteOnceStep::Again,
+            Err(error) => WriteOnceStep::Done(Err(error)),
         }
     }
 
@@ -161,7 +161,7 @@
         if !self.answer_lost {
             return OnceOutcome::Refused { found, revision };
         }
-        match self.own.shows_in(&found, revision) {
+        match self.marker.find_revision(&found, revision) {
             Some(written) => OnceOutcome::Written(written),
             None => OnceOutcome::Overtaken { found, revision },
         }
@@ -186,17 +186,17 @@
     mut batch: WriteBatch,
     pace: RetryPace,
 ) -> Result<OnceOutcome, StoreError> {
-    let mut progress = OnceProgress::new(&mut batch)?;
-    let mut waits = pace.waits();
+    let mut state = WriteOnceState::new(&mut batch)?;
+    let mut delays = pace.delays();
     loop {
         let result = store.transact(batch.clone()).await;
         let last_error = result.as_ref().err().map(ToString::to_string);
-        if let OnceStep::Done(result) = progress.take(result) {
+        if let WriteOnceStep::Done(result) = state.on_result(result) {
             return result;
         }
-        let Some(wait) = waits.next() else {
+        let Some(delay) = delays.next() else {
             return Err(StoreError::AnswerLost(last_error.unwrap_or_default()));
         };
-        tokio::time::sleep(wait).await;
+        tokio::time::sleep(delay).await;
     }
 }
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -66,7 +66,7 @@
 }
 
 /// Returns a client with a short timeout.
-pub fn impatient(base_url: &str) -> GatewayStore {
+pub fn store_with_short_timeout(base_url: &str) -> GatewayStore {
     let settings = settings(base_url).call_timeout(SHORT_TIMEOUT);
     GatewayStore::new(settings, NoCounts)
 }
@@ -96,10 +96,10 @@
 }
 
 /// A retry policy with few attempts and short delays.
-pub fn quick_pace() -> RetryPace {
+pub fn quick_retries() -> RetryPace {
     RetryPace::new(7)
         .attempts(4)
-        .first_wait(Duration::from_millis(5))
+        .first_delay(Duration::from_millis(5))
 }
 
 pub fn one(key: &str) -> KeyRange {
--- a/crates/store/tests/fenced_lease.rs
+++ b/crates/store/tests/fenced_lease.rs
@@ -19,14 +19,14 @@
     TransactionAnswer, WriteBatch,
 };
 
-use common::{TestBed, batch, lose, outage, prefix, put, quick_pace, value_of};
+use common::{TestBed, batch, lose, outage, prefix, put, quick_retries, value_of};
 
-const SPAN: Duration = Duration::from_secs(10);
+const TTL: Duration = Duration::from_secs(10);
 const START: Timestamp = Timestamp::from_micros(1_000_000);
 
 on_both_stores!(
     one_holder_at_a_time,
-    a_paused_holder_finds_out_that_its_lease_lapsed,
+    a_paused_holder_detects_that_its_lease_expired,
     a_renewed_lease_runs_on,
     a_renewal_without_an_answer_leaves_the_old_term,
     a_claim_whose_answer_is_lost_is_held_or_given_back,
@@ -38,7 +38,7 @@
     LeaseRequest {
         key: "leases/lot-1".into(),
         holder: holder.into(),
-        span: SPAN,
+        ttl: TTL,
     }
 }
 
@@ -47,7 +47,7 @@
     holder: &str,
     now: Timestamp,
 ) -> Result<AcquireOutcome, StoreError> {
-    FencedLease::acquire(store, &request(holder), quick_pace(), now).await
+    FencedLease::acquire(store, &request(holder), quick_retries(), now).await
 }
 
 async fn hold(store: &impl PlatformStore, holder: &str, now: Timestamp) -> FencedLease {
@@ -76,19 +76,19 @@
 /// A daemon is paused past the end of its lease, and another takes over its work. When
 /// the first resumes it assumes that it still holds the lease; its writes must not be
 /// stored beside, or replace, the new holder's results.
-async fn a_paused_holder_finds_out_that_its_lease_lapsed<S: PlatformStore>(bed: TestBed<S>) {
+async fn a_paused_holder_detects_that_its_lease_expired<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let paused = hold(store, "a", START).await;
-    assert!(paused.is_valid(START + SPAN * 8 / 10));
+    assert!(paused.is_valid(START + TTL * 8 / 10));
     // The lease has ended by the holder's clock, but not yet on the platform.
-    let pause = SPAN * 9 / 10;
+    let pause = TTL * 9 / 10;
     bed.platform.advance(pause);
     assert!(!paused.is_valid(START + pause));
     let taken = acquire(store, "b", START + pause).await.unwrap();
     assert_matches!(taken, AcquireOutcome::Taken { .. });
 
-    bed.platform.advance(SPAN / 10);
-    let woken = START + SPAN;
+    bed.platform.advance(TTL / 10);
+    let woken = START + TTL;
     let holder = hold(store, "b", woken).await;
     assert!(holder.fence > paused.fence);
     let late = store.transact(guarded(&paused, "late")).await.unwrap();
@@ -112,13 +112,13 @@
     let mut lease = hold(store, "a", START).await;
     let mut now = START;
     for _ in 0..5 {
-        assert!(!lease.is_renewal_due(now + SPAN / 4));
-        now = now + SPAN / 2;
-        bed.platform.advance(SPAN / 2);
+        assert!(!lease.is_renewal_due(now + TTL / 4));
+        now = now + TTL / 2;
+        bed.platform.advance(TTL / 2);
         assert!(lease.is_renewal_due(now));
         lease.renew(store, now).await.unwrap();
     }
-    assert!(lease.is_valid(now + SPAN / 2));
+    assert!(lease.is_valid(now + TTL / 2));
     let written = store.transact(guarded(&lease, "own")).await.unwrap();
     assert_matches!(written, TransactionAnswer::Written(_));
 }
@@ -128,20 +128,20 @@
 async fn a_renewal_without_an_answer_leaves_the_old_term<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let mut lease = hold(store, "a", START).await;
-    let later = START + SPAN / 2;
-    bed.platform.advance(SPAN / 2);
+    let later = START + TTL / 2;
+    bed.platform.advance(TTL / 2);
     bed.platform.change_faults(outage(true));
     lease.renew(store, later).await.unwrap_err();
     assert!(lease.is_valid(later));
-    assert!(!lease.is_valid(START + SPAN));
+    assert!(!lease.is_valid(START + TTL));
     bed.platform.change_faults(outage(false));
 
     bed.platform.change_faults(lose(LostAnswers::Next(1)));
     let renewed = lease.renew(store, later).await;
     assert_matches!(renewed, Err(StoreError::AnswerLost(_)));
-    assert!(!lease.is_valid(START + SPAN));
+    assert!(!lease.is_valid(START + TTL));
     lease.renew(store, later).await.unwrap();
-    assert!(lease.is_valid(START + SPAN));
+    assert!(lease.is_valid(START + TTL));
 }
 
 /// Answers are lost while a daemon claims a lease. It must not assume that it holds a
@@ -186,8 +186,8 @@
         .change_faults(lose(LostAnswers::Later { answer: 1, lose: 1 }));
     let again = acquire(store, "a", START).await.unwrap();
     assert_matches!(again, AcquireOutcome::Taken { holder: Some(it) } if it == "a");
-    bed.platform.advance(SPAN);
-    let new = hold(store, "a", START + SPAN).await;
+    bed.platform.advance(TTL);
+    let new = hold(store, "a", START + TTL).await;
     assert!(new.fence > old.fence);
     let late = store.transact(guarded(&old, "late")).await.unwrap();
     assert_matches!(late, TransactionAnswer::Refused { .. });
@@ -199,13 +199,13 @@
 #[test]
 fn a_term_counts_from_before_the_call() {
     let answered = START + Duration::from_secs(3);
-    let term = LeaseTerm::new(START, SPAN);
+    let term = LeaseTerm::new(START, TTL);
     assert_eq!(term.left(answered), Duration::from_secs(6));
     let mut term = term;
-    term.renew(answered, SPAN);
+    term.renew(answered, TTL);
     assert!(term.is_valid(answered + Duration::from_secs(8)));
     // The answer to an earlier renewal arrives later.
-    term.renew(START + Duration::from_secs(1), SPAN);
+    term.renew(START + Duration::from_secs(1), TTL);
     assert!(term.is_valid(answered + Duration::from_secs(8)));
     term.end();
     assert!(!term.is_valid(START));
--- a/crates/store/tests/renewed_watch.rs
+++ b/crates/store/tests/renewed_watch.rs
@@ -14,18 +14,18 @@
 
 /// A store of which every other watch stalls: it is open, but its messages are lost.
 #[derive(Clone, Debug, Default)]
-struct HangingStore {
+struct StallingStore {
     /// The revisions from which watches were opened.
     opened: Arc<Mutex<Vec<Revision>>>,
 }
 
 #[derive(Debug)]
-struct HangingWatch {
+struct StallingWatch {
     /// The revision that the first message reports; none if the watch stalls.
     first: Option<Revision>,
 }
 
-impl WatchStream for HangingWatch {
+impl WatchStream for StallingWatch {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
         let Some(revision) = self.first.take() else {
             return std::future::pending().await;
@@ -41,8 +41,8 @@
     Err(StoreError::Rejected("unused by this test".to_owned()))
 }
 
-impl PlatformStore for HangingStore {
-    type Watch = HangingWatch;
+impl PlatformStore for StallingStore {
+    type Watch = StallingWatch;
 
     async fn range(&self, _: KeyRange, _: usize) -> Result<RangeAnswer, StoreError> {
         unused()
@@ -64,12 +64,12 @@
         unused()
     }
 
-    async fn watch(&self, _: KeyRange, from: Revision) -> Result<HangingWatch, StoreError> {
+    async fn watch(&self, _: KeyRange, from: Revision) -> Result<StallingWatch, StoreError> {
         let mut opened = self.opened.lock().unwrap();
         opened.push(from);
-        let is_hung = opened.len() % 2 == 1;
-        Ok(HangingWatch {
-            first: (!is_hung).then_some(from + 4),
+        let is_stalled = opened.len() % 2 == 1;
+        Ok(StallingWatch {
+            first: (!is_stalled).then_some(from + 4),
         })
     }
 }
@@ -77,8 +77,8 @@
 /// A watch's messages are lost while its connection is up. A daemon would then never
 /// learn of lots accepted since, or of requests that crash servers.
 #[tokio::test(start_paused = true)]
-async fn a_watch_hangs_while_its_connection_stands() {
-    let store = HangingStore::default();
+async fn a_stalled_watch_is_reopened() {
+    let store = StallingStore::default();
     let range = KeyRange::Prefix("lots/".to_owned());
     let mut watch = RenewedWatch::open(store.clone(), range, 7).await.unwrap();
     let minute = Duration::from_secs(60);
--- a/crates/store/tests/store_contract.rs
+++ b/crates/store/tests/store_contract.rs
@@ -24,8 +24,8 @@
     transactions_write_together_or_not_at_all,
     comparisons_hold_as_named,
     too_large_writes_are_rejected,
-    leased_keys_vanish_unless_renewed,
-    revoked_leases_take_their_keys,
+    leased_keys_are_deleted_unless_renewed,
+    revoking_a_lease_deletes_its_keys,
 );
 
 async fn ranges_are_read_in_key_order<S: PlatformStore>(bed: TestBed<S>) {
@@ -116,7 +116,7 @@
     assert_matches!(result, Err(StoreError::Rejected(_)));
 }
 
-async fn leased_keys_vanish_unless_renewed<S: PlatformStore>(bed: TestBed<S>) {
+async fn leased_keys_are_deleted_unless_renewed<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let lease = store.grant(Duration::from_secs(10)).await.unwrap();
     let leased = Write::Put {
@@ -140,7 +140,7 @@
     assert_eq!(value_of(store, "k").await, None);
 }
 
-async fn revoked_leases_take_their_keys<S: PlatformStore>(bed: TestBed<S>) {
+async fn revoking_a_lease_deletes_its_keys<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let lease = store.grant(Duration::from_secs(10)).await.unwrap();
     let leased = Write::Put {
--- a/crates/store/tests/store_faults.rs
+++ b/crates/store/tests/store_faults.rs
@@ -23,8 +23,8 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 use common::{
-    SHORT_TIMEOUT, SLOW, TestBed, batch, gateway_bed, impatient, lose, memory_bed, outage, prefix,
-    put, settings, slow, value_of, vm_list, wait_for_value, write,
+    SHORT_TIMEOUT, SLOW, TestBed, batch, gateway_bed, lose, memory_bed, outage, prefix, put,
+    settings, slow, store_with_short_timeout, value_of, vm_list, wait_for_value, write,
 };
 
 on_both_stores!(
@@ -85,7 +85,7 @@
 #[tokio::test]
 async fn a_slow_write_takes_effect_after_its_caller_gave_up() {
     let bed = gateway_bed().await;
-    let store = impatient(&bed.base_url);
+    let store = store_with_short_timeout(&bed.base_url);
     bed.platform.change_faults(slow(SLOW));
     let result = store.transact(batch(vec![], vec![put("k", "v")])).await;
     assert_matches!(result, Err(StoreError::AnswerLost(_)));
@@ -115,7 +115,7 @@
 async fn a_silent_platform_has_lost_the_answer() {
     let listener = bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let base_url = format!("http://{}", listener.local_addr().unwrap());
-    let store = impatient(&base_url);
+    let store = store_with_short_timeout(&base_url);
     let begin = tokio::time::Instant::now();
     let result = store.transact(batch(vec![], vec![put("k", "")])).await;
     assert_matches!(result, Err(StoreError::AnswerLost(_)));
@@ -182,12 +182,12 @@
 
 /// Records the calls and open watches that a client reports.
 #[derive(Clone, Default)]
-struct NotedCounts {
+struct RecordingCounts {
     calls: Arc<Mutex<Vec<(StoreCall, CallEnd)>>>,
     watches: Arc<Mutex<i32>>,
 }
 
-impl CallCounts for NotedCounts {
+impl CallCounts for RecordingCounts {
     fn count(&self, call: StoreCall, end: CallEnd, _took: Duration) {
         self.calls.lock().unwrap().push((call, end));
     }
@@ -204,7 +204,7 @@
 #[tokio::test]
 async fn calls_are_reported_by_kind_and_end() {
     let bed = gateway_bed().await;
-    let counts = NotedCounts::default();
+    let counts = RecordingCounts::default();
     let store = GatewayStore::new(settings(&bed.base_url), counts.clone());
     store.range(prefix(""), 0).await.unwrap();
     let watch = store.watch(prefix(""), 0).await.unwrap();
--- a/crates/store/tests/watch_contract.rs
+++ b/crates/store/tests/watch_contract.rs
@@ -21,15 +21,15 @@
 
 /// A timeout longer than any step of these tests, so that a hang is reported as a
 /// failure.
-const PATIENCE: Duration = Duration::from_secs(5);
+const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 
 on_both_stores!(
     a_watch_reports_writes_from_its_start,
     a_watch_reports_the_last_change_of_each_key,
     a_watch_resumes_without_a_gap,
-    a_watch_reports_lapsed_leases,
-    a_watch_behind_the_history_says_so,
-    a_watch_that_falls_behind_the_history_says_so,
+    a_watch_reports_expired_leases,
+    a_watch_from_before_the_history_fails,
+    a_watch_that_falls_behind_the_history_fails,
     a_broken_watch_ends_with_an_error,
     a_held_watch_reports_later,
 );
@@ -44,7 +44,7 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, change).await.unwrap()
+    tokio::time::timeout(STEP_TIMEOUT, change).await.unwrap()
 }
 
 fn keys(batch: &WatchBatch) -> Vec<&str> {
@@ -105,7 +105,7 @@
     assert_eq!(batch.revision, seen + 2);
 }
 
-async fn a_watch_reports_lapsed_leases<S: PlatformStore>(bed: TestBed<S>) {
+async fn a_watch_reports_expired_leases<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let lease = store.grant(Duration::from_secs(10)).await.unwrap();
     let leased = Write::Put {
@@ -124,7 +124,7 @@
 /// A daemon was disconnected for so long that the platform has dropped the history that
 /// it missed. If it resumed as if nothing had happened, it would keep settings that
 /// were changed long ago.
-async fn a_watch_behind_the_history_says_so<S: PlatformStore>(bed: TestBed<S>) {
+async fn a_watch_from_before_the_history_fails<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let missed = write(store, vec![put("k", "1")]).await;
     let kept = write(store, vec![put("k", "2")]).await;
@@ -139,7 +139,7 @@
     assert_eq!(next_change(&mut watch).await.unwrap().revision, kept);
 }
 
-async fn a_watch_that_falls_behind_the_history_says_so<S: PlatformStore>(bed: TestBed<S>) {
+async fn a_watch_that_falls_behind_the_history_fails<S: PlatformStore>(bed: TestBed<S>) {
     let store = &bed.store;
     let first = write(store, vec![put("k", "1")]).await;
     let mut watch = store.watch(prefix(""), first + 1).await.unwrap();
--- a/crates/store/tests/write_once.rs
+++ b/crates/store/tests/write_once.rs
@@ -13,20 +13,20 @@
 use assert_matches::assert_matches;
 use comfreyramp_standins::platform::LostAnswers;
 use comfreyramp_store::{
-    Comparison, KeyValue, OnceOutcome, OnceProgress, OnceStep, PlatformStore, RetryPace,
-    StoreError, TransactionAnswer, Write, WriteBatch, write_once,
+    Comparison, KeyValue, OnceOutcome, PlatformStore, RetryPace, StoreError, TransactionAnswer,
+    Write, WriteBatch, WriteOnceState, WriteOnceStep, write_once,
 };
 
 use common::{
-    SLOW, TestBed, absent, batch, gateway_bed, impatient, lose, one, outage, put, quick_pace, slow,
-    value_of, write,
+    SLOW, TestBed, absent, batch, gateway_bed, lose, one, outage, put, quick_retries, slow,
+    store_with_short_timeout, value_of, write,
 };
 
 on_both_stores!(
     a_lost_answer_is_read_back,
     a_write_without_any_answer_stays_undecided,
     a_failed_comparison_is_a_refusal,
-    an_outage_before_the_first_attempt_is_told_as_such,
+    an_outage_before_the_first_attempt_is_reported_as_such,
     one_of_two_racing_writers_wins,
     a_deletion_is_read_back,
 );
@@ -42,7 +42,7 @@
     for lost in 1..4 {
         let key = format!("k{lost}");
         bed.platform.change_faults(lose(LostAnswers::Next(lost)));
-        let outcome = write_once(&bed.store, create(&key, "mine"), quick_pace()).await;
+        let outcome = write_once(&bed.store, create(&key, "mine"), quick_retries()).await;
         let written = assert_matches!(outcome, Ok(OnceOutcome::Written(revision)) => revision);
         let pair = bed.store.range(one(&key), 0).await.unwrap().pairs.remove(0);
         assert_eq!((pair.modified, pair.version), (written, 1));
@@ -51,7 +51,7 @@
 
 async fn a_write_without_any_answer_stays_undecided<S: PlatformStore>(bed: TestBed<S>) {
     bed.platform.change_faults(lose(LostAnswers::All(true)));
-    let outcome = write_once(&bed.store, create("k", "mine"), quick_pace()).await;
+    let outcome = write_once(&bed.store, create("k", "mine"), quick_retries()).await;
     assert_matches!(outcome, Err(StoreError::AnswerLost(_)));
     assert_eq!(bed.platform.calls().txn, 4);
     assert_eq!(value_of(&bed.store, "k").await.as_deref(), Some("mine"));
@@ -59,15 +59,15 @@
 
 async fn a_failed_comparison_is_a_refusal<S: PlatformStore>(bed: TestBed<S>) {
     write(&bed.store, vec![put("k", "theirs")]).await;
-    let outcome = write_once(&bed.store, create("k", "mine"), quick_pace()).await;
+    let outcome = write_once(&bed.store, create("k", "mine"), quick_retries()).await;
     let found = assert_matches!(outcome, Ok(OnceOutcome::Refused { found, .. }) => found);
     assert_eq!(found[0].value, "theirs");
     assert_eq!(bed.platform.calls().txn, 2);
 }
 
-async fn an_outage_before_the_first_attempt_is_told_as_such<S: PlatformStore>(bed: TestBed<S>) {
+async fn an_outage_before_the_first_attempt_is_reported_as_such<S: PlatformStore>(bed: TestBed<S>) {
     bed.platform.change_faults(outage(true));
-    let outcome = write_once(&bed.store, create("k", "mine"), quick_pace()).await;
+    let outcome = write_once(&bed.store, create("k", "mine"), quick_retries()).await;
     assert_matches!(
         outcome,
         Err(StoreError::Unreachable(_) | StoreError::AnswerLost(_))
@@ -83,8 +83,8 @@
         let key = format!("k{lost}");
         bed.platform.change_faults(lose(LostAnswers::Next(lost)));
         let (first, second) = tokio::join!(
-            write_once(&bed.store, create(&key, "first"), quick_pace()),
-            write_once(&bed.store, create(&key, "second"), quick_pace()),
+            write_once(&bed.store, create(&key, "first"), quick_retries()),
+            write_once(&bed.store, create(&key, "second"), quick_retries()),
         );
         let value = value_of(&bed.store, &key).await.unwrap();
         for (outcome, own) in [(first, "first"), (second, "second")] {
@@ -99,7 +99,7 @@
     bed.platform.change_faults(lose(LostAnswers::Next(1)));
     let when = vec![Comparison::ModifiedAt("k".into(), revision)];
     let delete = batch(when, vec![Write::Delete("k".into())]);
-    let outcome = write_once(&bed.store, delete, quick_pace()).await;
+    let outcome = write_once(&bed.store, delete, quick_retries()).await;
     assert_matches!(outcome, Ok(OnceOutcome::Written(_)));
     assert_eq!(value_of(&bed.store, "k").await, None);
 }
@@ -111,14 +111,16 @@
 async fn a_copy_that_arrives_late_has_no_effect() {
     let bed = gateway_bed().await;
     bed.platform.change_faults(slow(SLOW));
-    let first = impatient(&bed.base_url).transact(create("k", "mine")).await;
+    let first = store_with_short_timeout(&bed.base_url)
+        .transact(create("k", "mine"))
+        .await;
     assert_matches!(first, Err(StoreError::AnswerLost(_)));
     bed.platform.change_faults(slow(Duration::ZERO));
-    let outcome = write_once(&bed.store, create("k", "mine"), quick_pace()).await;
+    let outcome = write_once(&bed.store, create("k", "mine"), quick_retries()).await;
     let written = assert_matches!(outcome, Ok(OnceOutcome::Written(revision)) => revision);
     let when = vec![Comparison::ModifiedAt("k".into(), written)];
     let next = batch(when, vec![put("k", "next")]);
-    write_once(&bed.store, next, quick_pace()).await.unwrap();
+    write_once(&bed.store, next, quick_retries()).await.unwrap();
     tokio::time::sleep(SLOW).await;
     assert_eq!(value_of(&bed.store, "k").await.as_deref(), Some("next"));
 }
@@ -141,30 +143,30 @@
 /// Reported as "unreachable", the caller would assume that nothing ran.
 #[test]
 fn an_outage_after_a_lost_answer_is_no_proof_of_not_run() {
-    let mut progress = OnceProgress::new(&mut create("k", "mine")).unwrap();
+    let mut state = WriteOnceState::new(&mut create("k", "mine")).unwrap();
     let lost = Err(StoreError::AnswerLost(String::new()));
-    assert_matches!(progress.take(lost), OnceStep::Again);
+    assert_matches!(state.on_result(lost), WriteOnceStep::Again);
     let unreachable = || Err(StoreError::Unreachable(String::new()));
-    assert_matches!(progress.take(unreachable()), OnceStep::Again);
-    let step = progress.take(refused(vec![pair("mine", 4)]));
-    assert_matches!(step, OnceStep::Done(Ok(OnceOutcome::Written(4))));
+    assert_matches!(state.on_result(unreachable()), WriteOnceStep::Again);
+    let step = state.on_result(refused(vec![pair("mine", 4)]));
+    assert_matches!(step, WriteOnceStep::Done(Ok(OnceOutcome::Written(4))));
 
-    let mut progress = OnceProgress::new(&mut create("k", "mine")).unwrap();
-    let step = progress.take(unreachable());
-    assert_matches!(step, OnceStep::Done(Err(StoreError::Unreachable(_))));
+    let mut state = WriteOnceState::new(&mut create("k", "mine")).unwrap();
+    let step = state.on_result(unreachable());
+    assert_matches!(step, WriteOnceStep::Done(Err(StoreError::Unreachable(_))));
 }
 
 /// An answer is lost, and by the next attempt another writer has written the key. It is
 /// unknown whether this write was in force for a moment.
 #[test]
-fn a_key_overwritten_after_a_lost_answer_is_told_as_overtaken() {
-    let mut progress = OnceProgress::new(&mut create("k", "mine")).unwrap();
+fn a_key_overwritten_after_a_lost_answer_is_reported_as_overtaken() {
+    let mut state = WriteOnceState::new(&mut create("k", "mine")).unwrap();
     let lost = Err(StoreError::AnswerLost(String::new()));
-    assert_matches!(progress.take(lost), OnceStep::Again);
-    let step = progress.take(refused(vec![pair("theirs", 5)]));
+    assert_matches!(state.on_result(lost), WriteOnceStep::Again);
+    let step = state.on_result(refused(vec![pair("theirs", 5)]));
     let found = assert_matches!(
         step,
-        OnceStep::Done(Ok(OnceOutcome::Overtaken { found, .. })) => found
+        WriteOnceStep::Done(Ok(OnceOutcome::Overtaken { found, .. })) => found
     );
     assert_eq!(found[0].value, "theirs");
 }
@@ -175,11 +177,11 @@
 fn a_missing_key_is_no_sign_of_a_batch_that_also_writes() {
     let when = vec![Comparison::ModifiedAt("k".into(), 4)];
     let then = vec![Write::Delete("k".into()), put("l", "mine")];
-    let mut progress = OnceProgress::new(&mut batch(when, then)).unwrap();
+    let mut state = WriteOnceState::new(&mut batch(when, then)).unwrap();
     let lost = Err(StoreError::AnswerLost(String::new()));
-    assert_matches!(progress.take(lost), OnceStep::Again);
-    let step = progress.take(refused(Vec::new()));
-    assert_matches!(step, OnceStep::Done(Ok(OnceOutcome::Overtaken { .. })));
+    assert_matches!(state.on_result(lost), WriteOnceStep::Again);
+    let step = state.on_result(refused(Vec::new()));
+    assert_matches!(step, WriteOnceStep::Done(Ok(OnceOutcome::Overtaken { .. })));
 }
 
 /// A batch could take effect twice, and its repetition would undo a change that another
@@ -192,7 +194,7 @@
         batch(vec![Comparison::Present("k".into())], vec![put("k", "")]),
     ];
     for mut batch in cases {
-        let result = OnceProgress::new(&mut batch);
+        let result = WriteOnceState::new(&mut batch);
         assert_matches!(result, Err(StoreError::Rejected(_)), "{batch:?}");
     }
 }
@@ -201,16 +203,16 @@
 fn waits_double_up_to_a_bound_and_differ_by_seed() {
     let pace = RetryPace::new(1)
         .attempts(8)
-        .first_wait(Duration::from_millis(100))
+        .first_delay(Duration::from_millis(100))
         .longest_wait(Duration::from_millis(800));
-    let waits: Vec<Duration> = pace.waits().collect();
-    assert_eq!(waits.len(), 7);
-    for (repetition, wait) in waits.iter().enumerate() {
-        let longest = Duration::from_millis(100 << repetition.min(3));
-        assert!(*wait <= longest && *wait >= longest / 2, "{waits:?}");
+    let delays: Vec<Duration> = pace.delays().collect();
+    assert_eq!(delays.len(), 7);
+    for (repetition, delay) in delays.iter().enumerate() {
+        let max_delay = Duration::from_millis(100 << repetition.min(3));
+        assert!(*delay <= max_delay && *delay >= max_delay / 2, "{delays:?}");
     }
-    let same: Vec<Duration> = pace.waits().collect();
-    assert_eq!(waits, same);
+    let same: Vec<Duration> = pace.delays().collect();
+    assert_eq!(delays, same);
     let other = RetryPace { seed: 2, ..pace };
-    assert_ne!(waits, other.waits().collect::<Vec<_>>());
+    assert_ne!(delays, other.delays().collect::<Vec<_>>());
 }
