--- a/crates/store/src/lease_term.rs
+++ b/crates/store/src/lease_term.rs
@@ -4,8 +4,9 @@
 
 use comfreyramp_policy::Timestamp;
 
-/// The holder leaves one part in this many of a lease unused, since the two clocks may
-/// not run equally fast, and since a check and the action after it take time.
+/// The divisor of the safety margin: the holder leaves a tenth of each lease unused,
+/// since the two clocks may not run equally fast, and since a check and the action
+/// after it take time.
 const MARGIN_DIVISOR: u32 = 10;
 /// How many renewals fit into the duration of a lease: two of them can fail before it
 /// expires.
--- a/crates/store/src/renewed_watch.rs
+++ b/crates/store/src/renewed_watch.rs
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the store can't be reached or refuses.
+    /// Fails if the store can't be reached or rejects the call.
     pub async fn open(store: S, range: KeyRange, from: Revision) -> Result<Self, StoreError> {
         let watch = store.watch(range.clone(), from).await?;
         Ok(RenewedWatch {
--- a/crates/store/src/retry_pace.rs
+++ b/crates/store/src/retry_pace.rs
@@ -60,8 +60,8 @@
     /// Returns the delay before a repetition, the first being number 0.
     pub fn delay(&self, repetition: u32, rng: &mut impl Rng) -> Duration {
         let factor = 2_u32.saturating_pow(repetition.min(20));
-        let max_delay = self.first_delay.saturating_mul(factor);
-        let max_delay = max_delay.min(self.max_delay);
-        max_delay.mul_f64(rng.random_range(0.5..=1.0))
+        let limit = self.first_delay.saturating_mul(factor);
+        let limit = limit.min(self.max_delay);
+        limit.mul_f64(rng.random_range(0.5..=1.0))
     }
 }
