--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -122,9 +122,7 @@
 /// daemon runs.
 fn check_reloaded_settings(path: Option<PathBuf>) {
     match read_settings(path) {
-        Ok(settings) => {
-            log::info!(name = settings.name; "node: settings file checked; changes apply at the next start")
-        }
+        Ok(settings) => log::info!(name = settings.name; "node: settings file is valid"),
         Err(error) => log::error!(error:% = format!("{error:#}"); "node: invalid settings file"),
     }
 }
