--- a/crates/settings/src/check_team.rs
+++ b/crates/settings/src/check_team.rs
@@ -325,7 +325,7 @@
     if path == "/v1" || path.starts_with("/v1/") {
         reader.add_finding(
             "prefix",
-            "is path /v1, which is reserved for models",
+            "is below /v1, which is reserved for models",
             "choose another prefix",
         );
     }
