--- a/crates/settings/src/difference.rs
+++ b/crates/settings/src/difference.rs
@@ -1,24 +1,24 @@
-//! What differs between two states of a team's settings.
+//! The differences between two versions of a team's settings.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// What became of a place.
+/// How the value at a place differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DifferenceKind {
-    /// It wasn't there before.
+    /// The value was added.
     Added,
-    /// It has another value.
+    /// The value changed.
     Changed,
-    /// It is no longer there.
+    /// The value was removed.
     Removed,
 }
 
 impl DifferenceKind {
-    /// The word that tables show.
+    /// Returns the word that tables print for the kind.
     pub fn as_str(self) -> &'static str {
         match self {
             DifferenceKind::Added => "added",
@@ -28,12 +28,12 @@
     }
 }
 
-/// One place at which two settings differ.
+/// One place at which two versions of the settings differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsDifference {
-    /// What became of it.
+    /// How the value differs.
     pub what: DifferenceKind,
-    /// The place, such as `customers[press].rate`.
+    /// The path of the value, such as `customers[press].rate`.
     pub place: String,
     /// The value before, as JSON; empty if there was none.
     pub before: String,
@@ -42,10 +42,10 @@
 }
 
 impl SettingsDifference {
-    /// All differences between two settings, by place.
+    /// Returns all differences between two versions, ordered by place.
     ///
-    /// Entries of lists are placed by their names, so that one entry that was
-    /// added doesn't shift all that follow.
+    /// Entries of lists are identified by their names, so that an added entry doesn't
+    /// change the places of those after it.
     pub fn between(before: &Value, after: &Value) -> Vec<SettingsDifference> {
         let (before, after) = (flatten(before), flatten(after));
         let mut differences = Vec::new();
@@ -75,32 +75,32 @@
     before: Option<&Value>,
     after: Option<&Value>,
 ) -> SettingsDifference {
-    let shown = |it: Option<&Value>| it.map(ToString::to_string).unwrap_or_default();
+    let to_json = |it: Option<&Value>| it.map(ToString::to_string).unwrap_or_default();
     SettingsDifference {
         what,
         place: place.to_owned(),
-        before: shown(before),
-        after: shown(after),
+        before: to_json(before),
+        after: to_json(after),
     }
 }
 
-/// Each value with its place.
+/// Returns every leaf value by its place.
 fn flatten(value: &Value) -> BTreeMap<String, Value> {
-    let mut flat = BTreeMap::new();
-    flatten_into(value, String::new(), &mut flat);
-    flat
+    let mut values = BTreeMap::new();
+    flatten_into(value, String::new(), &mut values);
+    values
 }
 
-fn flatten_into(value: &Value, place: String, flat: &mut BTreeMap<String, Value>) {
+fn flatten_into(value: &Value, place: String, values: &mut BTreeMap<String, Value>) {
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
-                let below = if place.is_empty() {
+                let child_place = if place.is_empty() {
                     name.clone()
                 } else {
                     format!("{place}.{name}")
                 };
-                flatten_into(value, below, flat);
+                flatten_into(value, child_place, values);
             }
         }
         Value::Array(entries) => {
@@ -108,11 +108,11 @@
                 let name = value["name"]
                     .as_str()
                     .map_or(index.to_string(), str::to_owned);
-                flatten_into(value, format!("{place}[{name}]"), flat);
+                flatten_into(value, format!("{place}[{name}]"), values);
             }
         }
         other => {
-            flat.insert(place, other.clone());
+            values.insert(place, other.clone());
         }
     }
 }
--- a/crates/settings/tests/team_checks.rs
+++ b/crates/settings/tests/team_checks.rs
@@ -1,4 +1,4 @@
-//! What the checks of a team's subtree find, and where.
+//! The findings of the checks of a team's settings, and their places.
 
 use comfreyramp_settings::{FindingList, TeamSettings};
 use serde_json::{Value, json};
@@ -23,7 +23,7 @@
     })
 }
 
-fn found(settings: &Value) -> FindingList {
+fn findings_of(settings: &Value) -> FindingList {
     TeamSettings::check(settings.to_string().as_bytes())
         .err()
         .unwrap_or_default()
@@ -33,7 +33,8 @@
     list.findings.iter().map(|it| it.place.as_str()).collect()
 }
 
-/// Sets the value at a pointer such as `/customers/0/rate`.
+/// Returns valid settings with the value at a pointer such as `/customers/0/rate`
+/// replaced.
 fn with(pointer: &str, value: Value) -> Value {
     let mut settings = valid();
     let (parent, field) = pointer.rsplit_once('/').expect("a pointer");
@@ -46,11 +47,11 @@
 
 #[test]
 fn valid_settings_have_no_findings() {
-    assert_eq!(found(&valid()), FindingList::default());
+    assert_eq!(findings_of(&valid()), FindingList::default());
 }
 
-/// An operator mistypes one field. Told only that something is wrong, he would
-/// have to search a file of many customers.
+/// One field is wrong. Without its place an operator would have to search a file of
+/// many customers.
 #[test]
 fn each_field_is_found_at_its_place_with_a_fix() {
     let long = "a".repeat(65);
@@ -150,7 +151,7 @@
         ("/notes", json!(""), "notes"),
     ];
     for (pointer, value, place) in cases {
-        let list = found(&with(pointer, value.clone()));
+        let list = findings_of(&with(pointer, value.clone()));
         assert!(
             places(&list).contains(&place),
             "{pointer} = {value}: {list}"
@@ -159,12 +160,12 @@
     }
 }
 
-/// A view of the settings is up to 3 s old while all is well. With a bound
-/// below that the customer's callers are refused although nothing failed.
+/// A view of the settings is up to 3 s old in normal operation. A lower limit would
+/// reject the customer's callers although nothing failed.
 #[test]
-fn a_bound_on_the_views_age_must_leave_room_for_the_usual_age() {
+fn a_limit_on_the_views_age_must_allow_for_the_typical_age() {
     let bound = |seconds: u64| {
-        found(&with(
+        findings_of(&with(
             "/customers/0/when_cut/refuse_after/seconds",
             json!(seconds),
         ))
@@ -178,8 +179,8 @@
     }
 }
 
-/// A prefix with dots, escapes or a query never matches the path of a call, or
-/// matches one that a server reads as another.
+/// A prefix with dots, escapes or a query never matches the path of a call, or matches
+/// one that a server interprets as another path.
 #[test]
 fn a_prefix_is_made_of_plain_segments() {
     let wrong = [
@@ -199,22 +200,22 @@
         "/v1/files",
     ];
     for prefix in wrong {
-        let list = found(&with("/services/1/kind/plain/prefix", json!(prefix)));
+        let list = findings_of(&with("/services/1/kind/plain/prefix", json!(prefix)));
         assert!(
             places(&list).contains(&"services[1].kind.plain.prefix"),
             "{prefix}: {list}"
         );
     }
     for prefix in ["/a", "/a/", "/a/b", "/v10", "/a.b/c~d", "/..a"] {
-        let list = found(&with("/services/1/kind/plain/prefix", json!(prefix)));
+        let list = findings_of(&with("/services/1/kind/plain/prefix", json!(prefix)));
         assert_eq!(list, FindingList::default(), "{prefix}");
     }
 }
 
-/// A file has several mistakes. An operator who is told of one at a time has
-/// to repeat the change for each of them.
+/// A file has several mistakes. If they were reported one at a time, an operator would
+/// have to repeat the change for each of them.
 #[test]
-fn all_findings_come_together_in_the_order_of_the_text() {
+fn all_findings_are_reported_in_the_order_of_the_text() {
     let settings = json!({
         "customers": [
             { "name": "press", "rate": -1, "burst": 0, "colour": 1 },
@@ -223,7 +224,7 @@
         "services": [{ "name": "drafts", "group": "engines" }],
         "more": true,
     });
-    let list = found(&settings);
+    let list = findings_of(&settings);
     let expected = [
         "customers[0].rate",
         "customers[0].burst",
@@ -236,10 +237,10 @@
     assert_eq!(places(&list), expected, "{list}");
 }
 
-/// A list stands where an object is due. Some readers take the entries for the
-/// fields in their order, and put a rate into a name's place.
+/// A list is given instead of an object. Deserializers of structs accept a list as the
+/// fields in order, which could put a rate into the name.
 #[test]
-fn a_list_is_no_object() {
+fn a_list_is_not_an_object() {
     for text in [
         "[]",
         "[[], []]",
@@ -251,11 +252,11 @@
         let list = TeamSettings::check(text.as_bytes()).expect_err(text);
         assert_eq!(places(&list), ["(the whole text)"], "{text}");
     }
-    let list = found(&json!({ "customers": [["press", 5, 10]] }));
+    let list = findings_of(&json!({ "customers": [["press", 5, 10]] }));
     assert!(places(&list).contains(&"customers[0]"), "{list}");
 }
 
-/// A text is cut off or isn't JSON at all.
+/// The settings are truncated or aren't JSON at all.
 #[test]
 fn broken_json_is_found_at_its_line() {
     let list = TeamSettings::check(b"{\n  \"customers\": [\n    {,\n").expect_err("broken");
@@ -266,19 +267,19 @@
     assert!(TeamSettings::check(deep.as_bytes()).is_err());
 }
 
-/// An operator pastes a second list of customers below the first. A parser
-/// keeps the last one, and the customers of the first would lose their keys.
+/// An operator pastes a second list of customers below the first. A JSON parser keeps
+/// only the last one, so the customers of the first would lose their keys.
 #[test]
-fn a_field_that_stands_twice_is_found() {
+fn a_duplicate_field_is_found() {
     let text =
         r#"{"customers": [{"name": "a", "rate": 1, "rate": 2, "burst": 1}], "customers": []}"#;
-    let list = TeamSettings::check(text.as_bytes()).expect_err("doubled fields");
+    let list = TeamSettings::check(text.as_bytes()).expect_err("duplicate fields");
     assert_eq!(places(&list), ["customers[0].rate", "customers"], "{list}");
 }
 
-/// Two entries of one team claim the same name, key, model or prefix.
+/// Two entries of one team have the same name, key, model or prefix.
 #[test]
-fn doubles_within_a_team_name_both_places() {
+fn duplicates_within_a_team_name_both_places() {
     let mut settings = valid();
     let customer = settings["customers"][0].clone();
     settings["customers"]
@@ -291,7 +292,7 @@
         .expect("a list")
         .extend(services);
     settings["services"][3]["kind"]["plain"]["prefix"] = json!("/proofs/");
-    let list = found(&settings);
+    let list = findings_of(&settings);
     let expected = [
         "customers[1].name",
         "customers[1].keys[0].sha256",
@@ -311,13 +312,16 @@
         .as_array_mut()
         .expect("a list")
         .push(key);
-    assert_eq!(places(&found(&settings)), ["customers[0].keys[1].name"]);
+    assert_eq!(
+        places(&findings_of(&settings)),
+        ["customers[0].keys[1].name"]
+    );
 }
 
-/// A second team claims what another has, or a prefix below another's, and
-/// would take over its calls.
+/// A second team uses a value of another team, or a prefix below that team's, and would
+/// take over its calls.
 #[test]
-fn doubles_across_teams_name_the_other_team() {
+fn conflicts_between_teams_name_the_other_team() {
     let check = |settings: &Value| {
         TeamSettings::check(settings.to_string().as_bytes()).expect("valid settings")
     };
--- a/crates/store/src/gateway_store.rs
+++ b/crates/store/src/gateway_store.rs
@@ -19,27 +19,27 @@
     },
 };
 
-/// How long a call may take, unless the settings say otherwise.
+/// The default timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest answer that is read.
-const ANSWER_LIMIT: usize = 256_000_000;
-/// The longest error answer that is read.
-pub(crate) const ERROR_LIMIT: usize = 64_000;
-/// gRPC's code for a thing that doesn't exist.
+/// The maximum size of a response in bytes.
+const MAX_ANSWER_BYTES: usize = 256_000_000;
+/// The maximum size of an error response in bytes.
+pub(crate) const MAX_ERROR_BYTES: usize = 64_000;
+/// The gRPC code `NOT_FOUND`.
 const NOT_FOUND: i32 = 5;
-/// The gRPC codes that say for certain that nothing was done: invalid
-/// argument, not found, already exists, permission denied, resource exhausted,
-/// failed precondition, out of range, unimplemented, unauthenticated.
-const CERTAIN_REFUSALS: [i32; 9] = [3, 5, 6, 7, 8, 9, 11, 12, 16];
+/// The gRPC codes which guarantee that nothing was done: invalid argument, not found,
+/// already exists, permission denied, resource exhausted, failed precondition, out of
+/// range, unimplemented, unauthenticated.
+const DEFINITE_ERROR_CODES: [i32; 9] = [3, 5, 6, 7, 8, 9, 11, 12, 16];
 
-/// Where the gateway is and how long to wait for it.
+/// The gateway's address and timeout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewaySettings {
     /// The gateway's `ip:port`.
     pub address: String,
-    /// How long one call may take, from opening a connection to the last byte
-    /// of the answer. Half of it is left to opening a connection, so that a
-    /// platform behind a cut is told from one that lost an answer.
+    /// The timeout of a call, from opening a connection to the last byte of the
+    /// response. Connecting may take half of it, so that a platform which can't be
+    /// reached is distinguished from one whose answer was lost.
     pub call_timeout: Duration,
 }
 
@@ -53,7 +53,8 @@
 }
 
 impl GatewaySettings {
-    /// The gateway at `ip:port` or `http://ip:port`, with the default timeout.
+    /// Creates settings for the gateway at `ip:port` or `http://ip:port`, with the
+    /// default timeout.
     pub fn new(address: &str) -> Self {
         let address = address.trim_start_matches("http://").trim_end_matches('/');
         GatewaySettings {
@@ -62,24 +63,25 @@
         }
     }
 
-    /// Sets how long one call may take.
+    /// Sets the timeout of a call.
     pub fn call_timeout(mut self, timeout: Duration) -> Self {
         self.call_timeout = timeout;
         self
     }
 
-    /// The address of one call.
+    /// Returns the URL of a path at the gateway.
     pub(crate) fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.address)
     }
 
-    /// A client whose connections leave a call time for its answer.
+    /// Creates an HTTP client that may spend half of a call's timeout on connecting,
+    /// which leaves the rest for the response.
     pub(crate) fn client(&self) -> HttpClient {
         HttpClient::new(self.call_timeout / 2)
     }
 }
 
-/// The platform's key-value service over HTTP.
+/// A client of the platform's key-value service over HTTP.
 #[derive(Clone, Debug)]
 pub struct GatewayStore<C: CallCounts = NoCounts> {
     client: HttpClient,
@@ -88,7 +90,7 @@
 }
 
 impl<C: CallCounts> GatewayStore<C> {
-    /// A client that reports its calls to `counts`.
+    /// Creates a client that reports its calls to `counts`.
     pub fn new(settings: GatewaySettings, counts: C) -> Self {
         let client = settings.client();
         GatewayStore {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Makes one call and reads its whole answer.
+    /// Makes a call and reads its whole response.
     async fn call<Q, A>(&self, call: StoreCall, path: &str, request: &Q) -> Result<A, StoreError>
     where
         Q: Serialize + Sync,
@@ -106,13 +108,13 @@
     {
         let exchange = async {
             let response = self.send(path, request).await?;
-            let body = collect_limited(response.into_body(), ANSWER_LIMIT).await;
+            let body = collect_limited(response.into_body(), MAX_ANSWER_BYTES).await;
             read_json(&body.map_err(|error| StoreError::AnswerLost(error.to_string()))?)
         };
-        self.timed(call, exchange).await
+        self.counted(call, exchange).await
     }
 
-    /// Makes one call and reads the first line of its answer.
+    /// Makes a call and returns a reader of the lines of its streamed response.
     async fn open<Q: Serialize + Sync>(
         &self,
         path: &str,
@@ -136,22 +138,22 @@
         exchange(&self.client, request).await
     }
 
-    /// Limits a call's time and reports how it ended.
-    async fn timed<T>(
+    /// Applies the timeout to a call and counts how it ended.
+    async fn counted<T>(
         &self,
         call: StoreCall,
         exchange: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         let limit = self.settings.call_timeout;
         let begin = Instant::now();
-        let result = within(limit, exchange).await;
+        let result = with_timeout(limit, exchange).await;
         self.counts
             .count(call, CallEnd::of(&result), begin.elapsed());
         result
     }
 }
 
-/// Sends a request and tells a refusal from an answer.
+/// Sends a request. A response with a status other than 200 becomes an error.
 pub(crate) async fn exchange(
     client: &HttpClient,
     request: Request<comfreyramp_http::MessageBody>,
@@ -161,31 +163,35 @@
         return Ok(response);
     }
     let status = response.status();
-    let body = collect_limited(response.into_body(), ERROR_LIMIT).await;
-    Err(refusal(status, &body.unwrap_or_default()))
+    let body = collect_limited(response.into_body(), MAX_ERROR_BYTES).await;
+    Err(response_error(status, &body.unwrap_or_default()))
 }
 
-/// Limits the time of an exchange. Its request may have left by then.
-pub(crate) async fn within<T>(
+/// Applies a timeout to a call. A timeout counts as a lost answer, since the request
+/// may already have been sent.
+pub(crate) async fn with_timeout<T>(
     limit: Duration,
     exchange: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     match tokio::time::timeout(limit, exchange).await {
         Ok(result) => result,
-        Err(_) => Err(StoreError::AnswerLost(format!("nothing within {limit:?}"))),
+        Err(_) => Err(StoreError::AnswerLost(format!(
+            "no answer within {limit:?}"
+        ))),
     }
 }
 
-/// Reads an answer. One that can't be read tells nothing of what was done.
+/// Parses a response body. An unreadable body counts as a lost answer, since it doesn't
+/// tell whether the call took effect.
 pub(crate) fn read_json<T: DeserializeOwned>(body: &Bytes) -> Result<T, StoreError> {
     let parsed = serde_json::from_slice(body);
-    parsed.map_err(|error| StoreError::AnswerLost(format!("unreadable: {error}")))
+    parsed.map_err(|error| StoreError::AnswerLost(format!("invalid response: {error}")))
 }
 
-/// What an error answer means. Some of the platform's errors, a change of its
-/// leader among them, leave open whether a write took effect; taking such an
-/// answer for a refusal would make a caller write twice.
-pub(crate) fn refusal(status: StatusCode, body: &Bytes) -> StoreError {
+/// Converts an error response to a [`StoreError`]. Some errors of the platform, such as
+/// a change of its leader, leave open whether a write took effect; if they counted as
+/// rejections, a caller would write twice.
+pub(crate) fn response_error(status: StatusCode, body: &Bytes) -> StoreError {
     let Ok(error) = serde_json::from_slice::<ErrorMessage>(body) else {
         let text = format!("status {status}");
         return match status.is_client_error() {
@@ -193,24 +199,24 @@
             false => StoreError::AnswerLost(text),
         };
     };
-    coded_error(error.code, error.message)
+    grpc_error(error.code, error.message)
 }
 
-fn coded_error(code: i32, message: String) -> StoreError {
+fn grpc_error(code: i32, message: String) -> StoreError {
     if code == NOT_FOUND && message.contains("lease not found") {
         return StoreError::LeaseLapsed;
     }
-    if CERTAIN_REFUSALS.contains(&code) {
+    if DEFINITE_ERROR_CODES.contains(&code) {
         return StoreError::Rejected(message);
     }
     StoreError::AnswerLost(message)
 }
 
 impl<T: Default> StreamLine<T> {
-    /// The line's message, or the error that ends the stream.
+    /// Returns the line's message, or the error that ends the stream.
     pub(crate) fn into_result(self) -> Result<T, StoreError> {
         match self.error {
-            Some(error) => Err(coded_error(error.grpc_code, error.message)),
+            Some(error) => Err(grpc_error(error.grpc_code, error.message)),
             None => Ok(self.result.unwrap_or_default()),
         }
     }
@@ -259,7 +265,7 @@
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<Duration, StoreError> {
-        let request = LeaseMessage::named(lease);
+        let request = LeaseMessage::for_lease(lease);
         let exchange = async {
             let mut lines = self.open("/v3/lease/keepalive", &request).await?;
             let line = lines.next().await?;
@@ -267,11 +273,11 @@
             let line: StreamLine<LeaseMessage> = read_json(&line)?;
             line.into_result()?.time_left()
         };
-        self.timed(StoreCall::LeaseRenew, exchange).await
+        self.counted(StoreCall::LeaseRenew, exchange).await
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), StoreError> {
-        let request = LeaseMessage::named(lease);
+        let request = LeaseMessage::for_lease(lease);
         let answer: Result<HeaderResponse, _> = self
             .call(StoreCall::LeaseRevoke, "/v3/lease/revoke", &request)
             .await;
@@ -286,6 +292,6 @@
             let lines = self.open("/v3/watch", &request).await?;
             GatewayWatch::open(lines, self.counts.clone()).await
         };
-        self.timed(StoreCall::Watch, exchange).await
+        self.counted(StoreCall::Watch, exchange).await
     }
 }
--- a/crates/store/src/gateway_vm_list.rs
+++ b/crates/store/src/gateway_vm_list.rs
@@ -11,25 +11,25 @@
 
 use crate::{
     CallCounts, CallEnd, GatewaySettings, ListedVm, NoCounts, StoreCall, StoreError, VmList,
-    gateway_store::{ERROR_LIMIT, read_json, refusal, within},
+    gateway_store::{MAX_ERROR_BYTES, read_json, response_error, with_timeout},
 };
 
-/// The longest list that is read, in bytes.
-const LIST_LIMIT: usize = 8_000_000;
+/// The maximum size of a list in bytes.
+const MAX_LIST_BYTES: usize = 8_000_000;
 
-/// A list as it was read, with the tag that the platform gave it.
+/// A list and the `ETag` that it was sent with.
 #[derive(Clone, Debug)]
 struct TaggedList {
     tag: HeaderValue,
     vms: Vec<ListedVm>,
 }
 
-/// The platform's VM list over HTTP: `GET /vms` gives a JSON array.
+/// A client of the platform's VM list over HTTP: `GET /vms` returns a JSON array.
 ///
-/// The list of a whole fleet is over 100 KB and rarely changes. Where the platform
-/// gives it an `ETag`, the next read asks with `If-None-Match`, and an unchanged
-/// list costs a few bytes. Read whole each second, it would take six times of what
-/// a daemon may spend on control; see docs/CAPACITY.md.
+/// The list of a whole fleet is over 100 KB and rarely changes. If the platform sends
+/// it with an `ETag`, the next read sends `If-None-Match`, and an unchanged list costs
+/// a few bytes. Reading the whole list each second would take six times the bandwidth
+/// that a daemon may spend on control traffic; see docs/CAPACITY.md.
 #[derive(Clone, Debug)]
 pub struct GatewayVmList<C: CallCounts = NoCounts> {
     client: HttpClient,
@@ -39,7 +39,7 @@
 }
 
 impl<C: CallCounts> GatewayVmList<C> {
-    /// A client that reports its calls to `counts`.
+    /// Creates a client that reports its calls to `counts`.
     pub fn new(settings: GatewaySettings, counts: C) -> Self {
         let client = settings.client();
         GatewayVmList {
@@ -62,14 +62,14 @@
         let response = self.client.send(request).await?;
         let status = response.status();
         let tag = response.headers().get(header::ETAG).cloned();
-        let body = collect_limited(response.into_body(), LIST_LIMIT).await;
+        let body = collect_limited(response.into_body(), MAX_LIST_BYTES).await;
         if let Some(last) = last.filter(|_| status == StatusCode::NOT_MODIFIED) {
             return Ok(last.vms);
         }
         if status != StatusCode::OK {
             let mut body = body.unwrap_or_default();
-            body.truncate(ERROR_LIMIT);
-            return Err(refusal(status, &body));
+            body.truncate(MAX_ERROR_BYTES);
+            return Err(response_error(status, &body));
         }
         let body = body.map_err(|error| StoreError::AnswerLost(error.to_string()))?;
         let vms: Vec<ListedVm> = read_json(&body)?;
@@ -93,7 +93,7 @@
 impl<C: CallCounts> VmList for GatewayVmList<C> {
     async fn vms(&self) -> Result<Vec<ListedVm>, StoreError> {
         let begin = Instant::now();
-        let result = within(self.settings.call_timeout, self.read()).await;
+        let result = with_timeout(self.settings.call_timeout, self.read()).await;
         let end = CallEnd::of(&result);
         self.counts.count(StoreCall::VmList, end, begin.elapsed());
         result
--- a/crates/store/src/renewed_watch.rs
+++ b/crates/store/src/renewed_watch.rs
@@ -1,22 +1,23 @@
-//! A watch that doesn't hang for ever.
+//! A watch that is reopened when it stalls.
 
 use std::time::Duration;
 
 use crate::{KeyRange, PlatformStore, Revision, StoreError, WatchBatch, WatchStream};
 
-/// A watch that says nothing for so long is opened anew. Each opening is billed, and a
-/// fleet of hundreds of daemons has one each.
-const SILENT_SPAN: Duration = Duration::from_secs(30);
+/// How long a watch may receive nothing before it is reopened. Each opening is billed,
+/// and a fleet of hundreds of daemons has one watch each.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A watch that is opened anew, from where it stood, when nothing was heard for a while.
+/// A watch that is reopened, from the revision it had reached, when it received nothing
+/// for a while.
 ///
-/// One whose connection stands but whose messages were lost looks like one without news.
-/// A reader without bounds on the age of its view would never find out.
+/// A watch whose connection is up but whose messages were lost looks like a watch
+/// without changes. A reader that doesn't limit the age of its view would never notice.
 #[derive(Debug)]
 pub struct RenewedWatch<S: PlatformStore> {
     store: S,
     range: KeyRange,
-    /// The first revision that wasn't seen.
+    /// The first revision that hasn't been received.
     from: Revision,
     watch: Option<S::Watch>,
 }
@@ -26,7 +27,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the store can't be reached or refuses.
+    /// Fails if the store can't be reached or rejects the call.
     pub async fn open(store: S, range: KeyRange, from: Revision) -> Result<Self, StoreError> {
         let watch = store.watch(range.clone(), from).await?;
         Ok(RenewedWatch {
@@ -37,7 +38,7 @@
         })
     }
 
-    async fn opened(&mut self) -> Result<S::Watch, StoreError> {
+    async fn take_or_open(&mut self) -> Result<S::Watch, StoreError> {
         match self.watch.take() {
             Some(watch) => Ok(watch),
             None => self.store.watch(self.range.clone(), self.from).await,
@@ -48,8 +49,8 @@
 impl<S: PlatformStore> WatchStream for RenewedWatch<S> {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
         loop {
-            let mut watch = self.opened().await?;
-            let Ok(batch) = tokio::time::timeout(SILENT_SPAN, watch.next()).await else {
+            let mut watch = self.take_or_open().await?;
+            let Ok(batch) = tokio::time::timeout(SILENCE_TIMEOUT, watch.next()).await else {
                 continue;
             };
             let batch = batch?;
