--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,6 +1,6 @@
-//! What one decision about a live request costs in all at the size of the
-//! target: urgency, suspects, queue and routing, with 910 servers and 780
-//! customers. The bytes that the state holds are printed beside it.
+//! Benchmarks the complete decision about one live request at the target size: urgency,
+//! suspects, queue and routing with 910 servers and 780 customers. Also prints the
+//! memory that the state takes, in bytes.
 
 use std::{hint::black_box, time::Duration};
 
@@ -22,7 +22,7 @@
     streaming: true,
 };
 
-/// Everything that one daemon asks about a live request.
+/// The state that one daemon consults to decide about live requests.
 struct Daemon {
     rng: StdRng,
     micros: u64,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// One call comes, one goes to a server, and one ends.
+    /// Queues one arriving call, sends the next queued call to a server, and ends it.
     fn decide(&mut self) -> Option<QueuedCall> {
         self.micros += 1;
         let now = self.now();
@@ -144,7 +144,10 @@
     let mut group = criterion.benchmark_group("decision");
     for backlog in [0, 50, CUSTOMERS] {
         let mut daemon = Daemon::new(backlog);
-        assert!(daemon.decide().is_some(), "a call that is decided in full");
+        assert!(
+            daemon.decide().is_some(),
+            "the call is queued, routed and started"
+        );
         group.bench_function(format!("{backlog}-customers-waiting"), |bencher| {
             bencher.iter(|| black_box(daemon.decide()));
         });
--- a/crates/policy/benches/freshness.rs
+++ b/crates/policy/benches/freshness.rs
@@ -1,4 +1,4 @@
-//! What it costs a daemon to know whether to follow the settings.
+//! Benchmarks how a daemon decides whether to follow the settings in the platform.
 
 use std::{hint::black_box, time::Duration};
 
@@ -8,7 +8,7 @@
 use criterion::{Criterion, criterion_group, criterion_main};
 use rand::{SeedableRng, rngs::StdRng};
 
-/// The daemons of the fleet, and how many of them share a zone.
+/// The number of daemons in the fleet, and how many of them are in the same zone.
 const FLEET: u32 = 360;
 const ZONE: u32 = 52;
 
@@ -21,8 +21,8 @@
     (1..FLEET).map(member).collect()
 }
 
-/// One second of a daemon that doesn't follow the platform: ten looks whether
-/// it should, one ask, one answer.
+/// Simulates one second of a daemon that doesn't follow the platform: ten checks of
+/// whether it should follow, one query to a peer and one answer.
 fn second(plan: &mut WatchPlan, members: &[FleetMember], now: Timestamp, rng: &mut StdRng) {
     for _ in 0..10 {
         black_box(plan.should_follow(now));
--- a/crates/policy/benches/rate_ledger.rs
+++ b/crates/policy/benches/rate_ledger.rs
@@ -1,5 +1,5 @@
-//! What the rate ledger costs with 780 customers loaded: one admission from a
-//! slot held here, one token borrowed and answered, one tick.
+//! Benchmarks the rate ledger with 780 customers: admitting a request from a slot held
+//! by this daemon, borrowing one token from another daemon, and one tick.
 
 use std::{hint::black_box, time::Duration};
 
@@ -23,7 +23,8 @@
     rates
 }
 
-/// A ledger as in a zone of 51 daemons; `all` holds all slots of the zone.
+/// Returns the ledger of daemon `me` in a zone of 51 daemons. If `all` is given, that
+/// daemon holds all slots of the zone.
 fn ledger(me: u32, all: Option<u32>) -> (ShareLedger, Timestamp) {
     let start = Timestamp::from_micros(1_000_000);
     let timing = LedgerTiming::default();
@@ -66,8 +67,8 @@
         });
     });
 
-    // Two milliseconds apart, so that each customer has less demand here than
-    // makes the asker borrow ahead.
+    // Requests are two milliseconds apart, so that each customer's demand at this
+    // daemon stays below the level at which the daemon borrows in advance.
     let mut borrower = asker.clone();
     let (mut holder, _) = ledger(0, Some(0));
     let mut number = 0;
--- a/crates/policy/benches/routing.rs
+++ b/crates/policy/benches/routing.rs
@@ -1,4 +1,4 @@
-//! What one routing decision costs at the size of the target: 910 servers.
+//! Benchmarks one routing decision at the target size of 910 servers.
 
 use std::{hint::black_box, time::Duration};
 
--- a/crates/policy/examples/freshness.rs
+++ b/crates/policy/examples/freshness.rs
@@ -1,7 +1,6 @@
-//! Prints how settings reach a fleet of the size to come, on virtual time.
-//!
-//! The figures of `docs/FRESHNESS.md` come from here:
-//! `cargo run --release -p comfreyramp-policy --example freshness`.
+//! Simulates how settings reach a fleet of the expected future size, on virtual time,
+//! and prints the figures of `docs/FRESHNESS.md`: `cargo run --release -p
+//! comfreyramp-policy --example freshness`.
 
 #[allow(dead_code, reason = "shared with the tests")]
 #[allow(clippy::unwrap_used, reason = "shared with the tests")]
@@ -18,42 +17,42 @@
 /// How often the settings are changed in each case.
 const CHANGES: u32 = 20;
 /// The time between two changes.
-const BETWEEN: Duration = Duration::from_millis(3_370);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(3_370);
 
-/// One line of the table.
-struct CaseLine {
+/// One simulated case, printed as a row of the table.
+struct CaseRun {
     name: &'static str,
     run: FleetRun,
-    longest: Duration,
-    oldest: Duration,
+    max_delay: Duration,
+    max_age: Duration,
     watches: usize,
 }
 
-impl CaseLine {
+impl CaseRun {
     fn new(name: &'static str) -> Self {
-        CaseLine::of(name, FreshnessSettings::default())
+        CaseRun::of(name, FreshnessSettings::default())
     }
 
     fn of(name: &'static str, settings: FreshnessSettings) -> Self {
         let mut run = FleetRun::with_settings(&ZONES, 1, settings);
-        run.pass(Duration::from_secs(20));
-        CaseLine {
+        run.advance(Duration::from_secs(20));
+        CaseRun {
             name,
             run,
-            longest: Duration::ZERO,
-            oldest: Duration::ZERO,
+            max_delay: Duration::ZERO,
+            max_age: Duration::ZERO,
             watches: 0,
         }
     }
 
-    /// Changes the settings a number of times and prints what was seen.
+    /// Changes the settings [`CHANGES`] times and prints the results.
     fn print(mut self) {
         let began = self.run.now();
-        let (calls, asks) = (self.run.platform_calls, self.run.asks);
+        let (calls, queries) = (self.run.platform_calls, self.run.queries);
         for _ in 0..CHANGES {
-            self.longest = self.longest.max(self.run.change_settings());
-            self.run.pass(BETWEEN);
-            self.oldest = self.oldest.max(self.run.oldest_view());
+            self.max_delay = self.max_delay.max(self.run.change_settings());
+            self.run.advance(CHANGE_INTERVAL);
+            self.max_age = self.max_age.max(self.run.oldest_view());
             self.watches = self.watches.max(self.run.followers());
         }
         let seconds = self.run.now().since(began).as_secs_f64();
@@ -61,11 +60,11 @@
         println!(
             "| {} | {:.2} s | {:.2} s | {} | {:.1} | {:.1} |",
             self.name,
-            self.longest.as_secs_f64(),
-            self.oldest.as_secs_f64(),
+            self.max_delay.as_secs_f64(),
+            self.max_age.as_secs_f64(),
             self.watches,
             per_second(self.run.platform_calls - calls),
-            per_second(self.run.asks - asks),
+            per_second(self.run.queries - queries),
         );
     }
 }
@@ -79,34 +78,34 @@
         watchers: usize::MAX,
         ..FreshnessSettings::default()
     };
-    CaseLine::of("every daemon watches (baseline)", everyone).print();
-    CaseLine::new("all well").print();
+    CaseRun::of("every daemon watches (baseline)", everyone).print();
+    CaseRun::new("all well").print();
 
-    let mut silent = CaseLine::new("watches silent");
+    let mut silent = CaseRun::new("watches silent");
     silent.run.watches_silent = true;
     silent.print();
 
-    let mut lost = CaseLine::new("both watchers of a zone lost");
-    for watcher in lost.run.following_in_zone(0) {
+    let mut lost = CaseRun::new("both watchers of a zone lost");
+    for watcher in lost.run.followers_in_zone(0) {
         lost.run.stop(watcher);
     }
     lost.print();
 
-    let mut cut = CaseLine::new("both watchers of a zone without platform");
-    for watcher in cut.run.following_in_zone(0) {
+    let mut cut = CaseRun::new("both watchers of a zone without platform");
+    for watcher in cut.run.followers_in_zone(0) {
         cut.run.cut_from_platform(watcher, true);
     }
     cut.print();
 
-    let mut zone = CaseLine::new("a zone without platform");
+    let mut zone = CaseRun::new("a zone without platform");
     for daemon in zone.run.zone(0) {
         zone.run.cut_from_platform(daemon, true);
     }
     zone.print();
 
-    let mut back = CaseLine::new("after an outage of 10 minutes");
-    back.run.platform_up = false;
-    back.run.pass(Duration::from_secs(600));
-    back.run.platform_up = true;
-    back.print();
+    let mut recovered = CaseRun::new("after an outage of 10 minutes");
+    recovered.run.platform_up = false;
+    recovered.run.advance(Duration::from_secs(600));
+    recovered.run.platform_up = true;
+    recovered.print();
 }
--- a/crates/policy/examples/rate_refusals.rs
+++ b/crates/policy/examples/rate_refusals.rs
@@ -1,5 +1,5 @@
-//! Measures wrongful refusals and messages of the rate shares against an equal
-//! static split and one central bucket, and prints the table of docs/RATES.md.
+//! Compares the rate shares with an equal static split and with one central bucket:
+//! counts wrongly refused requests and messages, and prints the table of docs/RATES.md.
 //!
 //! `cargo run --release -p comfreyramp-policy --example rate_refusals`
 
@@ -15,21 +15,21 @@
     checks::{CentralBucket, overshoot},
 };
 
-/// Buckets fill before the first request.
+/// The buckets are full by the time of the first request.
 const START: u64 = 60 * SECOND;
 
-/// Where a customer's requests arrive.
+/// The daemons at which a customer's requests arrive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Arrival {
-    /// At any daemon.
+    /// Any daemon.
     Spread,
-    /// All at one daemon, another one for each customer.
+    /// One daemon, a different one for each customer.
     Pinned,
-    /// All at one daemon, which changes every five seconds.
+    /// One daemon, which changes every five seconds.
     Moving,
-    /// All in one zone.
+    /// Any daemon of one zone.
     OneZone,
-    /// Quiet for a while, then the whole burst at once, at one daemon.
+    /// One daemon: the whole burst at once, followed by an idle period.
     Bursts,
 }
 
@@ -47,12 +47,14 @@
 struct Scenario {
     name: &'static str,
     arrival: Arrival,
-    /// Demand as a part of each customer's rate.
+    /// Demand as a fraction of each customer's rate.
     load: f64,
     faults: Vec<(u64, Fault)>,
-    /// Whether the platform can't be reached, by time in seconds and zone.
-    apart: Option<(u64, u64, Option<usize>)>,
-    /// The seconds whose requests are counted; the others run all the same.
+    /// When the platform can't be reached: first and last second, and the zone (`None`
+    /// for all zones).
+    disconnected: Option<(u64, u64, Option<usize>)>,
+    /// The seconds whose requests are counted. Requests outside of them are simulated
+    /// too.
     window: (u64, u64),
 }
 
@@ -85,14 +87,14 @@
     let mut at = START as f64;
     let mut arrivals = Vec::new();
     if scenario.arrival == Arrival::Bursts {
-        let pause = (f64::from(rate.burst) / rate.rate / scenario.load * 1e6) as u64;
-        let mut at = START + random.random_range(0..pause);
+        let interval = (f64::from(rate.burst) / rate.rate / scenario.load * 1e6) as u64;
+        let mut at = START + random.random_range(0..interval);
         while at < end {
             let daemon = random.random_range(0..daemons);
             for number in 0..u64::from(rate.burst) {
                 arrivals.push((at + number * 100, daemon, rate.customer));
             }
-            at += pause;
+            at += interval;
         }
         return arrivals;
     }
@@ -117,18 +119,18 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
+struct RefusalCounts {
     all: usize,
     central: usize,
     wrong: usize,
     admitted: usize,
-    short: usize,
+    admitted_too_few: usize,
     split_wrong: usize,
     call_wrong: usize,
     unavoidable: usize,
 }
 
-fn measure(fleet: &Fleet, scenario: &Scenario) {
+fn run_scenario(fleet: &Fleet, scenario: &Scenario) {
     let daemons = fleet.zones * fleet.per_zone;
     let rates = rates_of(fleet, scenario.load.min(0.8));
     let options = BusOptions {
@@ -157,18 +159,18 @@
             .or_default()
             .push(*request);
     }
-    let mut total = Count::default();
+    let mut total = RefusalCounts::default();
     let mut worst = f64::MIN;
     for rate in &rates {
         let Some(requests) = by_customer.get(&rate.customer) else {
             continue;
         };
-        let count = judge(fleet, scenario, rate, requests, daemons);
+        let count = count_refusals(fleet, scenario, rate, requests, daemons);
         total.all += count.all;
         total.central += count.central;
         total.wrong += count.wrong;
         total.admitted += count.admitted;
-        total.short += count.central.saturating_sub(count.admitted);
+        total.admitted_too_few += count.central.saturating_sub(count.admitted);
         total.split_wrong += count.split_wrong;
         total.call_wrong += count.call_wrong;
         total.unavoidable += count.unavoidable;
@@ -183,11 +185,12 @@
         let steps = [(0, rate.rate, f64::from(rate.burst))];
         worst = worst.max(overshoot(&times, &steps));
     }
-    // Messages belong to all requests of the run.
+    // Messages can't be attributed to a part of the run, so they are divided by all
+    // requests.
     let sent = bus.requests.len().max(1);
     let slices = bus.slices - slices;
     let each = slices as f64 / (bus.messages[1] - before[1]).max(1) as f64;
-    let part = |count: usize| 100.0 * count as f64 / total.all.max(1) as f64;
+    let percent = |count: usize| 100.0 * count as f64 / total.all.max(1) as f64;
     let messages: Vec<String> = (0..4)
         .map(|kind| (bus.messages[kind] - before[kind]) as f64 / sent as f64)
         .map(|each| format!("{each:.3}"))
@@ -197,12 +200,12 @@
         fleet.name,
         scenario.name,
         total.all,
-        part(total.all - total.central),
-        part(total.wrong),
-        part(total.short),
-        part(total.split_wrong),
-        part(total.call_wrong),
-        part(total.unavoidable),
+        percent(total.all - total.central),
+        percent(total.wrong),
+        percent(total.admitted_too_few),
+        percent(total.split_wrong),
+        percent(total.call_wrong),
+        percent(total.unavoidable),
         messages.join(" / "),
         each,
         if worst <= 0.0 {
@@ -213,13 +216,13 @@
     );
 }
 
-fn judge(
+fn count_refusals(
     fleet: &Fleet,
     scenario: &Scenario,
     rate: &CustomerRate,
     requests: &[Request],
     daemons: usize,
-) -> Count {
+) -> RefusalCounts {
     let burst = f64::from(rate.burst);
     let parts = daemons as f64;
     let mut central = CentralBucket::new(rate.rate, burst);
@@ -232,25 +235,25 @@
             burst * (zones - 1.0) / zones,
         ),
     ];
-    let mut count = Count::default();
+    let mut count = RefusalCounts::default();
     for request in requests {
         let admits = central.admits(request.arrived);
         let own = split
             .entry(request.daemon)
             .or_insert_with(|| CentralBucket::new(rate.rate / parts, burst / parts));
         let split_admits = own.admits(request.arrived);
-        let unreached = scenario.apart.is_some_and(|(from, to, zone)| {
+        let is_disconnected = scenario.disconnected.is_some_and(|(from, to, zone)| {
             let second = (request.arrived - START) / SECOND;
             let here = zone.is_none_or(|zone| zone == request.daemon / fleet.per_zone);
             here && (from..to).contains(&second)
         });
         let second = (request.arrived - START) / SECOND;
         let mut avoidable = true;
-        if let Some((from, to, Some(zone))) = scenario.apart {
+        if let Some((from, to, Some(zone))) = scenario.disconnected {
             let side = usize::from(zone != request.daemon / fleet.per_zone);
             let side_admits = sides[side].admits(request.arrived);
-            let apart = (from..to).contains(&second);
-            avoidable = !apart || !admits || side_admits;
+            let disconnected = (from..to).contains(&second);
+            avoidable = !disconnected || !admits || side_admits;
         }
         if !(scenario.window.0..scenario.window.1).contains(&second) {
             continue;
@@ -261,7 +264,7 @@
         count.admitted += usize::from(request.admitted);
         count.wrong += usize::from(admits && !request.admitted);
         count.split_wrong += usize::from(admits && !split_admits);
-        count.call_wrong += usize::from(admits && unreached);
+        count.call_wrong += usize::from(admits && is_disconnected);
     }
     count
 }
@@ -272,7 +275,7 @@
         arrival,
         load,
         faults: Vec::new(),
-        apart: None,
+        disconnected: None,
         window: (0, u64::MAX),
     };
     let mut all = vec![
@@ -292,11 +295,11 @@
     all.push(lossy);
     let mut outage = plain("platform out for 30 s", Arrival::Spread, 0.7);
     outage.faults = vec![(10, Fault::Outage(30 * SECOND))];
-    outage.apart = Some((10, 40, None));
+    outage.disconnected = Some((10, 40, None));
     all.push(outage);
     let mut cut = plain("a zone cut off for 30 s", Arrival::Spread, 0.7);
     cut.faults = vec![(10, Fault::Cut(0, 30 * SECOND))];
-    cut.apart = Some((10, 40, Some(0)));
+    cut.disconnected = Some((10, 40, Some(0)));
     let windows = [
         ("a zone cut off for 30 s", (0, u64::MAX)),
         ("the first 4 s of the cut", (10, 14)),
@@ -342,9 +345,9 @@
             seconds: 60,
         },
     ];
-    // Optional: a fleet and a word of the scenario's name.
+    // Optional arguments: the name of a fleet, and a part of a scenario's name.
     let only = std::env::args().nth(1);
-    let word = std::env::args().nth(2).unwrap_or_default();
+    let name_filter = std::env::args().nth(2).unwrap_or_default();
     println!(
         "| fleet | scenario | requests | refused by one bucket, % | wrongly refused, % | admitted too few, % | wrongly refused by static split, % | by a central counter, % | by one bucket on each side of a cut, % | asks per request: tokens / slices / returns / settlements | slices in a message | overshoot |"
     );
@@ -354,8 +357,8 @@
             continue;
         }
         for scenario in scenarios() {
-            if scenario.name.contains(&word) {
-                measure(fleet, &scenario);
+            if scenario.name.contains(&name_filter) {
+                run_scenario(fleet, &scenario);
             }
         }
     }
--- a/crates/policy/tests/claims.rs
+++ b/crates/policy/tests/claims.rs
@@ -1,4 +1,4 @@
-//! At most once: rule by rule.
+//! Tests of single rules of the claims, which make sure that a call runs at most once.
 
 mod claims_store;
 
@@ -13,16 +13,16 @@
 
 const BODY: Fingerprint = Fingerprint(5);
 
-/// Writes the next group to the store and takes in the answer.
-fn write(book: &mut ClaimBook, store: &mut Store, now: Timestamp) -> GroupAnswer {
-    let group = book.next_group(now).expect("a group");
+/// Writes the next group of claims to the store and passes the answer to the tracker.
+fn write(tracker: &mut ClaimBook, store: &mut Store, now: Timestamp) -> GroupAnswer {
+    let group = tracker.next_group(now).expect("a group");
     let answer = store.transact(&group.records, now);
-    book.group_answer(group.number, &answer, now);
+    tracker.group_answer(group.number, &answer, now);
     answer
 }
 
-/// A daemon is paused right after its claim was written. When it wakes, the
-/// record has lapsed, and the call was made through another daemon.
+/// A daemon is paused right after its claim was written. When it resumes, the record
+/// has expired and the call was made through another daemon.
 #[test]
 fn a_paused_daemon_does_not_send_on_an_old_claim() {
     let mut store = Store::default();
@@ -50,17 +50,22 @@
     for change in paused.take_changes(10) {
         store.change(change);
     }
-    assert_eq!(store.records[0].0.ticket, second, "the other's claim stays");
+    assert_eq!(
+        store.records[0].0.ticket, second,
+        "the claim of the other daemon stays"
+    );
 }
 
-/// The daemon that claimed is lost before anybody knows whether it sent the
-/// call. Another one must neither send it nor say that it didn't run.
+/// The daemon with the claim is lost, and nobody knows whether it sent the call.
+/// Another daemon must neither send the call nor report that it didn't run.
 #[test]
 fn a_resend_after_the_claimant_was_lost_is_unknown() {
     let mut store = Store::default();
-    let mut lost = ClaimBook::new(Incarnation(1));
-    lost.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
-    write(&mut lost, &mut store, at(1.0));
+    let mut lost_daemon = ClaimBook::new(Incarnation(1));
+    lost_daemon
+        .claim(ClaimKey(1), BODY, at(60.0), at(1.0))
+        .unwrap();
+    write(&mut lost_daemon, &mut store, at(1.0));
 
     let mut other = ClaimBook::new(Incarnation(2));
     let ticket = other.claim(ClaimKey(1), BODY, at(60.0), at(9.0)).unwrap();
@@ -73,34 +78,38 @@
     });
 }
 
-/// The write of the claim took effect and its answer is lost. Taking the record
-/// for somebody else's, the daemon would refuse a call that nobody makes.
+/// The write of a claim succeeds but its answer is lost. If the daemon took the record
+/// for another daemon's claim, it would refuse a call that nobody makes.
 #[test]
 fn an_own_claim_is_known_again_after_a_lost_answer() {
     let mut store = Store::default();
-    let mut book = ClaimBook::new(Incarnation(1));
-    let ticket = book.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
-    let group = book.next_group(at(1.0)).unwrap();
+    let mut tracker = ClaimBook::new(Incarnation(1));
+    let ticket = tracker.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
+    let group = tracker.next_group(at(1.0)).unwrap();
     store.transact(&group.records, at(1.0));
-    book.group_answer(group.number, &GroupAnswer::Lost, at(1.5));
-    assert_eq!(book.verdict(ClaimKey(1), ticket), ClaimVerdict::Wait);
-    let answer = write(&mut book, &mut store, at(1.5));
+    tracker.group_answer(group.number, &GroupAnswer::Lost, at(1.5));
+    assert_eq!(tracker.verdict(ClaimKey(1), ticket), ClaimVerdict::Wait);
+    let answer = write(&mut tracker, &mut store, at(1.5));
     assert_matches!(answer, GroupAnswer::Found(_));
-    assert!(book.start(ClaimKey(1), ticket, at(1.6)));
-    assert!(!book.start(ClaimKey(1), ticket, at(1.6)), "twice");
+    assert!(tracker.start(ClaimKey(1), ticket, at(1.6)));
+    assert!(
+        !tracker.start(ClaimKey(1), ticket, at(1.6)),
+        "the claim may start its call only once"
+    );
 }
 
-/// The platform can't be reached. The call isn't made, the caller hears so at
-/// once, and the calls after it don't wait for the same discovery.
+/// The platform can't be reached. The call isn't made, the caller gets a refusal at
+/// once, and later calls are refused without another attempt to reach the platform.
 #[test]
 fn without_the_platform_calls_are_refused_and_not_run() {
-    let mut book = ClaimBook::new(Incarnation(1));
-    let ticket = book.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
-    let group = book.next_group(at(1.0)).unwrap();
-    book.group_answer(group.number, &GroupAnswer::Unreachable, at(1.1));
+    let mut tracker = ClaimBook::new(Incarnation(1));
+    let ticket = tracker.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
+    let group = tracker.next_group(at(1.0)).unwrap();
+    tracker.group_answer(group.number, &GroupAnswer::Unreachable, at(1.1));
     let verdicts = [
-        book.verdict(ClaimKey(1), ticket),
-        book.claim(ClaimKey(2), BODY, at(60.0), at(1.2))
+        tracker.verdict(ClaimKey(1), ticket),
+        tracker
+            .claim(ClaimKey(2), BODY, at(60.0), at(1.2))
             .unwrap_err(),
     ];
     for verdict in verdicts {
@@ -110,31 +119,32 @@
             assert!(refusal.retry_after > Duration::ZERO);
         });
     }
-    assert!(book.claim(ClaimKey(2), BODY, at(60.0), at(2.2)).is_ok());
-    assert!(book.take_changes(10).is_empty(), "nothing was written");
+    assert!(tracker.claim(ClaimKey(2), BODY, at(60.0), at(2.2)).is_ok());
+    assert!(tracker.take_changes(10).is_empty(), "nothing was written");
 }
 
-/// The platform is slow, so the claim comes later than the caller can wait. A
-/// claim that stays behind would make each resend unknown for a day.
+/// The platform is slow, so the claim is written after the caller's deadline. If the
+/// claim stayed in the store, each resend would be answered as unknown for a day.
 #[test]
 fn a_claim_that_came_too_late_is_released() {
     let mut store = Store::default();
-    let mut book = ClaimBook::new(Incarnation(1));
-    let ticket = book.claim(ClaimKey(1), BODY, at(2.0), at(1.0)).unwrap();
-    let group = book.next_group(at(1.0)).unwrap();
+    let mut tracker = ClaimBook::new(Incarnation(1));
+    let ticket = tracker.claim(ClaimKey(1), BODY, at(2.0), at(1.0)).unwrap();
+    let group = tracker.next_group(at(1.0)).unwrap();
     store.transact(&group.records, at(2.5));
-    book.poll(at(2.5));
-    book.group_answer(group.number, &GroupAnswer::Written, at(2.6));
-    let verdict = book.verdict(ClaimKey(1), ticket);
+    tracker.poll(at(2.5));
+    tracker.group_answer(group.number, &GroupAnswer::Written, at(2.6));
+    let verdict = tracker.verdict(ClaimKey(1), ticket);
     assert_matches!(verdict, ClaimVerdict::Refused(it) if it.run == RunState::No);
-    book.take_changes(10)
+    tracker
+        .take_changes(10)
         .into_iter()
         .for_each(|it| store.change(it));
     assert!(store.records.is_empty());
 }
 
-/// A caller resends a call that was answered. It gets the stored answer, and a
-/// different call under the same key doesn't.
+/// A caller resends a call that was answered, and gets the stored answer. A different
+/// call under the same key is refused.
 #[test]
 fn a_resend_finds_the_answer_and_another_body_is_refused() {
     let mut store = Store::default();
@@ -145,7 +155,7 @@
     first.not_sent(ClaimKey(1), ticket);
     assert!(
         first.start(ClaimKey(1), ticket, at(1.2)),
-        "no byte had left"
+        "no byte had been sent"
     );
     let answer = AnswerRef("answers/1".to_owned());
     first.finish(ClaimKey(1), ticket, answer.clone());
@@ -173,38 +183,39 @@
 
 #[test]
 fn claims_are_written_together_under_load() {
-    let mut book = ClaimBook::new(Incarnation(1));
+    let mut tracker = ClaimBook::new(Incarnation(1));
     let mut store = Store::default();
     let mut groups = 0;
     for millis in 0..1000 {
         let now = at(1.0 + f64::from(millis) / 1000.0);
         let key = ClaimKey(millis as u128);
-        book.claim(key, BODY, at(60.0), now).unwrap();
-        if let Some(group) = book.next_group(now) {
+        tracker.claim(key, BODY, at(60.0), now).unwrap();
+        if let Some(group) = tracker.next_group(now) {
             groups += 1;
             assert!(group.records.len() <= 48);
             let answer = store.transact(&group.records, now);
-            book.group_answer(group.number, &answer, now);
+            tracker.group_answer(group.number, &answer, now);
         }
     }
     assert_eq!(groups, 50, "groups for 1000 claims in a second");
     assert!(store.records.len() >= 980);
 }
 
-/// The caller hangs up while its call runs. The claim must stay, or a resend
-/// would make the call a second time.
+/// The caller disconnects while its call runs. The claim must stay, or a resend would
+/// make the call a second time.
 #[test]
 fn a_call_whose_caller_left_keeps_its_claim() {
     let mut store = Store::default();
-    let mut book = ClaimBook::new(Incarnation(1));
-    let ticket = book.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
-    write(&mut book, &mut store, at(1.0));
-    assert!(book.start(ClaimKey(1), ticket, at(1.1)));
-    book.forget(ClaimKey(1), ticket);
-    book.poll(at(30.0));
-    assert!(book.take_changes(10).is_empty());
-    book.lose(ClaimKey(1), ticket);
-    book.take_changes(10)
+    let mut tracker = ClaimBook::new(Incarnation(1));
+    let ticket = tracker.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
+    write(&mut tracker, &mut store, at(1.0));
+    assert!(tracker.start(ClaimKey(1), ticket, at(1.1)));
+    tracker.forget(ClaimKey(1), ticket);
+    tracker.poll(at(30.0));
+    assert!(tracker.take_changes(10).is_empty());
+    tracker.lose(ClaimKey(1), ticket);
+    tracker
+        .take_changes(10)
         .into_iter()
         .for_each(|it| store.change(it));
     assert_eq!(store.records[0].0.state, ClaimState::Unknown);
--- a/crates/policy/tests/claims_fleet.rs
+++ b/crates/policy/tests/claims_fleet.rs
@@ -1,4 +1,4 @@
-//! At most once, on a small fleet on virtual time.
+//! Tests that calls run at most once, in a small fleet on virtual time.
 
 mod claims_store;
 
@@ -13,13 +13,13 @@
 
 const BODY: Fingerprint = Fingerprint(5);
 const STEP: Duration = Duration::from_millis(10);
-const RUNS_FOR: Duration = Duration::from_millis(100);
+const RUN_DURATION: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
     Claiming,
     Running(Timestamp),
-    Over,
+    Ended,
 }
 
 struct Attempt {
@@ -30,16 +30,16 @@
     ran: bool,
 }
 
-/// Daemons that are lost and paused, a platform that is out or slow or whose
-/// answers are lost, and callers who send the same call to one after another.
+/// Daemons that are lost and paused, a platform that is unavailable or slow or whose
+/// answers are lost, and callers that send the same call to several daemons.
 struct Fleet {
     rng: StdRng,
     now: Timestamp,
     faults: f64,
     store: Store,
-    late: Vec<(Timestamp, ClaimGroup)>,
-    out_until: Timestamp,
-    books: Vec<(ClaimBook, Timestamp)>,
+    delayed_writes: Vec<(Timestamp, ClaimGroup)>,
+    outage_until: Timestamp,
+    trackers: Vec<(ClaimBook, Timestamp)>,
     starts: u64,
     attempts: Vec<Attempt>,
     runs: Vec<u32>,
@@ -54,9 +54,9 @@
             now: at(1.0),
             faults,
             store: Store::default(),
-            late: Vec::new(),
-            out_until: Timestamp::ZERO,
-            books: (0..4)
+            delayed_writes: Vec::new(),
+            outage_until: Timestamp::ZERO,
+            trackers: (0..4)
                 .map(|it| (ClaimBook::new(Incarnation(it)), Timestamp::ZERO))
                 .collect(),
             starts: 4,
@@ -66,19 +66,19 @@
         }
     }
 
-    fn fault(&mut self, share: f64) -> bool {
-        let chance = self.faults * share;
+    fn fault(&mut self, fraction: f64) -> bool {
+        let chance = self.faults * fraction;
         self.rng.random_bool(chance)
     }
 
     fn send(&mut self, key: usize) {
-        let daemon = self.rng.random_range(0..self.books.len());
-        let (book, paused_until) = &mut self.books[daemon];
+        let daemon = self.rng.random_range(0..self.trackers.len());
+        let (tracker, paused_until) = &mut self.trackers[daemon];
         if *paused_until > self.now {
             return;
         }
         let deadline = self.now + Duration::from_secs(10);
-        match book.claim(ClaimKey(key as u128), BODY, deadline, self.now) {
+        match tracker.claim(ClaimKey(key as u128), BODY, deadline, self.now) {
             Ok(ticket) => self.attempts.push(Attempt {
                 daemon,
                 key: ClaimKey(key as u128),
@@ -91,7 +91,7 @@
     }
 
     fn write(&mut self, group: ClaimGroup) -> GroupAnswer {
-        if self.now < self.out_until {
+        if self.now < self.outage_until {
             return GroupAnswer::Unreachable;
         }
         if self.fault(0.1) {
@@ -99,7 +99,7 @@
         }
         if self.fault(0.1) {
             let delay = Duration::from_millis(self.rng.random_range(0..4000));
-            self.late.push((self.now + delay, group));
+            self.delayed_writes.push((self.now + delay, group));
             return GroupAnswer::Lost;
         }
         let answer = self.store.transact(&group.records, self.now);
@@ -109,30 +109,30 @@
         answer
     }
 
-    fn step_book(&mut self, at: usize) {
+    fn step_tracker(&mut self, at: usize) {
         let now = self.now;
         if self.fault(0.003) {
-            // The daemon is lost and another one started in its place. What it
-            // had sent runs on.
+            // The daemon is lost and a new one is started in its place. Calls that the
+            // lost one had sent continue to run.
             self.starts += 1;
-            self.books[at] = (ClaimBook::new(Incarnation(self.starts)), now);
+            self.trackers[at] = (ClaimBook::new(Incarnation(self.starts)), now);
             self.attempts.retain(|it| it.daemon != at);
         }
         if self.fault(0.003) {
             let pause = self.rng.random_range(0..10_000);
-            self.books[at].1 = now + Duration::from_millis(pause);
+            self.trackers[at].1 = now + Duration::from_millis(pause);
         }
-        if self.books[at].1 > now {
+        if self.trackers[at].1 > now {
             return;
         }
-        if let Some(group) = self.books[at].0.next_group(now) {
+        if let Some(group) = self.trackers[at].0.next_group(now) {
             let number = group.number;
             let answer = self.write(group);
-            self.books[at].0.group_answer(number, &answer, now);
+            self.trackers[at].0.group_answer(number, &answer, now);
         }
-        let changes = self.books[at].0.take_changes(10);
-        if self.now < self.out_until || self.fault(0.3) {
-            self.books[at].0.return_changes(changes);
+        let changes = self.trackers[at].0.take_changes(10);
+        if self.now < self.outage_until || self.fault(0.3) {
+            self.trackers[at].0.return_changes(changes);
         } else {
             changes.into_iter().for_each(|it| self.store.change(it));
         }
@@ -140,42 +140,42 @@
 
     fn step_attempt(&mut self, at: usize) {
         let now = self.now;
-        let broken = self.fault(0.3);
+        let is_lost = self.fault(0.3);
         let attempt = &mut self.attempts[at];
         let (key, ticket) = (attempt.key, attempt.ticket);
-        let (book, paused_until) = &mut self.books[attempt.daemon];
+        let (tracker, paused_until) = &mut self.trackers[attempt.daemon];
         if *paused_until > now {
             return;
         }
-        match (attempt.stage, book.verdict(key, ticket)) {
-            (Stage::Claiming, ClaimVerdict::Send) if book.start(key, ticket, now) => {
+        match (attempt.stage, tracker.verdict(key, ticket)) {
+            (Stage::Claiming, ClaimVerdict::Send) if tracker.start(key, ticket, now) => {
                 attempt.stage = Stage::Running(now);
                 attempt.ran = true;
                 self.runs[key.0 as usize] += 1;
             }
             (Stage::Claiming, ClaimVerdict::Answered(_)) => {
                 self.answered[key.0 as usize] = true;
-                attempt.stage = Stage::Over;
-                book.forget(key, ticket);
+                attempt.stage = Stage::Ended;
+                tracker.forget(key, ticket);
             }
             (Stage::Claiming, ClaimVerdict::Refused(refusal)) => {
                 assert!(refusal.run != RunState::No || !attempt.ran);
-                attempt.stage = Stage::Over;
-                book.forget(key, ticket);
+                attempt.stage = Stage::Ended;
+                tracker.forget(key, ticket);
             }
-            (Stage::Running(since), _) if now.since(since) >= RUNS_FOR => {
-                if broken {
-                    book.lose(key, ticket);
+            (Stage::Running(since), _) if now.since(since) >= RUN_DURATION => {
+                if is_lost {
+                    tracker.lose(key, ticket);
                 } else {
-                    book.finish(key, ticket, AnswerRef(format!("answer {}", key.0)));
+                    tracker.finish(key, ticket, AnswerRef(format!("answer {}", key.0)));
                     self.answered[key.0 as usize] = true;
                 }
-                attempt.stage = Stage::Over;
-                book.forget(key, ticket);
+                attempt.stage = Stage::Ended;
+                tracker.forget(key, ticket);
             }
             _ => {}
         }
-        self.books[self.attempts[at].daemon].0.poll(now);
+        self.trackers[self.attempts[at].daemon].0.poll(now);
     }
 
     fn run(&mut self) {
@@ -184,12 +184,12 @@
             let now = self.now;
             if self.fault(0.003) {
                 let outage = self.rng.random_range(0..5000);
-                self.out_until = now + Duration::from_millis(outage);
+                self.outage_until = now + Duration::from_millis(outage);
             }
-            let (due, late) = std::mem::take(&mut self.late)
+            let (due, delayed_writes) = std::mem::take(&mut self.delayed_writes)
                 .into_iter()
                 .partition(|(at, _)| *at <= now);
-            self.late = late;
+            self.delayed_writes = delayed_writes;
             let due: Vec<(Timestamp, ClaimGroup)> = due;
             for (_, group) in due {
                 self.store.transact(&group.records, now);
@@ -199,16 +199,17 @@
                     self.send(key);
                 }
             }
-            (0..self.books.len()).for_each(|it| self.step_book(it));
+            (0..self.trackers.len()).for_each(|it| self.step_tracker(it));
             (0..self.attempts.len()).for_each(|it| self.step_attempt(it));
-            self.attempts.retain(|it| it.stage != Stage::Over);
+            self.attempts.retain(|it| it.stage != Stage::Ended);
         }
     }
 }
 
-/// A call that prints something is sent again and again to different daemons,
-/// while daemons are lost and paused and the platform is out, slow, or applies
-/// a write whose answer is lost. Sent twice, it would print two copies.
+/// A call with a side effect (it prints something) is sent repeatedly to different
+/// daemons, while daemons are lost and paused, and the platform is unavailable, slow,
+/// or applies a write whose answer is lost. If the call ran twice, two copies would be
+/// printed.
 #[test]
 fn a_call_runs_once_at_most_whatever_fails() {
     let mut ran = 0;
--- a/crates/policy/tests/claims_store/mod.rs
+++ b/crates/policy/tests/claims_store/mod.rs
@@ -1,16 +1,16 @@
-//! The platform's records of claims, as a small fake.
+//! A fake of the platform's store of claim records.
 
 use std::time::Duration;
 
 use comfreyramp_policy::{ClaimChange, ClaimRecord, GroupAnswer, Timestamp};
 
-const RECORDS_LAST: Duration = Duration::from_secs(24 * 3600);
+const RECORD_LIFETIME: Duration = Duration::from_secs(24 * 3600);
 
 pub(crate) fn at(secs: f64) -> Timestamp {
     Timestamp::from_micros((secs * 1e6) as u64)
 }
 
-/// The platform's records of claims, which lapse after a day.
+/// Claim records with the time at which they were written. They expire after a day.
 #[derive(Default)]
 pub(crate) struct Store {
     pub(crate) records: Vec<(ClaimRecord, Timestamp)>,
@@ -19,7 +19,7 @@
 impl Store {
     pub(crate) fn transact(&mut self, records: &[ClaimRecord], now: Timestamp) -> GroupAnswer {
         self.records
-            .retain(|(_, written)| now.since(*written) < RECORDS_LAST);
+            .retain(|(_, written)| now.since(*written) < RECORD_LIFETIME);
         let keys = |key| records.iter().any(|it| it.key == key);
         let found = self.records.iter().filter(|(it, _)| keys(it.key));
         let found: Vec<ClaimRecord> = found.map(|(it, _)| it.clone()).collect();
--- a/crates/policy/tests/copy_proof.rs
+++ b/crates/policy/tests/copy_proof.rs
@@ -1,4 +1,4 @@
-//! When a daemon may answer a reader of a lot from its own copy.
+//! Tests when a daemon may answer a reader of a lot from its own copy.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
     lots::{CopyState, ReaderPosition, RunnerVouch, knows_all_results},
 };
 
-/// What one reader was shown, others expect to see after so long.
-const SETTLE: Duration = Duration::from_millis(1_000);
+/// A result that one reader has got must be available to all readers after this time.
+const MAX_VISIBILITY_DELAY: Duration = Duration::from_millis(1_000);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_micros(millis * 1_000)
@@ -22,7 +22,7 @@
     }
 }
 
-fn vouch(results: usize, heard_at: Timestamp) -> Option<RunnerVouch> {
+fn runner_report(results: usize, heard_at: Timestamp) -> Option<RunnerVouch> {
     Some(RunnerVouch { results, heard_at })
 }
 
@@ -30,72 +30,80 @@
     ReaderPosition { after, asked_at }
 }
 
-/// The daemon that runs a lot begins to write the last result, which takes effect at
-/// once, and is lost before it has the answer. Until then it says that there is none,
-/// and its last word is on its way for a while. Whenever somebody asks, nobody may be
-/// told a second after the write that the result isn't there.
+/// The daemon that runs a lot writes the last result and is lost before it receives the
+/// store's answer. Up to then it reports that there is none, and its last report is
+/// delayed. A second after the write, no reader may get the answer that the result
+/// doesn't exist.
 #[test]
-fn nothing_is_denied_a_second_after_it_was_written() {
+fn no_result_is_denied_a_second_after_it_was_written() {
     let written = at(10_000);
-    let now = written + SETTLE + Duration::from_millis(1);
-    for spoken_after in (0..=400).step_by(20) {
-        let spoken_at = written + Duration::from_millis(spoken_after);
-        let speaks = knows_all_results(Some(written), spoken_at);
-        for way in (0..=400).step_by(20) {
-            let word = vouch(11, spoken_at + Duration::from_millis(way)).filter(|_| speaks);
+    let now = written + MAX_VISIBILITY_DELAY + Duration::from_millis(1);
+    for reported_after in (0..=400).step_by(20) {
+        let reported_at = written + Duration::from_millis(reported_after);
+        let is_reported = knows_all_results(Some(written), reported_at);
+        for delay in (0..=400).step_by(20) {
+            let report = runner_report(11, reported_at + Duration::from_millis(delay))
+                .filter(|_| is_reported);
             let copy = copy_of(11, written);
             let asked = reader(11, now);
-            assert!(copy.is_doubtful(asked, word, now), "{spoken_after} {way}");
+            assert!(
+                copy.is_doubtful(asked, report, now),
+                "{reported_after} {delay}"
+            );
             assert!(!copy.proves_nothing_there(asked, None, now));
         }
     }
 }
 
-/// A customer waits for the next result of a lot that runs. As long as the daemon that
-/// runs it says how many there are, waiting costs no call to the store.
+/// A customer waits for the next result of a running lot. While the daemon that runs
+/// the lot reports the number of results, waiting requires no read of the store.
 #[test]
-fn a_word_of_the_daemon_that_runs_a_lot_saves_the_look() {
+fn a_report_of_the_runner_saves_a_read_of_the_store() {
     let copy = copy_of(3, at(0));
     let asked = reader(3, at(9_000));
-    assert!(!copy.is_doubtful(asked, vouch(3, at(8_900)), at(9_000)));
+    assert!(!copy.is_doubtful(asked, runner_report(3, at(8_900)), at(9_000)));
     assert!(
-        copy.is_doubtful(asked, vouch(4, at(8_900)), at(9_000)),
-        "there is more"
+        copy.is_doubtful(asked, runner_report(4, at(8_900)), at(9_000)),
+        "the runner has more results"
     );
     assert!(
-        copy.is_doubtful(asked, vouch(2, at(8_900)), at(9_000)),
-        "an old word"
+        copy.is_doubtful(asked, runner_report(2, at(8_900)), at(9_000)),
+        "an outdated report"
     );
-    assert!(copy.is_doubtful(asked, None, at(9_000)), "nobody runs it");
     assert!(
-        copy.is_doubtful(asked, vouch(3, at(8_000)), at(9_000)),
-        "not heard any more"
+        copy.is_doubtful(asked, None, at(9_000)),
+        "no daemon runs the lot"
+    );
+    assert!(
+        copy.is_doubtful(asked, runner_report(3, at(8_000)), at(9_000)),
+        "the last report is too old"
     );
 }
 
-/// A customer read twelve results at one daemon and asks another one for the rest. Its
-/// question alone proves that the copy there is behind, whoever vouches for it.
+/// A customer read twelve results at one daemon and requests the rest from another one.
+/// The request itself proves that this daemon's copy is outdated, whatever the runner
+/// reports.
 #[test]
-fn a_reader_that_knows_more_has_the_store_asked() {
+fn a_reader_that_knows_more_causes_a_read_of_the_store() {
     let copy = copy_of(11, at(8_950));
     let asked = reader(12, at(9_000));
-    assert!(copy.is_doubtful(asked, vouch(11, at(8_990)), at(9_000)));
-    let vouched = vouch(11, at(9_600));
+    assert!(copy.is_doubtful(asked, runner_report(11, at(8_990)), at(9_000)));
+    let report = runner_report(11, at(9_600));
     assert!(
-        !copy.proves_nothing_there(asked, vouched, at(9_600)),
-        "nor by a word"
+        !copy.proves_nothing_there(asked, report, at(9_600)),
+        "not by a report either"
     );
-    let after_the_look = copy_of(11, at(9_010));
+    let after_the_read = copy_of(11, at(9_010));
     assert!(
-        !after_the_look.is_doubtful(asked, vouch(11, at(8_990)), at(9_020)),
-        "once"
+        !after_the_read.is_doubtful(asked, runner_report(11, at(8_990)), at(9_020)),
+        "one read is sufficient"
     );
 }
 
-/// Results that are there are no less true for the copy's age. A customer isn't held
-/// up, and the store isn't asked, for the sake of further ones.
+/// Results in the copy are valid regardless of its age. A customer that requests them
+/// isn't delayed, and the store isn't read, to look for further results.
 #[test]
-fn results_that_are_there_are_shown_without_a_look() {
+fn known_results_are_sent_without_a_read_of_the_store() {
     let copy = copy_of(3, at(5_000));
     assert!(!copy.is_doubtful(reader(0, at(9_000)), None, at(9_000)));
     let whole = CopyState {
@@ -106,21 +114,21 @@
     assert!(whole.proves_nothing_there(reader(3, at(99_000)), None, at(99_000)));
 }
 
-/// The daemon that runs a lot says that it has three results, and shows two: its own copy
-/// was dropped and read again while the third was written. However fresh that look is,
-/// nobody may be told that there is no third one. The number is true in any case, since
-/// results never go.
+/// The daemon that runs a lot reports three results but sends two: its copy was dropped
+/// and read again while the third result was written. However recent that read is,
+/// nobody may get the answer that there is no third result. The reported number is
+/// always valid, because results are never removed.
 #[test]
-fn a_copy_with_fewer_results_than_told_proves_nothing() {
+fn a_copy_with_fewer_results_than_reported_proves_nothing() {
     let now = at(9_000);
     let copy = copy_of(2, now);
     let asked = reader(2, now);
-    assert!(copy.is_doubtful(asked, vouch(3, now), now));
-    assert!(!copy.proves_nothing_there(asked, vouch(3, now), now));
-    assert!(copy.proves_nothing_there(asked, vouch(2, now), now));
+    assert!(copy.is_doubtful(asked, runner_report(3, now), now));
+    assert!(!copy.proves_nothing_there(asked, runner_report(3, now), now));
+    assert!(copy.proves_nothing_there(asked, runner_report(2, now), now));
     let former = copy_of(3, now);
     assert!(
-        former.proves_nothing_there(reader(3, now), vouch(2, now), now),
-        "an old word"
+        former.proves_nothing_there(reader(3, now), runner_report(2, now), now),
+        "an outdated report"
     );
 }
--- a/crates/policy/tests/fleet_run/mod.rs
+++ b/crates/policy/tests/fleet_run/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of plans on virtual time, with one platform between them.
+//! Simulates a fleet of watch plans with one platform, on virtual time.
 
 #![allow(unreachable_pub, reason = "a module of a test")]
 
@@ -9,12 +9,12 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// One step of the run.
+/// The length of one simulation step.
 const STEP: Duration = Duration::from_millis(50);
-/// How often a follower checks its view.
+/// The interval at which a follower reads the settings from the platform.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A daemon as the run sees it.
+/// A simulated daemon.
 struct RunDaemon {
     zone: usize,
     plan: WatchPlan,
@@ -22,10 +22,11 @@
     cut_from_platform: bool,
     following: bool,
     next_check: Timestamp,
-    /// What the plan must not forget or deny: the highest revision it ever
-    /// had, and when the platform was in the state that the view shows.
-    seen: i64,
-    true_time: Option<Timestamp>,
+    /// The highest revision that the plan ever had; the plan must never go back. And
+    /// the latest time at which the platform is known to have had the state of the
+    /// view.
+    max_revision: i64,
+    current_at: Option<Timestamp>,
 }
 
 pub struct FleetRun {
@@ -34,7 +35,7 @@
     pub platform_up: bool,
     pub watches_silent: bool,
     pub platform_calls: usize,
-    pub asks: usize,
+    pub queries: usize,
     revision: i64,
     now: Timestamp,
     rng: StdRng,
@@ -52,7 +53,7 @@
             platform_up: true,
             watches_silent: false,
             platform_calls: 0,
-            asks: 0,
+            queries: 0,
             revision: 1,
             now: Timestamp::from_micros(1),
             rng: StdRng::seed_from_u64(seed),
@@ -67,8 +68,8 @@
                     cut_from_platform: false,
                     following: false,
                     next_check: Timestamp::ZERO,
-                    seen: 0,
-                    true_time: None,
+                    max_revision: 0,
+                    current_at: None,
                 });
             }
         }
@@ -93,23 +94,25 @@
         self.now
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, span: Duration) {
-        let end = self.now + span;
+    /// Advances the simulation by `span`.
+    pub fn advance(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.step();
         }
     }
 
-    /// Changes the settings and returns how long it takes until every daemon
-    /// that runs has them.
+    /// Changes the settings and returns the time until every running daemon has them.
     pub fn change_settings(&mut self) -> Duration {
         self.change_settings_now();
         let begin = self.now;
         while (0..self.daemons.len()).any(|it| self.is_behind(it)) {
             self.step();
             let took = self.now.since(begin);
-            assert!(took < Duration::from_secs(120), "not in force");
+            assert!(
+                took < Duration::from_secs(120),
+                "the change isn't in force everywhere"
+            );
         }
         self.now.since(begin)
     }
@@ -135,7 +138,7 @@
         self.daemons[daemon].cut_from_platform = cut;
     }
 
-    /// Cuts a zone from the platform and from all other zones.
+    /// Cuts a zone off from the platform and from all other zones, or reconnects it.
     pub fn cut_zone(&mut self, zone: usize, cut: bool) {
         self.cut_zones[zone] = cut;
     }
@@ -151,7 +154,7 @@
             .collect()
     }
 
-    pub fn following_in_zone(&self, zone: usize) -> Vec<usize> {
+    pub fn followers_in_zone(&self, zone: usize) -> Vec<usize> {
         let mut following = self.following();
         following.retain(|it| self.daemons[*it].zone == zone);
         following
@@ -174,8 +177,8 @@
         alive.map(|it| it.plan.age(self.now).unwrap_or(Duration::MAX))
     }
 
-    /// Breaks or mends one thing, and changes the settings now and then.
-    pub fn break_something(&mut self) {
+    /// Breaks or repairs a random component, or changes the settings.
+    pub fn inject_fault(&mut self) {
         let daemon = self.rng.random_range(0..self.daemons.len());
         let zone = self.rng.random_range(0..self.cut_zones.len());
         match self.rng.random_range(0..6) {
@@ -191,7 +194,7 @@
         }
     }
 
-    pub fn mend_everything(&mut self) {
+    pub fn repair_everything(&mut self) {
         self.platform_up = true;
         self.watches_silent = false;
         self.cut_zones.fill(false);
@@ -208,7 +211,7 @@
                 continue;
             }
             self.follow(own);
-            self.ask(own);
+            self.query_peer(own);
             self.check(own);
         }
     }
@@ -242,44 +245,50 @@
         self.platform_calls += 1;
         if reaches {
             assert!(daemon.plan.take_read(revision, now, now));
-            daemon.true_time = Some(now);
+            daemon.current_at = Some(now);
         }
     }
 
-    fn ask(&mut self, own: usize) {
+    fn query_peer(&mut self, own: usize) {
         let now = self.now;
         let target = self.daemons[own].plan.next_ask(now, &mut self.rng);
         let Some(target) = target else {
             return;
         };
-        self.asks += 1;
+        self.queries += 1;
         let peer = target.index();
         if !self.reaches(own, peer) {
             return self.daemons[own].plan.take_silence(target, now);
         }
         let offered = self.daemons[peer].plan.offer(0, now);
-        let true_time = self.daemons[peer].true_time;
+        let current_at = self.daemons[peer].current_at;
         let daemon = &mut self.daemons[own];
         let Some(offer) = offered else {
             return daemon.plan.take_nothing(target, now);
         };
         let verdict = daemon.plan.take_offer(target, offer, now, now);
         if verdict == OfferVerdict::Take {
-            daemon.true_time = daemon.true_time.max(true_time);
+            daemon.current_at = daemon.current_at.max(current_at);
         }
     }
 
-    /// What must hold at any time.
+    /// Checks the invariants of a daemon's view.
     fn check(&mut self, own: usize) {
         let now = self.now;
         let daemon = &mut self.daemons[own];
         let revision = daemon.plan.revision();
-        assert!(revision >= daemon.seen, "the view went back");
+        assert!(
+            revision >= daemon.max_revision,
+            "the view went back to an older revision"
+        );
         assert!(revision <= self.revision);
-        daemon.seen = revision;
+        daemon.max_revision = revision;
         if let Some(age) = daemon.plan.age(now) {
-            let true_age = now.since(daemon.true_time.unwrap());
-            assert!(age >= true_age, "{age:?} said, {true_age:?} true");
+            let true_age = now.since(daemon.current_at.unwrap());
+            assert!(
+                age >= true_age,
+                "reported age {age:?}, actual age {true_age:?}"
+            );
         }
     }
 }
--- a/crates/policy/tests/freshness.rs
+++ b/crates/policy/tests/freshness.rs
@@ -1,4 +1,5 @@
-//! Settings reach every daemon, and each knows how old its view is.
+//! Tests that settings reach every daemon, and that each daemon knows the age of its
+//! view.
 
 #![allow(
     clippy::unwrap_used,
@@ -18,8 +19,8 @@
 use fleet_run::FleetRun;
 use rand::{SeedableRng, rngs::StdRng};
 
-/// How soon a change is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(5);
+/// The time within which a change must be in force at all daemons.
+const MAX_CHANGE_DELAY: Duration = Duration::from_secs(5);
 const SECOND: Duration = Duration::from_secs(1);
 
 fn seconds(count: u64) -> Duration {
@@ -30,10 +31,10 @@
     Timestamp::from_micros(millis * 1000)
 }
 
-/// The fleet's size in two years: 360 daemons in 7 zones.
+/// Returns a fleet of the size expected in two years: 360 daemons in 7 zones.
 fn large_fleet() -> FleetRun {
     let mut run = FleetRun::new(&[52, 52, 52, 51, 51, 51, 51], 1);
-    run.pass(seconds(20));
+    run.advance(seconds(20));
     run
 }
 
@@ -42,13 +43,13 @@
     let mut run = large_fleet();
     assert_eq!(run.followers(), 14);
     let calls = run.platform_calls;
-    let asks = run.asks;
-    run.pass(seconds(60));
+    let queries = run.queries;
+    run.advance(seconds(60));
     assert_eq!(run.followers(), 14);
-    // One check a second each.
+    // One check a second by each follower.
     assert_eq!(run.platform_calls - calls, 14 * 60);
-    // One ask a second of everyone else.
-    assert_eq!(run.asks - asks, 346 * 60);
+    // One query a second by every other daemon.
+    assert_eq!(run.queries - queries, 346 * 60);
     assert!(run.oldest_view() <= seconds(3));
 
     let took = run.change_settings();
@@ -56,108 +57,107 @@
 }
 
 #[test]
-fn the_choice_moves_only_when_a_chosen_one_goes() {
+fn followers_change_only_when_one_is_lost() {
     let mut run = large_fleet();
     let before = run.following();
     let bystander = (0..360).find(|it| !before.contains(it)).unwrap();
     run.stop(bystander);
-    run.pass(seconds(30));
+    run.advance(seconds(30));
     assert_eq!(run.following(), before);
 
     run.stop(before[0]);
-    run.pass(seconds(30));
+    run.advance(seconds(30));
     let after = run.following();
     assert_eq!(after.len(), 14);
     let kept = before.iter().filter(|it| after.contains(it)).count();
     assert_eq!(kept, 13);
 }
 
-/// The connection of a watch dies without a word, and the daemons of a zone go
-/// on with the settings of that moment. A customer's withdrawn key would work
-/// on there until somebody restarts the daemons.
+/// The connection of a watch fails without an error, and the daemons of a zone keep
+/// their settings. A customer's withdrawn key would work there until the daemons are
+/// restarted.
 #[test]
-fn a_silent_watch_is_made_good_by_checks() {
+fn checks_compensate_for_a_silent_watch() {
     let mut run = large_fleet();
     run.watches_silent = true;
     for _ in 0..5 {
         let took = run.change_settings();
-        assert!(took <= IN_FORCE, "{took:?}");
-        run.pass(SECOND);
+        assert!(took <= MAX_CHANGE_DELAY, "{took:?}");
+        run.advance(SECOND);
     }
 }
 
-/// Both daemons that follow the platform for their zone are lost at once, with
-/// their rack, and an operator changes the settings at that moment.
+/// Both daemons that follow the platform for their zone are lost at once, because they
+/// are in the same rack, and an operator changes the settings at that moment.
 #[test]
 fn two_lost_watchers_are_replaced() {
     let mut run = large_fleet();
-    let watchers = run.following_in_zone(0);
+    let watchers = run.followers_in_zone(0);
     for watcher in &watchers {
         run.stop(*watcher);
     }
     let took = run.change_settings();
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_CHANGE_DELAY, "{took:?}");
     for _ in 0..300 {
-        run.pass(SECOND / 10);
-        assert_eq!(run.following_in_zone(0).len(), 2);
+        run.advance(SECOND / 10);
+        assert_eq!(run.followers_in_zone(0).len(), 2);
     }
     for watcher in &watchers {
         run.start(*watcher);
     }
-    run.pass(seconds(30));
-    assert_eq!(run.following_in_zone(0), watchers);
+    run.advance(seconds(30));
+    assert_eq!(run.followers_in_zone(0), watchers);
 }
 
-/// The two watchers of a zone answer their peers and can't reach the platform
-/// themselves. Were their word enough, their whole zone would stay behind.
+/// The two watchers of a zone answer their peers but can't reach the platform. If their
+/// answers were sufficient, the whole zone would keep old settings.
 #[test]
 fn watchers_without_a_platform_are_joined_by_others() {
-    // Alone, a zone has nobody else to learn from.
+    // The second fleet has a single zone, so daemons can't learn from other zones.
     for mut run in [large_fleet(), FleetRun::new(&[51], 5)] {
-        run.pass(seconds(20));
-        let watchers = run.following_in_zone(0);
+        run.advance(seconds(20));
+        let watchers = run.followers_in_zone(0);
         for watcher in &watchers {
             run.cut_from_platform(*watcher, true);
         }
         for _ in 0..10 {
             let took = run.change_settings();
-            assert!(took <= IN_FORCE, "{took:?}");
-            run.pass(seconds(3));
-            assert!(run.following_in_zone(0).len() <= 4);
+            assert!(took <= MAX_CHANGE_DELAY, "{took:?}");
+            run.advance(seconds(3));
+            assert!(run.followers_in_zone(0).len() <= 4);
             assert!(run.oldest_view() <= seconds(5), "{:?}", run.oldest_view());
         }
-        // Those who joined get their own views back from the two, and must not
-        // take that for a sign that the two follow the platform again.
-        let joined = run.following_in_zone(0);
+        // The additional followers get their own views back from the two watchers, and
+        // must not conclude that these follow the platform again.
+        let joined = run.followers_in_zone(0);
         for _ in 0..60 {
-            run.pass(SECOND);
-            assert_eq!(run.following_in_zone(0), joined);
+            run.advance(SECOND);
+            assert_eq!(run.followers_in_zone(0), joined);
         }
         for watcher in &watchers {
             run.cut_from_platform(*watcher, false);
         }
-        run.pass(seconds(30));
-        assert_eq!(run.following_in_zone(0), watchers);
+        run.advance(seconds(30));
+        assert_eq!(run.followers_in_zone(0), watchers);
     }
 }
 
-/// The platform is down for ten minutes. If every daemon took that for a
-/// failure of its zone's watchers, 360 of them would call the platform at the
-/// moment it comes back.
+/// The platform is down for ten minutes. If every daemon took that for a failure of its
+/// zone's watchers, all 360 would query the platform at the moment it is back.
 #[test]
 fn an_outage_doesnt_bring_all_daemons_to_the_platform() {
     let mut run = FleetRun::new(&[51, 51], 4);
-    run.pass(seconds(20));
+    run.advance(seconds(20));
     run.platform_up = false;
-    run.pass(seconds(300));
+    run.advance(seconds(300));
     let followers = run.followers();
     assert!(followers <= 2 * 18, "{followers} follow");
     assert!(run.youngest_view() >= seconds(300));
 
     run.platform_up = true;
     let took = run.change_settings();
-    assert!(took <= IN_FORCE, "{took:?}");
-    run.pass(seconds(30));
+    assert!(took <= MAX_CHANGE_DELAY, "{took:?}");
+    run.advance(seconds(30));
     assert_eq!(run.followers(), 4);
 }
 
@@ -168,39 +168,40 @@
     for daemon in run.zone(3) {
         run.cut_from_platform(daemon, true);
     }
-    run.pass(seconds(30));
+    run.advance(seconds(30));
     let took = run.change_settings();
     assert!(took <= seconds(10), "{took:?}");
     assert!(run.oldest_view() <= seconds(10), "{:?}", run.oldest_view());
 }
 
-/// A zone is cut off from everything and comes back an hour later.
+/// A zone is cut off from the platform and all other zones, and is reconnected after an
+/// hour.
 #[test]
 fn a_zone_cut_from_everything_knows_it_and_catches_up() {
     let mut run = FleetRun::new(&[6, 6, 6], 2);
-    run.pass(seconds(20));
+    run.advance(seconds(20));
     run.cut_zone(1, true);
     run.change_settings_now();
-    run.pass(seconds(3600));
+    run.advance(seconds(3600));
     assert!(run.oldest_view() >= seconds(3600));
     assert!(run.is_behind(run.zone(1)[0]));
     run.cut_zone(1, false);
     let took = run.change_settings();
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_CHANGE_DELAY, "{took:?}");
 }
 
-/// Daemons and platform fail and come back at random. Whatever happens, no
-/// view goes back, and none is called younger than it is.
+/// Daemons and platform fail and recover at random. No view may go back to an older
+/// revision, and no view may be reported as newer than it is.
 #[test]
-fn views_never_go_back_nor_look_younger_than_they_are() {
+fn views_never_go_back_nor_look_newer_than_they_are() {
     for seed in 0..20 {
         let mut run = FleetRun::new(&[4, 3, 3], seed);
         for _ in 0..40 {
-            run.break_something();
+            run.inject_fault();
             // Both are checked in each step.
-            run.pass(seconds(3));
+            run.advance(seconds(3));
         }
-        run.mend_everything();
+        run.repair_everything();
         let took = run.change_settings();
         assert!(took <= seconds(15), "seed {seed}: {took:?}");
     }
@@ -227,10 +228,10 @@
     }
 }
 
-/// A peer that was cut off for an hour relays the settings of that time. Taken
-/// over, they would bring withdrawn keys back.
+/// A peer that was cut off for an hour offers the settings of that time. Applying them
+/// would make withdrawn keys valid again.
 #[test]
-fn an_old_revision_from_a_stale_peer_is_left() {
+fn an_old_revision_from_a_stale_peer_is_ignored() {
     let mut plan = plan();
     plan.set_members(&[member(1, 200), member(2, 300)]);
     assert!(plan.take_read(50, at(1000), at(1000)));
@@ -238,15 +239,15 @@
     let verdict = plan.take_offer(DaemonId(1), stale, at(9000), at(9000));
     assert_matches!(verdict, OfferVerdict::Behind);
     assert_eq!(plan.revision(), 50);
-    // What it says of its age is no word on our view.
+    // The age of a rejected offer says nothing about the age of this daemon's view.
     assert_eq!(plan.age(at(9000)), Some(seconds(8)));
     assert!(!plan.take_read(49, at(9000), at(9000)));
     assert!(!plan.take_watched(50));
     assert_eq!(plan.age(at(9000)), Some(seconds(8)));
 }
 
-/// Two changes were made, and a peer offers the second alone. Applied without
-/// the first it would make a state that never was.
+/// Two changes were made, and a peer offers only the second one. Applied without the
+/// first, it would result in a state that never existed.
 #[test]
 fn changes_with_a_gap_are_not_taken() {
     let mut plan = plan();
@@ -261,10 +262,11 @@
     assert_eq!(plan.revision(), 60);
 }
 
-/// A daemon asks, is paused for a minute, wakes, and finds the answer in its
-/// buffer. Counted from its arrival, the minute would be missing.
+/// A daemon queries a peer, is paused for a minute, and finds the answer in its buffer.
+/// If the age were counted from the arrival of the answer, it would be a minute too
+/// low.
 #[test]
-fn an_answer_that_waited_counts_from_the_ask() {
+fn the_age_of_a_delayed_answer_counts_from_the_query() {
     let mut plan = plan();
     let fresh = offer(0, 60, Duration::from_millis(200));
     plan.take_offer(DaemonId(1), fresh, at(1000), at(61_000));
@@ -272,8 +274,8 @@
     assert_eq!(age, Some(seconds(60) + Duration::from_millis(200)));
 }
 
-/// A daemon was started two seconds ago and was given a view of an hour ago,
-/// which lies before the origin of its clock.
+/// A daemon that started two seconds ago gets a view that is an hour old, from before
+/// the origin of its clock.
 #[test]
 fn a_view_can_be_older_than_the_process() {
     let mut plan = plan();
@@ -284,9 +286,8 @@
     assert_eq!(view.age(at(5000)), seconds(15));
 }
 
-/// A daemon is started during an outage, and its peers hold views of different
-/// ages. Serving with the first it was given, it would take keys that all the
-/// others refuse.
+/// A daemon starts during an outage, and its peers have views of different ages. If it
+/// used the first one that it gets, it could accept keys that all other daemons refuse.
 #[test]
 fn a_start_during_an_outage_waits_for_the_newest_of_several() {
     let mut plan = plan();
@@ -317,7 +318,7 @@
 }
 
 #[test]
-fn a_daemon_that_hears_nothing_is_never_ready() {
+fn a_daemon_that_receives_nothing_is_never_ready() {
     let alone = plan();
     assert!(!alone.is_ready());
     let mut plan = plan();
@@ -328,7 +329,7 @@
     assert!(!plan.is_ready());
     plan.take_read(1, at(600_000), at(600_000));
     assert!(plan.is_ready());
-    // And stays so: how long an old view serves is each customer's choice.
+    // It stays ready: each customer's settings limit how long an old view may be used.
     assert!(plan.is_ready());
 }
 
--- a/crates/policy/tests/lots_decisions.rs
+++ b/crates/policy/tests/lots_decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions about lots, on a clock of the test's own.
+//! Tests of decisions about lots, on virtual time.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Serves one item after the other, each to the first lot in rank, and returns
+/// Serves one item at a time, always from the lot with the highest rank, and returns
 /// how many of the first `turns` items each customer got.
 fn serve(ranking: &mut LotRanking, lots: &[RankedLot], turns: usize, now: Timestamp) -> [usize; 2] {
     let mut got = [0; 2];
@@ -38,8 +38,8 @@
     got
 }
 
-// One customer has a lot of 99,000 items under way when another hands in a lot
-// of 20. Served in order of arrival, the second customer would wait for hours.
+// A customer submits a lot of 20 items while another customer's lot of 99,000 items is
+// running. In order of arrival the short lot would wait for hours.
 #[test]
 fn a_long_lot_does_not_hold_up_a_short_one() {
     let mut ranking = LotRanking::default();
@@ -52,10 +52,10 @@
     assert_eq!(got, [20, 20]);
 }
 
-// A customer was idle for a day while another was served. If it could claim the
-// day's share afterwards, the other would get nothing for as long.
+// A customer is idle for a day while another one is served. If its share of that day
+// were credited, the other customer would get nothing for as long.
 #[test]
-fn an_idle_customer_saves_nothing_up() {
+fn an_idle_customer_accumulates_no_credit() {
     let mut ranking = LotRanking::default();
     let lots = [lot(0, BIG, 24 * HOUR), lot(1, SMALL, 24 * HOUR)];
     ranking.set_active(&[BIG, SMALL]);
@@ -75,10 +75,10 @@
     assert_eq!(serve(&mut ranking, &lots, 400, Timestamp::ZERO), [300, 100]);
 }
 
-// A lot is about to be late while another customer has a day. Without a lead it
-// gets no more than its turn and is late.
+// A lot is about to miss its due time while another customer's lot has a day left. With
+// equal turns it would be late.
 #[test]
-fn a_lot_short_of_time_goes_ahead() {
+fn a_lot_short_of_time_runs_first() {
     let mut ranking = LotRanking::default();
     ranking.set_active(&[BIG, SMALL]);
     let mut urgent = lot(1, SMALL, HOUR);
@@ -88,8 +88,8 @@
     assert_eq!(got, [0, 1000]);
 }
 
-// A customer states a due time of one second for everything. If urgency had no
-// bound, the others would never be served again.
+// A customer states a due time of one second for all of its lots. Without a limit on
+// the advantage of urgent lots, no other customer would be served again.
 #[test]
 fn stated_urgency_starves_nobody() {
     let mut ranking = LotRanking::default();
@@ -99,102 +99,107 @@
         lot(1, SMALL, 24 * HOUR),
     ];
     let got = serve(&mut ranking, &lots, 20_000, Timestamp::ZERO + HOUR);
-    // The lead of 200,000 tokens is 2,000 items; the rest is shared evenly.
+    // The advantage is limited to 200,000 tokens, which is 2,000 items; the rest is
+    // shared evenly.
     assert_eq!(got, [11_000, 9_000]);
 }
 
-// All servers are down for an hour. Items that are tried in vain meanwhile must
-// not be recorded as failed: their customer would lose work for our fault.
+// All servers are down for an hour. Items that are attempted in this time must not be
+// recorded as failed: their customer would lose work because of a fault of the service.
 #[test]
 fn an_outage_fails_no_item() {
     let policy = TryPolicy::default();
     let mut random = StdRng::seed_from_u64(1);
-    let mut tries = ItemTries::default();
+    let mut attempts = ItemTries::default();
     let mut now = Timestamp::ZERO;
     while now < Timestamp::ZERO + HOUR {
-        let verdict = policy.fault(&mut tries, 0, now, &mut random);
+        let verdict = policy.fault(&mut attempts, 0, now, &mut random);
         assert_matches!(verdict, TryVerdict::Retry(at) if at > now);
         if let TryVerdict::Retry(at) = verdict {
             now = at;
         }
     }
-    assert!(tries.faults < 300, "{} tries in an hour", tries.faults);
+    assert!(
+        attempts.faults < 300,
+        "{} attempts in an hour",
+        attempts.faults
+    );
 }
 
-// One item fails each time while its neighbours go through. Tried for ever, it
-// would keep its lot from ending.
+// One item fails each time while other items of its lot succeed. With unlimited
+// attempts its lot would never end.
 #[test]
-fn an_item_that_fails_alone_is_given_up_after_three_tries() {
+fn an_item_that_fails_alone_is_given_up_after_three_attempts() {
     let policy = TryPolicy::default();
     let mut random = StdRng::seed_from_u64(2);
-    let mut tries = ItemTries::default();
+    let mut attempts = ItemTries::default();
     let now = Timestamp::ZERO;
     let verdicts: Vec<TryVerdict> = (0..3)
-        .map(|_| policy.fault(&mut tries, 5, now, &mut random))
+        .map(|_| policy.fault(&mut attempts, 5, now, &mut random))
         .collect();
     assert_matches!(verdicts[..2], [TryVerdict::Retry(_), TryVerdict::Retry(_)]);
     assert_eq!(verdicts[2], TryVerdict::GiveUp(GiveUpReason::FailsAlone));
 }
 
-// The last item of a lot fails each time, and no other item is left to tell
-// whether the servers are at fault. Probes tell; without them the lot would
-// never end, and without judging them an outage would fail the item.
+// The last item of a lot fails each time, and there are no other items that could show
+// whether the servers are at fault. A probe shows it: without probes the lot would
+// never end, and if their result were ignored, an outage would fail the item.
 #[test]
-fn a_probe_tells_whose_fault_it_is() {
+fn a_probe_distinguishes_server_faults_from_item_faults() {
     let policy = TryPolicy::default();
     let mut random = StdRng::seed_from_u64(6);
-    let mut tries = ItemTries::default();
+    let mut attempts = ItemTries::default();
     let now = Timestamp::ZERO;
-    for went_through in [false, true, false, true] {
-        let fault = policy.fault(&mut tries, 0, now, &mut random);
+    for succeeded in [false, true, false, true] {
+        let fault = policy.fault(&mut attempts, 0, now, &mut random);
         assert_matches!(fault, TryVerdict::Retry(_));
-        assert!(tries.needs_probe);
-        let probed = policy.probe(&mut tries, went_through, now, &mut random);
+        assert!(attempts.needs_probe);
+        let probed = policy.probe(&mut attempts, succeeded, now, &mut random);
         assert_matches!(probed, TryVerdict::Retry(_));
     }
-    policy.fault(&mut tries, 0, now, &mut random);
-    let probed = policy.probe(&mut tries, true, now, &mut random);
+    policy.fault(&mut attempts, 0, now, &mut random);
+    let probed = policy.probe(&mut attempts, true, now, &mut random);
     assert_eq!(probed, TryVerdict::GiveUp(GiveUpReason::FailsAlone));
 }
 
-// An item crashes each backend server that runs it. Every further try would
-// take another server from the live callers.
+// An item crashes each backend server that runs it. Each further attempt would take
+// another server away from live requests.
 #[test]
 fn an_item_costs_at_most_two_servers() {
     let policy = TryPolicy::default();
     let mut random = StdRng::seed_from_u64(3);
-    let mut tries = ItemTries::default();
-    let first = policy.crash(&mut tries, Timestamp::ZERO, &mut random);
-    let second = policy.crash(&mut tries, Timestamp::ZERO, &mut random);
+    let mut attempts = ItemTries::default();
+    let first = policy.crash(&mut attempts, Timestamp::ZERO, &mut random);
+    let second = policy.crash(&mut attempts, Timestamp::ZERO, &mut random);
     assert_matches!(first, TryVerdict::Retry(_));
     assert_eq!(second, TryVerdict::GiveUp(GiveUpReason::CrashesServers));
 }
 
-// A lot runs at a pace at which it will end an hour late. Its customer can do
-// something about it now, and nothing once the time is up.
+// At its current pace a lot will end an hour late. Its customer can react if it learns
+// of that in time, but not after the due time.
 #[test]
-fn a_lot_that_will_be_late_is_told_hours_ahead() {
+fn a_late_end_is_forecast_hours_ahead() {
     let mut meter = PaceMeter::default();
     let mut now = Timestamp::ZERO;
     let due = now + 4 * HOUR;
     let mut items = 0;
-    let mut told = None;
-    while now < due && told.is_none() {
+    let mut forecast_at = None;
+    while now < due && forecast_at.is_none() {
         meter.observe(items, now);
         let forecast = LotForecast::judge(due, meter.needs(18_000 - items, now), now);
         if let LotForecast::WillBeLate(by) = forecast {
-            told = Some((now, by));
+            forecast_at = Some((now, by));
         }
         items += 10;
         now = now + Duration::from_secs(10);
     }
-    let (at, by) = told.unwrap();
+    let (at, by) = forecast_at.unwrap();
     assert!(at < Timestamp::ZERO + Duration::from_secs(120), "{at:?}");
     assert!(by.abs_diff(HOUR) < Duration::from_secs(300), "{by:?}");
 }
 
 #[test]
-fn begun_segments_are_claimed_first() {
+fn started_segments_are_claimed_first() {
     let mut random = StdRng::seed_from_u64(4);
     let mut choice = SegmentChoice::default();
     assert_eq!(choice.pick(&mut random), None);
--- a/crates/policy/tests/members.rs
+++ b/crates/policy/tests/members.rs
@@ -1,12 +1,13 @@
-//! Members: daemons that come and go, and who does what meanwhile.
+//! Tests of the member table: daemons that join and leave, and which daemon has which
+//! role.
 
 use comfreyramp_policy::{
     DaemonId, Heartbeat, Incarnation, ListedDaemon, MemberNews, MemberTable, ServerKey, Timestamp,
     ZoneId,
 };
 
-const HOME: ZoneId = ZoneId(0);
-const AWAY: ZoneId = ZoneId(1);
+const OWN_ZONE: ZoneId = ZoneId(0);
+const OTHER_ZONE: ZoneId = ZoneId(1);
 
 fn at(secs: f64) -> Timestamp {
     Timestamp::from_micros((secs * 1e6) as u64)
@@ -19,7 +20,7 @@
 fn beat(daemon: usize) -> Heartbeat {
     Heartbeat {
         name: name(daemon),
-        zone: if daemon < 100 { HOME } else { AWAY },
+        zone: if daemon < 100 { OWN_ZONE } else { OTHER_ZONE },
         address: format!("10.0.0.{daemon}:7000"),
         incarnation: Incarnation(daemon as u64),
         leaving: false,
@@ -36,7 +37,8 @@
     }
 }
 
-/// The table of one daemon that has heard of `others`.
+/// Returns the table of daemon `own`, which has received a heartbeat of each of
+/// `others`.
 fn table(own: usize, others: impl IntoIterator<Item = usize>, now: Timestamp) -> MemberTable {
     let mut table = MemberTable::new(&beat(own), now);
     for other in others {
@@ -52,13 +54,15 @@
 }
 
 fn home_name(table: &MemberTable, server: u64, now: Timestamp) -> String {
-    let home = table.home(ServerKey(server), HOME, now).expect("a home");
+    let home = table
+        .home(ServerKey(server), OWN_ZONE, now)
+        .expect("a home");
     table.entry(home).expect("a member").name.clone()
 }
 
-/// The zone is cut off, and the platform answers the VM list with nothing.
-/// Taking it at its word, the daemon would forget the peers beyond the cut, and
-/// neither side would ever look for the other again.
+/// The zone is cut off, and the platform answers with an empty VM list. If the daemon
+/// applied it, it would forget the peers outside the zone, and neither side would ever
+/// contact the other again.
 #[test]
 fn an_empty_list_removes_nobody() {
     let mut table = table(0, [1, 101], at(1.0));
@@ -72,10 +76,10 @@
     assert!(table.beats_due(at(600.0)).contains(&cut));
 }
 
-/// A daemon starts, and the list doesn't have it for some minutes. It speaks,
-/// so it is at work.
+/// A daemon starts and isn't on the VM list for some minutes. Its heartbeats prove that
+/// it is running.
 #[test]
-fn a_daemon_that_speaks_needs_no_list() {
+fn a_daemon_that_sends_heartbeats_needs_no_list() {
     let mut table = table(0, [1], at(1.0));
     for secs in 2..600 {
         assert_eq!(
@@ -87,10 +91,10 @@
     assert_eq!(names(&table, at(600.0)), vec![name(0), name(1)]);
 }
 
-/// A daemon's VM is lost, and the list has it for another hour. Its work has to
-/// go to others within seconds.
+/// A daemon's VM is lost but stays on the VM list for another hour. Other daemons have
+/// to take over its work within seconds.
 #[test]
-fn a_silent_daemon_is_not_at_work_whatever_the_list_says() {
+fn a_silent_daemon_is_not_alive_whatever_the_list_says() {
     let mut table = table(0, [1, 101], at(1.0));
     let list = [listed(0), listed(1), listed(2), listed(101)];
     table.apply_list(&list, at(1.0));
@@ -108,7 +112,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_neither_listed_nor_heard_is_dropped() {
+fn a_daemon_without_listing_and_heartbeats_is_dropped() {
     let mut table = table(0, [1], at(1.0));
     table.apply_list(&[listed(0)], at(60.0));
     assert!(table.find(&name(1)).is_some());
@@ -118,14 +122,14 @@
     assert_eq!(
         table.find(&name(2)),
         Some(DaemonId(2)),
-        "numbers rest for a while"
+        "numbers aren't reused for a while"
     );
     table.heartbeat(&beat(3), at(4000.0));
     assert_eq!(table.find(&name(3)), Some(DaemonId(1)));
 }
 
-/// A daemon says that it stops, and the process that follows it on the same VM
-/// speaks a moment later. Late heartbeats of the first must not bring it back.
+/// A daemon announces that it stops, and its successor on the same VM sends a heartbeat
+/// a moment later. Delayed heartbeats of the first process must not bring it back.
 #[test]
 fn a_leaving_daemon_is_gone_at_once_and_its_successor_is_new() {
     let mut table = table(0, [1], at(1.0));
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn homes_are_spread_evenly_and_agreed_on_without_talking() {
+fn homes_are_spread_evenly_and_agreed_on_without_messages() {
     let now = at(1.0);
     let one = table(0, 1..51, now);
     let two = table(7, (0..51).rev(), now);
@@ -171,17 +175,17 @@
         counts[one.find(&home).unwrap().index()] += 1;
     }
     assert!(counts.iter().all(|it| (8..60).contains(it)), "{counts:?}");
-    assert_eq!(one.watchers(HOME, now).len(), 2);
+    assert_eq!(one.watchers(OWN_ZONE, now).len(), 2);
     let own = [&one, &two].map(|it| {
-        let watchers = it.watchers(HOME, now).into_iter();
+        let watchers = it.watchers(OWN_ZONE, now).into_iter();
         let watchers = watchers.map(|daemon| it.entry(daemon).unwrap().name.clone());
         watchers.collect::<Vec<_>>()
     });
     assert_eq!(own[0], own[1]);
 }
 
-/// One daemon hasn't heard of another's loss yet. Were the homes of all servers
-/// to move with each loss, all bulk work of the zone would be disturbed by it.
+/// One daemon hasn't learned of another's loss yet. If the home daemons of all servers
+/// changed with each loss, all bulk work of the zone would be disturbed.
 #[test]
 fn a_disagreement_concerns_only_the_servers_of_the_disputed_daemon() {
     let now = at(1.0);
@@ -193,9 +197,9 @@
         let homes = [&knows, &lacks].map(|it| home_name(it, server, now));
         assert!(homes[0] == homes[1] || homes[0] == name(9), "{homes:?}");
     }
-    let both = [&knows, &lacks].map(|it| it.watchers(HOME, now));
+    let both = [&knows, &lacks].map(|it| it.watchers(OWN_ZONE, now));
     let shared = both[0].iter().filter(|it| both[1].contains(it)).count();
-    assert!(shared >= 1, "one watcher at least is the same");
+    assert!(shared >= 1, "at least one watcher is the same");
 }
 
 #[test]
@@ -203,18 +207,18 @@
     let table = table(0, [101], at(1.0));
     assert!(table.is_watcher(at(1.0)));
     assert_eq!(
-        table.home(ServerKey(5), HOME, at(1.0)),
+        table.home(ServerKey(5), OWN_ZONE, at(1.0)),
         Some(MemberTable::OWN)
     );
     assert_eq!(
-        table.home(ServerKey(5), AWAY, at(1.0)),
+        table.home(ServerKey(5), OTHER_ZONE, at(1.0)),
         table.find(&name(101))
     );
     assert_eq!(table.home(ServerKey(5), ZoneId(9), at(1.0)), None);
 }
 
-/// At the size of the target, 51 daemons in the zone of 360, heartbeats must
-/// leave most of a daemon's bytes for control to others.
+/// At the target size, 51 daemons in the zone and 360 in all, heartbeats must use only
+/// a small part of the bytes that a daemon may spend on control messages.
 #[test]
 fn heartbeats_are_few() {
     let mut table = table(0, (1..51).chain(101..410), at(0.0));
