--- a/crates/policy/benches/rate_ledger.rs
+++ b/crates/policy/benches/rate_ledger.rs
@@ -48,10 +48,10 @@
 
 fn bench(criterion: &mut Criterion) {
     let customers: Vec<CustomerKey> = rates().iter().map(|rate| rate.customer).collect();
-    let (asker, now) = ledger(357, None);
+    let (slotless, now) = ledger(357, None);
     println!(
         "a ledger with 780 customers takes {} bytes",
-        asker.footprint()
+        slotless.footprint()
     );
 
     let (mut holder, _) = ledger(0, Some(0));
@@ -69,7 +69,7 @@
 
     // Requests are two milliseconds apart, so that each customer's demand at this
     // daemon stays below the level at which the daemon borrows in advance.
-    let mut borrower = asker.clone();
+    let mut borrower = slotless.clone();
     let (mut holder, _) = ledger(0, Some(0));
     let mut number = 0;
     criterion.bench_function("borrow: ask, answer, spend", |bencher| {
@@ -83,7 +83,7 @@
             let customer = customers[number as usize % customers.len()];
             let decision = borrower.admit(black_box(customer), at);
             let Decision::Borrow { ask, attempt, .. } = decision else {
-                unreachable!("the asker has tokens");
+                unreachable!("the borrower already has tokens");
             };
             let answer = holder.handle_tokens(&ask, at);
             borrower.take(attempt, answer, at)
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go, and when they are refused instead.
+//! Tests of where requests are sent, and when they are refused instead.
 
 use std::time::Duration;
 
@@ -52,10 +52,10 @@
 const NEAR: ServerId = ServerId(0);
 const FAR: ServerId = ServerId(1);
 
-/// A zone is full while the next one has free slots. Requests that waited in
-/// their own zone would be late for no reason.
+/// A zone is full while another zone has free slots. Requests that wait in their own
+/// zone would start late for no reason.
 #[test]
-fn a_full_zone_is_left_before_a_request_waits() {
+fn another_zone_is_used_before_a_request_waits() {
     let mut table = table();
     assert_eq!(chosen(&table), Ok("near".to_owned()));
     for _ in 0..4 {
@@ -64,8 +64,8 @@
     assert_eq!(chosen(&table), Ok("far".to_owned()));
 }
 
-/// All slots hold live requests, so that a new one would start too late. It is
-/// refused at once, with a time to come back, rather than held to its deadline.
+/// All slots hold live requests, so that a new request would start too late. It is
+/// refused at once, with a retry time, instead of being held until its deadline.
 #[test]
 fn a_request_that_would_start_too_late_is_refused_at_once() {
     let mut table = table();
@@ -77,10 +77,10 @@
         if retry_after >= Duration::from_millis(250));
 }
 
-/// Items of lots hold all slots. A live request is still sent, and an item steps
-/// aside for it: there is work that can wait.
+/// Items of lots hold all slots. A live request is still admitted, and one item is
+/// preempted for it, because items can wait.
 #[test]
-fn items_of_lots_refuse_nobody() {
+fn items_of_lots_cause_no_refusal() {
     let mut table = table();
     for _ in 0..4 {
         table.begin(NEAR, WorkKind::Bulk, NOW);
@@ -94,10 +94,10 @@
     assert_eq!((orders[0].server, orders[0].items), (NEAR, 1));
 }
 
-/// Two daemons have items on a server that a live request needs one slot of.
-/// Were each to stop an item, one slot would be given up for nothing.
+/// Two daemons have items on a server where a live request needs one slot. If each
+/// daemon preempted an item, one slot would be freed for nothing.
 #[test]
-fn daemons_together_give_up_just_what_is_missing() {
+fn daemons_together_preempt_only_what_is_missing() {
     let mut total = 0;
     for (own, other) in [(1, 2), (2, 1)] {
         let mut table = PlacementTable::new(PeerId(own));
@@ -118,10 +118,10 @@
     assert_eq!(total, 1);
 }
 
-/// An item has just stepped aside. Started again at once it would be stopped
-/// again at once, for as long as the live requests last.
+/// An item was just preempted. If it were started again at once, it would be preempted
+/// again at once, as long as the live requests last.
 #[test]
-fn no_item_starts_where_one_has_just_stepped_aside() {
+fn no_item_starts_where_one_was_just_preempted() {
     let mut table = table();
     table.set_listings(&[listing("near", "a")]);
     for _ in 0..4 {
@@ -140,10 +140,10 @@
     assert!(table.choose_bulk(query(&[]), late, &mut random).is_some());
 }
 
-/// Daemons behind a cut aren't heard, but they use the same server. Its own
-/// report shows what they have there.
+/// Daemons behind a network cut can't be reached, but they use the same server. The
+/// server's own report includes their requests.
 #[test]
-fn a_report_shows_what_nobody_told() {
+fn a_server_report_includes_load_that_no_peer_reported() {
     let mut table = table();
     let report = SlotReport {
         running: 4,
@@ -154,10 +154,10 @@
     assert_eq!(chosen(&table), Ok("far".to_owned()));
 }
 
-/// A server fails twice in a row. It is left alone for a moment, unless there is
-/// no other: then it is better than none.
+/// A server fails twice in a row. It is avoided for a moment, unless there is no other
+/// server.
 #[test]
-fn a_failing_server_is_left_alone_but_not_the_last_one() {
+fn a_failing_server_is_avoided_unless_it_is_the_last_one() {
     let mut table = table();
     for _ in 0..2 {
         table.note(NEAR, ServerOutcomeKind::Broken, NOW);
@@ -167,8 +167,8 @@
     assert_eq!(chosen(&table), Ok("near".to_owned()));
 }
 
-/// A server that leaves, or whose entry is gone, gets nothing more, also while
-/// requests on it are still open.
+/// A server that is leaving, or whose entry is gone, gets no new requests, even while
+/// it still has requests in flight.
 #[test]
 fn a_server_that_leaves_gets_nothing() {
     let mut table = table();
@@ -180,16 +180,16 @@
     table.end(NEAR, WorkKind::Live);
 }
 
-/// A server starts anew under its old name. What was known of its former life
-/// must not be held against it, and its place in the table stays for those whose
-/// requests are still open there.
+/// A server restarts under its old name. Failures of its former incarnation must not
+/// count against it, and the old table entry stays for requests that are still in
+/// flight there.
 #[test]
-fn a_new_life_of_a_server_is_a_new_server() {
+fn a_restarted_server_is_a_new_server() {
     let mut table = table();
     table.begin(NEAR, WorkKind::Live, NOW);
-    let mut reborn = listing("near", "a");
-    reborn.start = 2;
-    table.set_listings(&[reborn]);
+    let mut restarted = listing("near", "a");
+    restarted.start = 2;
+    table.set_listings(&[restarted]);
     let placement = table
         .choose_live(query(&[]), NOW, &mut StdRng::seed_from_u64(1))
         .ok();
--- a/crates/policy/tests/placement_large.rs
+++ b/crates/policy/tests/placement_large.rs
@@ -1,5 +1,5 @@
-//! A zone of a large fleet at the height of a step, replayed on virtual time: many daemons
-//! send to the same servers, and hear of each other late.
+//! Simulates a zone of a large fleet at peak load, on virtual time: many daemons send
+//! to the same servers and get each other's reports late.
 
 use std::{
     cmp::Reverse,
@@ -20,23 +20,24 @@
 const SERVERS: usize = 16;
 const SLOTS: usize = 8;
 const ENTRIES: usize = 24;
-const USERS: usize = 4;
+const DAEMONS_PER_SERVER: usize = 4;
 const STEP: Duration = Duration::from_millis(5);
-/// Daemons that share servers tell each other after so long for each of them.
-const NEAR_FOR_EACH: Duration = Duration::from_millis(5);
-const FAR: Duration = Duration::from_millis(750);
-const HELD: Duration = Duration::from_millis(840);
-/// At the height of a step nine tenths of the slots are wanted.
+/// The interval of reports between daemons that share servers, per daemon that is
+/// reported to.
+const NEAR_INTERVAL_PER_PEER: Duration = Duration::from_millis(5);
+const FAR_REPORT_INTERVAL: Duration = Duration::from_millis(750);
+const REQUEST_DURATION: Duration = Duration::from_millis(840);
+/// At peak load 90 percent of the slots are needed.
 const HIGH_RATE: f64 = 137.0;
 const LOW_RATE: f64 = 28.0;
-const RUN: Duration = Duration::from_secs(27);
-const ON_TIME: Duration = Duration::from_millis(250);
-/// After this long in its slot a request has its first event, and with it the server's
-/// own report.
+const RUN_DURATION: Duration = Duration::from_secs(27);
+const MAX_ON_TIME_WAIT: Duration = Duration::from_millis(250);
+/// The time from the start of a request in its slot to its first event, which carries
+/// the server's own report.
 const FIRST_EVENT: Duration = Duration::from_millis(50);
 const SEEDS: u64 = 3;
 
-/// A live request at a server.
+/// A live request that runs on a server.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct LiveJob {
     ends: Timestamp,
@@ -48,13 +49,13 @@
     tables: Vec<PlacementTable>,
     homes: Vec<HomePair>,
     running: Vec<BinaryHeap<Reverse<LiveJob>>>,
-    /// Requests that wait at each server, with their daemons.
+    /// The requests that wait at each server: arrival time and daemon.
     waiting: Vec<Vec<(Timestamp, usize)>>,
-    /// How many callers each daemon has, against the others.
+    /// The number of callers of each daemon, relative to the others.
     weights: Vec<f64>,
     random: StdRng,
     waits: Vec<Duration>,
-    /// When which daemon reads which server's report.
+    /// Reports on their way: arrival time, daemon, server.
     reports: VecDeque<(Timestamp, usize, usize)>,
 }
 
@@ -98,37 +99,41 @@
         }
     }
 
-    /// The part of the requests that start late.
+    /// Runs the simulation and returns the fraction of requests that start late.
     fn run(mut self) -> f64 {
-        let near: Vec<Vec<usize>> = (0..ENTRIES).map(|it| self.near(it)).collect();
+        let near_peers: Vec<Vec<usize>> = (0..ENTRIES).map(|it| self.near_peers(it)).collect();
         let begin = self.now;
         let mut near_due: Vec<Timestamp> = vec![begin; ENTRIES];
         let mut far_due: Vec<Timestamp> = (0..ENTRIES)
-            .map(|_| begin + FAR.mul_f64(self.random.random::<f64>()))
+            .map(|_| begin + FAR_REPORT_INTERVAL.mul_f64(self.random.random::<f64>()))
             .collect();
-        while self.now.since(begin) < RUN {
+        while self.now.since(begin) < RUN_DURATION {
             self.now = self.now + STEP;
-            self.work();
+            self.run_servers();
             self.read_reports();
             self.arrivals(self.now.since(begin));
             for daemon in 0..ENTRIES {
                 if self.now >= far_due[daemon] {
-                    far_due[daemon] = self.now + FAR;
-                    self.tell(daemon, 0..ENTRIES);
+                    far_due[daemon] = self.now + FAR_REPORT_INTERVAL;
+                    self.report_shares(daemon, 0..ENTRIES);
                 }
                 if self.now >= near_due[daemon] {
-                    let gathered = NEAR_FOR_EACH * near[daemon].len() as u32;
-                    near_due[daemon] = self.now + gathered.max(Duration::from_millis(30));
-                    self.tell(daemon, near[daemon].iter().copied());
+                    let interval = NEAR_INTERVAL_PER_PEER * near_peers[daemon].len() as u32;
+                    near_due[daemon] = self.now + interval.max(Duration::from_millis(30));
+                    self.report_shares(daemon, near_peers[daemon].iter().copied());
                 }
             }
         }
-        let late = self.waits.iter().filter(|it| **it > ON_TIME).count();
+        let late = self
+            .waits
+            .iter()
+            .filter(|it| **it > MAX_ON_TIME_WAIT)
+            .count();
         late as f64 / self.waits.len().max(1) as f64
     }
 
-    /// The daemons with which one shares servers.
-    fn near(&self, own: usize) -> Vec<usize> {
+    /// Returns the daemons that share servers with `own`.
+    fn near_peers(&self, own: usize) -> Vec<usize> {
         let uses = |daemon: usize, server: u64| self.homes.contains(&(server, peer(daemon)));
         let servers: Vec<u64> = self.homes.iter().map(|it| it.0).collect();
         let shares = |other: usize| {
@@ -140,7 +145,7 @@
             .collect()
     }
 
-    fn work(&mut self) {
+    fn run_servers(&mut self) {
         for server in 0..SERVERS {
             while let Some(Reverse(job)) = self.running[server].peek().copied() {
                 if job.ends > self.now {
@@ -152,7 +157,7 @@
             while self.running[server].len() < SLOTS && !self.waiting[server].is_empty() {
                 let (arrived, daemon) = self.waiting[server].remove(0);
                 self.waits.push(self.now.since(arrived));
-                let ends = self.now + HELD;
+                let ends = self.now + REQUEST_DURATION;
                 self.running[server].push(Reverse(LiveJob { ends, daemon }));
                 let read = self.now + FIRST_EVENT;
                 self.reports.push_back((read, daemon, server));
@@ -198,14 +203,14 @@
     fn draw_daemon(&mut self) -> usize {
         let all: f64 = self.weights.iter().sum();
         let mut drawn = self.random.random_range(0.0..all);
-        let place = self.weights.iter().position(|weight| {
+        let index = self.weights.iter().position(|weight| {
             drawn -= weight;
             drawn < 0.0
         });
-        place.unwrap_or(0)
+        index.unwrap_or(0)
     }
 
-    fn tell(&mut self, from: usize, to: impl Iterator<Item = usize>) {
+    fn report_shares(&mut self, from: usize, to: impl Iterator<Item = usize>) {
         let shares: Vec<(u64, LoadShare)> = self.tables[from].own_shares();
         for to in to.filter(|it| *it != from) {
             self.tables[to].hear(peer(from), &shares, self.now);
@@ -217,38 +222,45 @@
     PeerId::of_name(&format!("entry-{daemon}"))
 }
 
-/// Each server draws its daemons, so that daemons have more servers or fewer.
+/// Assigns daemons to each server independently, so that daemons have different numbers
+/// of servers.
 fn drawn_by_servers(servers: &[u64], daemons: &[PeerId]) -> Vec<HomePair> {
-    let one = |server: &u64| home_pairs(&[*server], daemons, USERS);
+    let one = |server: &u64| home_pairs(&[*server], daemons, DAEMONS_PER_SERVER);
     servers.iter().flat_map(one).collect()
 }
 
-fn mean_late(homes: impl Fn(&[u64], &[PeerId]) -> Vec<HomePair> + Copy) -> f64 {
+fn mean_late_fraction(homes: impl Fn(&[u64], &[PeerId]) -> Vec<HomePair> + Copy) -> f64 {
     let late = (1..=SEEDS).map(|seed| ZoneReplay::new(seed, homes).run());
     late.sum::<f64>() / SEEDS as f64
 }
 
-/// Some daemons have one server or none of their own, and send their callers' requests to
-/// servers that looked idle most of a second ago, where they wait behind others.
+/// Some daemons have only one server or no server of their own. They send their
+/// callers' requests to servers that were idle most of a second ago, where they wait
+/// behind others.
 #[test]
 fn daemons_with_as_many_servers_each_keep_callers_on_time() {
-    let drawn = mean_late(drawn_by_servers);
-    let even = mean_late(|servers, daemons| home_pairs(servers, daemons, USERS));
+    let drawn = mean_late_fraction(drawn_by_servers);
+    let even =
+        mean_late_fraction(|servers, daemons| home_pairs(servers, daemons, DAEMONS_PER_SERVER));
     eprintln!("late: {even:.4} with as many servers each, {drawn:.4} drawn by servers");
     assert!(even <= 0.02, "{even} late");
     assert!(even * 1.5 <= drawn, "{even} and {drawn} late");
 }
 
-/// A service with one server in a zone would have all daemons near each other, and each
-/// would speak to all of them with every change.
+/// A service has one server in a zone. If all daemons of the zone shared it, each would
+/// have to send every change to all others.
 #[test]
 fn few_servers_are_shared_by_few_daemons() {
     let daemons: Vec<PeerId> = (0..ENTRIES).map(peer).collect();
-    let pairs = home_pairs(&[1], &daemons, USERS);
-    assert_eq!(pairs.len(), USERS);
-    let pairs = home_pairs(&(0..SERVERS as u64).collect::<Vec<_>>(), &daemons, USERS);
+    let pairs = home_pairs(&[1], &daemons, DAEMONS_PER_SERVER);
+    assert_eq!(pairs.len(), DAEMONS_PER_SERVER);
+    let pairs = home_pairs(
+        &(0..SERVERS as u64).collect::<Vec<_>>(),
+        &daemons,
+        DAEMONS_PER_SERVER,
+    );
     for daemon in &daemons {
         let own = pairs.iter().filter(|it| it.1 == *daemon).count();
-        assert_eq!(own, (SERVERS * USERS).div_ceil(ENTRIES));
+        assert_eq!(own, (SERVERS * DAEMONS_PER_SERVER).div_ceil(ENTRIES));
     }
 }
--- a/crates/policy/tests/placement_load.rs
+++ b/crates/policy/tests/placement_load.rs
@@ -1,8 +1,8 @@
-//! The worst load replayed on virtual time: live requests come in steps, lots
-//! want all that is left, and the daemons hear of each other late.
+//! Simulates the worst load on virtual time: live requests arrive in steps, lots use
+//! all remaining slots, and daemons get each other's reports late.
 //!
-//! Live load is 0.38 of the mean for 3.4 s, then 1.87 of it for 2.4 s. At the
-//! height of a step it takes nearly all slots; in between most are free for lots.
+//! Live load is 0.38 of the mean for 3.4 s, then 1.87 of it for 2.4 s. At the height of
+//! a step it takes nearly all slots; otherwise most slots are free for lots.
 
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
 
 const SERVERS: usize = 12;
 const SLOTS: usize = 8;
-/// Daemons that callers reach, and daemons that run lots.
+/// The daemons that callers connect to, and the daemons that run lots.
 const ENTRIES: usize = 4;
 const RUNNERS: usize = 3;
-/// How often daemons tell each other, which they hear a step later.
-const TELL: Duration = Duration::from_millis(30);
+/// The interval of reports between daemons, which arrive one step later.
+const REPORT_INTERVAL: Duration = Duration::from_millis(30);
 const STEP: Duration = Duration::from_millis(5);
-const LIVE_SPAN: Duration = Duration::from_millis(650);
-const ITEM_SPAN: Duration = Duration::from_millis(4_600);
-const OBJECTIVE_WAIT: Duration = Duration::from_millis(210);
-/// Mean live requests a second: 86 of 96 slots at the height of a step.
+const LIVE_DURATION: Duration = Duration::from_millis(650);
+const ITEM_DURATION: Duration = Duration::from_millis(4_600);
+const MAX_LIVE_WAIT: Duration = Duration::from_millis(210);
+/// Mean live requests a second, which need 86 of 96 slots at the height of a step.
 const LIVE_RATE: f64 = 71.0;
 
 #[derive(Clone, Copy)]
@@ -32,7 +32,7 @@
     daemon: usize,
     kind: WorkKind,
     arrived: Timestamp,
-    begun: Option<Timestamp>,
+    started: Option<Timestamp>,
     left: Duration,
 }
 
@@ -48,7 +48,7 @@
     now: Timestamp,
     tables: Vec<PlacementTable>,
     servers: Vec<Vec<Job>>,
-    /// Items that wait at each daemon of lots, with the time that they still take.
+    /// The items that wait at each daemon that runs lots: their remaining run time.
     waiting: Vec<Vec<Duration>>,
     random: StdRng,
     outcome: Outcome,
@@ -82,30 +82,30 @@
         }
     }
 
-    fn run(mut self, span: Duration) -> Outcome {
+    fn run(mut self, duration: Duration) -> Outcome {
         let begin = self.now;
-        let mut told_at = self.now;
-        while self.now.since(begin) < span {
+        let mut reported_at = self.now;
+        while self.now.since(begin) < duration {
             self.now = self.now + STEP;
-            self.work();
+            self.run_servers();
             self.live_arrivals(self.now.since(begin));
-            if self.now.since(told_at) >= TELL {
-                told_at = self.now;
-                self.tell();
-                self.step_aside();
+            if self.now.since(reported_at) >= REPORT_INTERVAL {
+                reported_at = self.now;
+                self.report_shares();
+                self.preempt_items();
             }
             self.start_items();
         }
         self.outcome
     }
 
-    /// Engines start what arrives in order, as long as there are slots.
-    fn work(&mut self) {
+    /// Servers start their requests in order of arrival, while they have free slots.
+    fn run_servers(&mut self) {
         for server in 0..SERVERS {
-            for place in 0..self.servers[server].len().min(SLOTS) {
-                let job = &mut self.servers[server][place];
-                if job.begun.is_none() {
-                    job.begun = Some(self.now);
+            for position in 0..self.servers[server].len().min(SLOTS) {
+                let job = &mut self.servers[server][position];
+                if job.started.is_none() {
+                    job.started = Some(self.now);
                     if job.kind == WorkKind::Live {
                         self.outcome.waits.push(self.now.since(job.arrived));
                     }
@@ -119,7 +119,7 @@
                 let table = &mut self.tables[job.daemon];
                 table.end(ServerId(server as u32), job.kind);
                 match job.kind {
-                    WorkKind::Live => table.note_span(ServerId(server as u32), LIVE_SPAN),
+                    WorkKind::Live => table.note_span(ServerId(server as u32), LIVE_DURATION),
                     WorkKind::Bulk => self.outcome.items_done += 1,
                 }
             }
@@ -128,8 +128,8 @@
 
     fn live_arrivals(&mut self, since: Duration) {
         let phase = since.as_secs_f64() % 5.8;
-        let part = if phase < 3.4 { 0.383 } else { 1.87 };
-        let expected = LIVE_RATE * part * STEP.as_secs_f64();
+        let factor = if phase < 3.4 { 0.383 } else { 1.87 };
+        let expected = LIVE_RATE * factor * STEP.as_secs_f64();
         let mut count = usize::from(self.random.random::<f64>() < expected.fract());
         count += expected.floor() as usize;
         for _ in 0..count {
@@ -139,10 +139,10 @@
                 service: "drafts",
                 zone: &zone,
                 exclude: &[],
-                longest_wait: OBJECTIVE_WAIT,
+                longest_wait: MAX_LIVE_WAIT,
             };
             match self.tables[daemon].choose_live(query, self.now, &mut self.random) {
-                Ok(placement) => self.send(daemon, placement.server, WorkKind::Live, LIVE_SPAN),
+                Ok(placement) => self.send(daemon, placement.server, WorkKind::Live, LIVE_DURATION),
                 Err(_) => self.outcome.refused += 1,
             }
         }
@@ -154,12 +154,12 @@
             daemon,
             kind,
             arrived: self.now,
-            begun: None,
+            started: None,
             left,
         });
     }
 
-    fn tell(&mut self) {
+    fn report_shares(&mut self) {
         for from in 0..self.tables.len() {
             let shares = self.tables[from].own_shares();
             for to in (0..self.tables.len()).filter(|it| *it != from) {
@@ -168,17 +168,17 @@
         }
     }
 
-    fn step_aside(&mut self) {
+    fn preempt_items(&mut self) {
         for daemon in ENTRIES..ENTRIES + RUNNERS {
             for order in self.tables[daemon].yield_orders(self.now) {
                 let server = order.server.index();
                 for _ in 0..order.items {
                     let jobs = &mut self.servers[server];
                     let own = |it: &Job| it.daemon == daemon && it.kind == WorkKind::Bulk;
-                    let Some(place) = jobs.iter().rposition(own) else {
+                    let Some(position) = jobs.iter().rposition(own) else {
                         break;
                     };
-                    let job = jobs.remove(place);
+                    let job = jobs.remove(position);
                     self.tables[daemon].end(order.server, WorkKind::Bulk);
                     self.waiting[daemon - ENTRIES].push(job.left);
                 }
@@ -186,7 +186,7 @@
         }
     }
 
-    /// There is always another item to run.
+    /// Starts items while there are free slots; there is always another item to run.
     fn start_items(&mut self) {
         for runner in 0..RUNNERS {
             let daemon = ENTRIES + runner;
@@ -202,7 +202,7 @@
                 let Some(placement) = placement else {
                     break;
                 };
-                let left = self.waiting[runner].pop().unwrap_or(ITEM_SPAN);
+                let left = self.waiting[runner].pop().unwrap_or(ITEM_DURATION);
                 self.send(daemon, placement.server, WorkKind::Bulk, left);
                 self.outcome.item_starts += 1;
             }
@@ -210,26 +210,25 @@
     }
 }
 
-fn part_within(waits: &[Duration], limit: Duration) -> f64 {
+fn fraction_within(waits: &[Duration], limit: Duration) -> f64 {
     let within = waits.iter().filter(|it| **it <= limit).count();
     within as f64 / waits.len().max(1) as f64
 }
 
-/// Callers must hardly notice that lots are run beside them: of all live requests
-/// 99 in 100 start well within the objective, and none is refused while items
-/// hold slots. Lots get most of what live work leaves, without being started and
-/// stopped over and over.
+/// Lots must hardly affect live callers: 99 in 100 live requests start well within the
+/// objective, and none is refused while items hold slots. Lots get most of the capacity
+/// that live requests leave, without being started and preempted too often.
 #[test]
 fn steps_of_live_load_beside_endless_lots() {
     for seed in [1, 2, 3] {
         let outcome = LoadReplay::new(seed).run(Duration::from_secs(58));
-        let on_time = part_within(&outcome.waits, OBJECTIVE_WAIT);
+        let on_time = fraction_within(&outcome.waits, MAX_LIVE_WAIT);
         assert!(on_time >= 0.99, "seed {seed}: {on_time} on time");
         let refused = outcome.refused as f64 / outcome.waits.len() as f64;
         assert!(refused <= 0.002, "seed {seed}: {refused} refused");
-        // What live work leaves of 96 slots over 58 s, in items.
+        // The capacity that live requests leave of 96 slots over 58 s.
         let left = (SERVERS * SLOTS) as f64 * 58.0 - outcome.waits.len() as f64 * 0.65;
-        let items = outcome.items_done as f64 * ITEM_SPAN.as_secs_f64() / left;
+        let items = outcome.items_done as f64 * ITEM_DURATION.as_secs_f64() / left;
         assert!(
             items >= 0.8,
             "seed {seed}: lots had {items} of what was left"
@@ -239,11 +238,11 @@
     }
 }
 
-/// What one daemon has on servers, told to others, adds up to what is there.
+/// The shares that a daemon reports to others add up to its requests on the servers.
 #[test]
-fn shares_are_told_by_the_hash_of_the_name() {
+fn shares_are_reported_by_the_hash_of_the_name() {
     let mut replay = LoadReplay::new(1);
-    replay.send(0, ServerId(3), WorkKind::Live, LIVE_SPAN);
+    replay.send(0, ServerId(3), WorkKind::Live, LIVE_DURATION);
     let expected = LoadShare { live: 1, bulk: 0 };
     assert_eq!(
         replay.tables[0].own_shares(),
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,4 +1,5 @@
-//! Where live calls wait: one customer's burst and another's tail.
+//! Tests of the queue of live calls: how one customer's burst affects other customers'
+//! waits.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -9,10 +10,10 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const STEP: Duration = Duration::from_millis(5);
-/// Calls that the servers of the model run at a time.
-const PLACES: usize = 20;
+/// The number of calls that the simulated servers run at a time.
+const SERVER_SLOTS: usize = 20;
 const CUSTOMERS: u32 = 10;
-const BURSTER: CustomerId = CustomerId(0);
+const BURSTING: CustomerId = CustomerId(0);
 
 fn at(secs: f64) -> Timestamp {
     Timestamp::from_micros((secs * 1e6) as u64)
@@ -29,43 +30,43 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Discipline {
     Fair,
     InOrder,
     FairWithoutUrgency,
 }
 
-/// What the model measured: the waits of everybody but the burster, and how
-/// many calls of each were refused.
-struct Measured {
+/// The result of a simulation: waits of all customers but the bursting one, and the
+/// number of refused calls of each.
+struct Measurements {
     waits: Vec<Duration>,
     refused_others: u32,
-    refused_burster: u32,
-    served_burster: u32,
+    refused_bursting: u32,
+    served_bursting: u32,
 }
 
-impl Measured {
-    fn percentile(&self, part: f64) -> f64 {
+impl Measurements {
+    fn percentile(&self, fraction: f64) -> f64 {
         let mut waits = self.waits.clone();
         waits.sort_unstable();
-        waits[((waits.len() - 1) as f64 * part) as usize].as_secs_f64()
+        waits[((waits.len() - 1) as f64 * fraction) as usize].as_secs_f64()
     }
 }
 
-/// Ten customers send three calls a second each to servers that answer forty.
-/// The burster sends `times` as much between the seconds 20 and 40.
-fn run(way: Way, times: f64, seed: u64) -> Measured {
+/// Ten customers send three calls a second each to servers that answer forty. The
+/// bursting customer sends `times` as much between the seconds 20 and 40.
+fn run(discipline: Discipline, times: f64, seed: u64) -> Measurements {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut urgencies = UrgencyTable::default();
     let mut queue = LiveQueue::default();
     let mut in_order: VecDeque<QueuedCall> = VecDeque::new();
     let mut sent_at: Vec<Timestamp> = Vec::new();
-    let mut places: Vec<(Timestamp, CustomerId, Urgency)> = Vec::new();
-    let mut measured = Measured {
+    let mut slots: Vec<(Timestamp, CustomerId, Urgency)> = Vec::new();
+    let mut measurements = Measurements {
         waits: Vec::new(),
         refused_others: 0,
-        refused_burster: 0,
-        served_burster: 0,
+        refused_bursting: 0,
+        served_bursting: 0,
     };
     let traits = CallTraits {
         door: CallerDoor::Live,
@@ -76,7 +77,7 @@
         let bursting = (20.0..40.0).contains(&now.as_secs_f64());
         for customer in 0..CUSTOMERS {
             let own = CustomerId(customer);
-            let factor = if bursting && own == BURSTER {
+            let factor = if bursting && own == BURSTING {
                 times
             } else {
                 1.0
@@ -87,10 +88,10 @@
             let urgency = urgencies.begin(CallerKey(u64::from(customer)), traits, now);
             sent_at.push(now);
             let mut call = call(sent_at.len() as u64 - 1, customer, now);
-            if way == Way::Fair {
+            if discipline == Discipline::Fair {
                 call.urgency = urgency;
             }
-            if way == Way::InOrder {
+            if discipline == Discipline::InOrder {
                 in_order.push_back(call);
                 continue;
             }
@@ -98,12 +99,12 @@
                 Ok(evicted) => assert_eq!(evicted, None),
                 Err(_) => {
                     urgencies.end(CallerKey(u64::from(customer)), traits, urgency);
-                    measured.refused_burster += u32::from(own == BURSTER);
-                    measured.refused_others += u32::from(own != BURSTER);
+                    measurements.refused_bursting += u32::from(own == BURSTING);
+                    measurements.refused_others += u32::from(own != BURSTING);
                 }
             }
         }
-        places.retain(|(until, customer, urgency)| {
+        slots.retain(|(until, customer, urgency)| {
             if *until <= now {
                 urgencies.end(CallerKey(u64::from(customer.0)), traits, *urgency);
             }
@@ -112,60 +113,61 @@
         for late in queue.take_late(now) {
             let key = CallerKey(u64::from(late.customer.0));
             urgencies.end(key, traits, late.urgency);
-            measured.refused_others += u32::from(late.customer != BURSTER);
+            measurements.refused_others += u32::from(late.customer != BURSTING);
         }
-        while places.len() < PLACES {
-            let next = match way {
-                Way::InOrder => in_order.pop_front(),
+        while slots.len() < SERVER_SLOTS {
+            let next = match discipline {
+                Discipline::InOrder => in_order.pop_front(),
                 _ => queue.pop(now),
             };
             let Some(next) = next else {
                 break;
             };
             let took = Duration::from_millis(rng.random_range(300..700));
-            places.push((now + took, next.customer, next.urgency));
-            if next.customer == BURSTER {
-                measured.served_burster += 1;
+            slots.push((now + took, next.customer, next.urgency));
+            if next.customer == BURSTING {
+                measurements.served_bursting += 1;
             } else {
-                measured
+                measurements
                     .waits
                     .push(now.since(sent_at[next.number as usize]));
             }
         }
     }
-    measured
+    measurements
 }
 
-/// One customer sends ten times its usual rate for twenty seconds. In order of
-/// arrival everybody's calls wait behind its burst, for many seconds.
+/// One customer sends ten times its typical rate for twenty seconds. In order of
+/// arrival, the calls of all customers would wait behind its burst for many seconds.
 #[test]
 fn a_burst_does_not_move_the_tail_of_others() {
-    let quiet = run(Way::Fair, 1.0, 1);
-    let fair = run(Way::Fair, 10.0, 1);
-    let in_order = run(Way::InOrder, 10.0, 1);
+    let quiet = run(Discipline::Fair, 1.0, 1);
+    let fair = run(Discipline::Fair, 10.0, 1);
+    let in_order = run(Discipline::InOrder, 10.0, 1);
     let tails = [&quiet, &fair, &in_order].map(|it| it.percentile(0.99));
     println!(
         "99th percentile of others' waits: quiet {:.3} s, burst {:.3} s, in order {:.3} s",
         tails[0], tails[1], tails[2]
     );
     println!(
-        "burster: {} served, {} refused",
-        fair.served_burster, fair.refused_burster
+        "bursting customer: {} served, {} refused",
+        fair.served_bursting, fair.refused_bursting
     );
     assert_eq!((quiet.refused_others, fair.refused_others), (0, 0));
     assert!(tails[1] < tails[0] + 0.2, "{tails:?}");
     assert!(tails[2] > 10.0 * tails[1], "{tails:?}");
-    // What is free goes to the burster: its own 180 and a part of the spare.
-    assert!(fair.served_burster > 180 + 100, "{}", fair.served_burster);
+    // The bursting customer gets free capacity: its own 180 calls and a part of the
+    // remainder.
+    assert!(fair.served_bursting > 180 + 100, "{}", fair.served_bursting);
 }
 
-/// A program pushes bulk work through the live door, as a customer of its own.
-/// Fair shares alone already bound what it takes; its rank bounds the harm to
-/// people of the same customer, whose share it uses up.
+/// A program sends bulk work to the live API, as a customer of its own. Fair shares
+/// already limit what it takes; the urgency of its calls limits the effect on people of
+/// the same customer, whose share it uses up.
 #[test]
 fn bulk_through_the_live_door_waits_behind_people_of_its_customer() {
     let mut tails = [0.0; 2];
-    for (way, tail) in [Way::Fair, Way::FairWithoutUrgency]
+    for (discipline, tail) in [Discipline::Fair, Discipline::FairWithoutUrgency]
         .into_iter()
         .zip(&mut tails)
     {
@@ -173,7 +175,7 @@
         let mut urgencies = UrgencyTable::default();
         let mut waits = Vec::new();
         let mut people: Vec<(u64, Timestamp)> = Vec::new();
-        let mut places: Vec<Timestamp> = Vec::new();
+        let mut slots: Vec<Timestamp> = Vec::new();
         let mut rng = StdRng::seed_from_u64(2);
         for step in 0..24_000_u32 {
             let now = at(1.0) + STEP * step;
@@ -189,7 +191,7 @@
                 urgencies.end(CallerKey(key), traits, urgency);
                 let number = u64::from(step) * 4 + key;
                 let mut call = call(number, 0, now);
-                if way == Way::Fair {
+                if discipline == Discipline::Fair {
                     call.urgency = urgency;
                 }
                 let taken = queue.push(call, now).is_ok();
@@ -200,17 +202,17 @@
                     }
                 }
             }
-            places.retain(|&until| until > now);
+            slots.retain(|&until| until > now);
             for late in queue.take_late(now) {
                 if late.number % 4 == 2 {
                     waits.push(10.0);
                 }
             }
-            while places.len() < PLACES {
+            while slots.len() < SERVER_SLOTS {
                 let Some(next) = queue.pop(now) else {
                     break;
                 };
-                places.push(now + Duration::from_millis(rng.random_range(300..700)));
+                slots.push(now + Duration::from_millis(rng.random_range(300..700)));
                 let person = people.iter().find(|it| it.0 == next.number);
                 waits.extend(person.map(|it| now.since(it.1).as_secs_f64()));
             }
@@ -241,10 +243,10 @@
     assert!((48..=52).contains(&served[0]), "{served:?}");
 }
 
-/// A customer is charged for what its calls were thought to cost, and they cost
-/// ten times as much. Not put right, it would get ten times its share.
+/// A customer is charged for the estimated cost of its calls, but they cost ten times
+/// as much. Without a correction it would get ten times its share.
 #[test]
-fn what_calls_cost_in_the_end_counts() {
+fn the_actual_cost_of_calls_counts() {
     let mut queue = LiveQueue::default();
     let mut tokens = [0.0; 2];
     for number in 0..400 {
@@ -266,10 +268,10 @@
     assert!((0.8..1.25).contains(&ratio), "{tokens:?}");
 }
 
-/// A customer that was away for an hour comes back. With a credit for all that
-/// time it would keep everybody else out until it had caught up.
+/// A customer that was idle for an hour sends calls again. If it had credit for that
+/// time, no other customer would be served until it had caught up.
 #[test]
-fn being_away_earns_no_credit() {
+fn an_idle_customer_earns_no_credit() {
     let mut queue = LiveQueue::default();
     for number in 0..1000 {
         queue.push(call(number, 0, at(1.0)), at(1.0)).unwrap();
@@ -285,10 +287,11 @@
     assert!((9..=11).contains(&back), "{back} of 20");
 }
 
-/// The servers start ten calls a second, and a caller can wait for two. Held
-/// back until its deadline, it would learn too late that it had to go elsewhere.
+/// The servers start ten calls a second, and a caller can wait for two seconds. If its
+/// call were held until the deadline, the caller would learn too late that it has to go
+/// elsewhere.
 #[test]
-fn what_would_wait_too_long_is_refused_at_once() {
+fn a_call_that_would_wait_too_long_is_refused_at_once() {
     let mut queue = LiveQueue::default();
     for number in 0..90 {
         queue.push(call(number, 0, at(1.0)), at(1.0)).unwrap();
@@ -298,28 +301,28 @@
         now = now + Duration::from_millis(100);
         queue.pop(now);
     }
-    let hasty = QueuedCall {
+    let impatient = QueuedCall {
         deadline: now + Duration::from_secs(2),
         ..call(100, 0, now)
     };
-    let refusal = queue.push(hasty, now).unwrap_err();
+    let refusal = queue.push(impatient, now).unwrap_err();
     assert_eq!(refusal.cause, QueueCause::TooLong);
     let secs = refusal.retry_after.as_secs_f64();
     assert!((4.0..7.0).contains(&secs), "{secs}");
     let other = QueuedCall {
         customer: CustomerId(1),
-        ..hasty
+        ..impatient
     };
     assert!(
         queue.push(other, now).is_ok(),
-        "another customer's turn comes sooner"
+        "another customer is served sooner"
     );
 }
 
-/// One customer fills the queue. Refused for want of room, everybody else would
-/// pay for it.
+/// One customer fills the queue. If calls were refused for lack of capacity, all other
+/// customers would suffer from it.
 #[test]
-fn a_full_queue_makes_way_for_customers_that_hold_little_of_it() {
+fn a_full_queue_evicts_calls_of_its_largest_customer() {
     let mut queue = LiveQueue::default();
     for number in 0..4096 {
         queue.push(call(number, 0, at(1.0)), at(1.0)).unwrap();
@@ -332,7 +335,7 @@
 }
 
 #[test]
-fn lower_urgencies_are_not_shut_out() {
+fn lower_urgencies_are_not_starved() {
     let mut queue = LiveQueue::default();
     for number in 0..200 {
         let urgency = if number < 100 {
@@ -369,9 +372,9 @@
     assert!(queue.is_empty() && queue.pop(at(11.0)).is_none());
 }
 
-/// A program's call is taken in, and then people of the same customer come and go
-/// ahead of it. Its caller would wait to the deadline only to be refused then,
-/// though it was plain long before that the call would not start.
+/// A program's call is queued, and then calls of people of the same customer overtake
+/// it. Its caller would wait until the deadline for a refusal that was foreseeable long
+/// before.
 #[test]
 fn an_overtaken_call_is_refused_as_soon_as_it_is_hopeless() {
     let mut queue = LiveQueue::default();
--- a/crates/policy/tests/rates_bus/checks.rs
+++ b/crates/policy/tests/rates_bus/checks.rs
@@ -1,7 +1,8 @@
-//! Judges of a run that know nothing of ledgers.
+//! Checks of a run's results that are independent of the ledgers.
 
-/// The greatest excess over `rate * window + burst` over all windows, with the
-/// rate given as steps of (start, rate, burst); zero or less means none.
+/// Returns the greatest excess over `rate * window + burst` over all windows, with the
+/// rate given as steps of (start, rate, burst). Zero or less means that there is no
+/// excess.
 pub(crate) fn overshoot(times: &[u64], steps: &[(u64, f64, f64)]) -> f64 {
     let allowance = |time: u64| {
         let mut sum = 0.0;
@@ -16,18 +17,22 @@
         let step = steps.iter().rev().find(|step| step.0 <= time);
         step.map_or(0.0, |step| step.2)
     };
-    // In a window the burst of its start is allowed, if it was larger.
-    let mut worst = f64::MIN;
-    let mut least = f64::MAX;
+    // A window is allowed the burst at its start, if that was larger.
+    let mut max_excess = f64::MIN;
+    let mut min_level = f64::MAX;
     for (index, time) in times.iter().enumerate() {
         let level = index as f64 - allowance(*time);
-        least = least.min(level + burst_at(*time));
-        worst = worst.max(level + 1.0 - least);
+        min_level = min_level.min(level + burst_at(*time));
+        max_excess = max_excess.max(level + 1.0 - min_level);
+    }
+    if max_excess < 1e-6 {
+        max_excess.min(0.0)
+    } else {
+        max_excess
     }
-    if worst < 1e-6 { worst.min(0.0) } else { worst }
 }
 
-/// One bucket for the whole fleet, the measure of a wrongful refusal.
+/// One token bucket for the whole fleet. A refusal is wrong if this bucket would admit.
 pub(crate) struct CentralBucket {
     rate: f64,
     burst: f64,
--- a/crates/policy/tests/rates_bus/mod.rs
+++ b/crates/policy/tests/rates_bus/mod.rs
@@ -1,5 +1,5 @@
-//! A seeded message bus on virtual time between ledgers: delays, losses, cuts,
-//! paused and lost daemons. Each daemon has a clock of its own.
+//! A seeded message bus on virtual time between ledgers, with delays, message losses,
+//! network cuts, and paused and lost daemons. Each daemon has its own clock.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub(crate) mod checks;
@@ -21,24 +21,24 @@
 
 pub(crate) const SECOND: u64 = 1_000_000;
 
-/// What happens to the fleet.
+/// A fault or change that is injected into the fleet.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
-    /// The daemon is paused for so many microseconds; its clock runs on.
+    /// The daemon is paused for the given microseconds; its clock continues.
     Pause(usize, u64),
-    /// The daemon is lost, and the VM list says so.
+    /// The daemon is lost and removed from the VM list.
     Kill(usize),
-    /// The VM list names the daemon as gone though it isn't.
+    /// The VM list no longer has the daemon, although it is running.
     Unlist(usize),
     /// A new process of the same name starts on the VM.
     Restart(usize),
-    /// The zone can't reach other zones or the platform for so long.
+    /// The zone can't reach other zones or the platform for the given microseconds.
     Cut(usize, u64),
-    /// Nobody can reach the platform for so long.
+    /// No daemon can reach the platform for the given microseconds.
     Outage(u64),
     /// Operators change the rates.
     Rates(Vec<CustomerRate>),
-    /// One in so many messages is lost from now on (0 for none).
+    /// The fraction of messages that are lost from now on (0 for none).
     Loss(f64),
 }
 
@@ -46,7 +46,7 @@
 enum Event {
     Arrive(usize, CustomerKey),
     Tick(usize, u64),
-    Beat(usize, u64),
+    Heartbeat(usize, u64),
     Ask {
         from: usize,
         to: usize,
@@ -69,19 +69,19 @@
 
 struct Member {
     ledger: ShareLedger,
-    watch: ExpulsionWatch,
+    expulsion_watch: ExpulsionWatch,
     incarnation: u64,
     offset: u64,
-    parts_per_million: i64,
+    drift_ppm: i64,
     alive: bool,
     listed: bool,
     paused_until: u64,
-    read: u64,
+    last_read: u64,
     version: u64,
-    heard: BTreeMap<usize, u64>,
+    last_received: BTreeMap<usize, u64>,
 }
 
-/// A request and what became of it.
+/// A request and its outcome.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Request {
     pub(crate) customer: CustomerKey,
@@ -100,11 +100,12 @@
     pub(crate) per_zone: usize,
     pub(crate) seed: u64,
     pub(crate) timing: LedgerTiming,
-    /// The longest delay of a message within a zone and between zones.
+    /// The maximum delay of a message within a zone and between zones, in microseconds.
     pub(crate) delays: (u64, u64),
-    /// The time between two ticks.
+    /// The time between two ticks, in microseconds.
     pub(crate) tick: u64,
-    /// Whether the last daemon of each zone isn't there yet; a restart brings it.
+    /// Whether the last daemon of each zone isn't running yet; [`Fault::Restart`]
+    /// starts it.
     pub(crate) is_last_late: bool,
 }
 
@@ -127,12 +128,12 @@
     pub(crate) requests: Vec<Request>,
     /// Messages by kind: tokens, slices, returns, settlements.
     pub(crate) messages: [u64; 4],
-    /// Slices that were asked for, in all messages.
+    /// The slices that were requested in all messages.
     pub(crate) slices: u64,
     pub(crate) rosters: Vec<ZoneRoster>,
     pub(crate) now: u64,
     version: u64,
-    /// The version at which each roster was written.
+    /// The version at which each roster was last written.
     modified: Vec<u64>,
     rates: Vec<CustomerRate>,
     members: Vec<Member>,
@@ -141,7 +142,7 @@
     loss: f64,
     random: StdRng,
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    store: Vec<Option<Event>>,
+    pending: Vec<Option<Event>>,
 }
 
 impl RateBus {
@@ -163,7 +164,7 @@
             loss: 0.0,
             random: StdRng::seed_from_u64(options.seed),
             events: BinaryHeap::new(),
-            store: Vec::new(),
+            pending: Vec::new(),
         };
         for daemon in 0..count {
             let member = bus.new_member(daemon);
@@ -182,7 +183,7 @@
             bus.take_slots(*daemon);
         }
         for daemon in &early {
-            bus.beat(*daemon);
+            bus.heartbeat(*daemon);
         }
         bus
     }
@@ -208,8 +209,8 @@
             }
             self.events.pop();
             self.now = at;
-            if let Some(event) = self.store[index].take() {
-                self.step(event);
+            if let Some(event) = self.pending[index].take() {
+                self.handle_event(event);
             }
         }
         self.now = end;
@@ -219,7 +220,7 @@
         self.members[daemon].ledger.footprint()
     }
 
-    /// Admission times of one customer in true time.
+    /// Returns the admission times of one customer, in true time.
     pub(crate) fn admitted(&self, customer: CustomerKey) -> Vec<u64> {
         let requests = self.requests.iter();
         let admitted = requests.filter(|request| request.customer == customer && request.admitted);
@@ -230,26 +231,26 @@
 
     fn new_member(&mut self, daemon: usize) -> Member {
         let offset = self.random.random_range(0..1_000 * SECOND);
-        let parts_per_million = self.random.random_range(-400..=400);
+        let drift_ppm = self.random.random_range(-400..=400);
         let first_id = self.random.random();
         let mut member = Member {
             ledger: self.new_ledger(daemon, first_id, Timestamp::ZERO),
-            watch: ExpulsionWatch::default(),
+            expulsion_watch: ExpulsionWatch::default(),
             incarnation: self.random.random(),
             offset,
-            parts_per_million,
+            drift_ppm,
             alive: true,
             listed: true,
             paused_until: 0,
-            read: 0,
+            last_read: 0,
             version: 0,
-            heard: BTreeMap::new(),
+            last_received: BTreeMap::new(),
         };
-        let now = local(&member, self.now);
+        let now = local_time(&member, self.now);
         member.ledger = self.new_ledger(daemon, first_id, now);
         let start = self.now + self.random.random_range(0..self.options.tick);
         self.schedule(start, Event::Tick(daemon, member.incarnation));
-        self.schedule(start, Event::Beat(daemon, member.incarnation));
+        self.schedule(start, Event::Heartbeat(daemon, member.incarnation));
         member
     }
 
@@ -265,14 +266,16 @@
     }
 
     fn schedule(&mut self, at: u64, event: Event) {
-        let index = self.store.len();
-        self.store.push(Some(event));
+        let index = self.pending.len();
+        self.pending.push(Some(event));
         self.events.push(Reverse((at, index as u64, index)));
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let daemon = match &event {
-            Event::Arrive(daemon, _) | Event::Tick(daemon, _) | Event::Beat(daemon, _) => *daemon,
+            Event::Arrive(daemon, _) | Event::Tick(daemon, _) | Event::Heartbeat(daemon, _) => {
+                *daemon
+            }
             Event::Ask { to, .. } | Event::Answer { to, .. } => *to,
             Event::Timeout { daemon, .. } => *daemon,
             Event::Fault(fault) => {
@@ -282,19 +285,19 @@
         };
         let member = &self.members[daemon];
         if member.paused_until > self.now {
-            // Its sockets are read before its timers run.
-            let timer = matches!(event, Event::Tick(..) | Event::Beat(..));
+            // A resumed process reads its sockets before it runs its timers.
+            let timer = matches!(event, Event::Tick(..) | Event::Heartbeat(..));
             let until = member.paused_until + if timer { 100_000 } else { 0 };
             return self.schedule(until, event);
         }
         if !member.alive {
             return;
         }
-        let now = local(member, self.now);
+        let now = local_time(member, self.now);
         match event {
             Event::Arrive(daemon, customer) => {
-                // No balancer sends work to a daemon without settings.
-                if member.read == 0 {
+                // Load balancers send no requests to a daemon without settings.
+                if member.last_read == 0 {
                     return;
                 }
                 let request = self.requests.len();
@@ -309,16 +312,17 @@
                     attempt: None,
                 });
                 let decision = self.members[daemon].ledger.admit(customer, now);
-                self.follow(request, &decision);
+                self.apply_decision(request, &decision);
             }
-            Event::Tick(_, process) | Event::Beat(_, process) if process != member.incarnation => {}
+            Event::Tick(_, process) | Event::Heartbeat(_, process)
+                if process != member.incarnation => {}
             Event::Tick(daemon, process) => {
                 self.members[daemon].ledger.tick(now);
                 self.schedule(self.now + self.options.tick, Event::Tick(daemon, process));
             }
-            Event::Beat(daemon, process) => {
-                self.beat(daemon);
-                self.schedule(self.now + SECOND, Event::Beat(daemon, process));
+            Event::Heartbeat(daemon, process) => {
+                self.heartbeat(daemon);
+                self.schedule(self.now + SECOND, Event::Heartbeat(daemon, process));
             }
             Event::Ask {
                 from,
@@ -350,9 +354,9 @@
             Event::Timeout {
                 request, number, ..
             } => {
-                if let Some(attempt) = self.waiting(request, number) {
+                if let Some(attempt) = self.take_attempt(request, number) {
                     let decision = self.members[daemon].ledger.fail(attempt, now);
-                    self.follow(request, &decision);
+                    self.apply_decision(request, &decision);
                 }
             }
             Event::Fault(_) => {}
@@ -392,9 +396,9 @@
                 let Some((request, number)) = request else {
                     return;
                 };
-                if let Some(attempt) = self.waiting(request, number) {
+                if let Some(attempt) = self.take_attempt(request, number) {
                     let decision = self.members[to].ledger.take(attempt, answer, now);
-                    self.follow(request, &decision);
+                    self.apply_decision(request, &decision);
                 }
             }
             RateAnswer::Slices(offers) => {
@@ -405,7 +409,7 @@
         }
     }
 
-    fn waiting(&mut self, request: usize, number: u32) -> Option<Attempt> {
+    fn take_attempt(&mut self, request: usize, number: u32) -> Option<Attempt> {
         let request = &mut self.requests[request];
         let process = self.members[request.daemon].incarnation;
         if request.number != number || request.process != process {
@@ -414,7 +418,7 @@
         request.attempt.take()
     }
 
-    fn follow(&mut self, index: usize, decision: &Decision) {
+    fn apply_decision(&mut self, index: usize, decision: &Decision) {
         let daemon = self.requests[index].daemon;
         let request = &mut self.requests[index];
         request.decided = self.now;
@@ -461,8 +465,8 @@
             return;
         }
         let (near, far) = self.options.delays;
-        let most = if zones.0 == zones.1 { near } else { far };
-        let delay = self.random.random_range(most / 4..=most);
+        let max_delay = if zones.0 == zones.1 { near } else { far };
+        let delay = self.random.random_range(max_delay / 4..=max_delay);
         self.schedule(self.now + delay, event);
     }
 
@@ -471,11 +475,12 @@
         self.outage_until <= self.now && self.cut_until[zone] <= self.now
     }
 
-    /// Reads settings and rosters, hears the zone's peers, expels lost ones.
-    fn beat(&mut self, daemon: usize) {
+    /// Reads settings and rosters, receives the views of the zone's peers, expels lost
+    /// ones.
+    fn heartbeat(&mut self, daemon: usize) {
         let per_zone = self.options.per_zone;
         let zone = daemon / per_zone;
-        let now = local(&self.members[daemon], self.now);
+        let now = local_time(&self.members[daemon], self.now);
         let mut peers = Vec::new();
         for peer in (zone * per_zone..(zone + 1) * per_zone).filter(|peer| *peer != daemon) {
             if self.rosters[zone].member(&name(peer)).is_some() {
@@ -483,15 +488,15 @@
             }
             let there = &self.members[peer];
             if there.alive && there.paused_until <= self.now {
-                let age = Duration::from_micros(self.now - there.read);
-                let (read, version) = (there.read, there.version);
+                let age = Duration::from_micros(self.now - there.last_read);
+                let (last_read, version) = (there.last_read, there.version);
                 let here = &mut self.members[daemon];
                 here.ledger.note_peer(DaemonId(peer as u32), now, now - age);
                 here.ledger
                     .note_view(DaemonId(peer as u32), version as i64, now);
-                here.heard.insert(peer, self.now);
-                if read > here.read && version == here.version {
-                    here.read = read;
+                here.last_received.insert(peer, self.now);
+                if last_read > here.last_read && version == here.version {
+                    here.last_read = last_read;
                     here.ledger.confirm(now - age);
                 }
             }
@@ -499,10 +504,10 @@
         if !self.reaches_platform(daemon) {
             return;
         }
-        self.keep_roster(daemon);
+        self.update_roster(daemon);
         let rosters = &self.rosters;
         let member = &mut self.members[daemon];
-        member.read = self.now;
+        member.last_read = self.now;
         member.version = self.version;
         member.ledger.set_members(&peers);
         member.ledger.set_rates(&self.rates, now);
@@ -514,18 +519,19 @@
         member.ledger.confirm(now);
     }
 
-    /// Writes what `daemon` has to change on its zone's roster, as it last read it.
-    fn keep_roster(&mut self, daemon: usize) {
+    /// Writes the changes that `daemon` has to make to its zone's roster, as it last
+    /// read it.
+    fn update_roster(&mut self, daemon: usize) {
         let zone = daemon / self.options.per_zone;
-        let now = local(&self.members[daemon], self.now);
+        let now = local_time(&self.members[daemon], self.now);
         let roster = self.rosters[zone].clone();
-        self.members[daemon].watch.note(&roster, now);
+        self.members[daemon].expulsion_watch.note(&roster, now);
         let member = &self.members[daemon];
         let number = |name: &str| name.parse::<usize>().unwrap_or_default();
         let gone = |name: &str| !self.members[number(name)].listed;
         let silent = |name: &str| {
-            let heard = member.heard.get(&number(name)).copied();
-            self.now - heard.unwrap_or(0) > 5 * SECOND
+            let last_received = member.last_received.get(&number(name)).copied();
+            self.now - last_received.unwrap_or(0) > 5 * SECOND
         };
         let me = RosterMember {
             name: name(daemon),
@@ -534,7 +540,7 @@
             state: MemberState::Active,
         };
         let wait = self.options.timing.expulsion;
-        let change = roster.next_change(&me, &member.watch, wait, gone, silent, now);
+        let change = roster.next_change(&me, &member.expulsion_watch, wait, gone, silent, now);
         let Some(change) = change else {
             return;
         };
@@ -570,23 +576,25 @@
 
     fn apply(&mut self, fault: Fault) {
         match fault {
-            Fault::Pause(daemon, span) => self.members[daemon].paused_until = self.now + span,
+            Fault::Pause(daemon, duration) => {
+                self.members[daemon].paused_until = self.now + duration
+            }
             Fault::Kill(daemon) => {
                 self.members[daemon].alive = false;
                 self.members[daemon].listed = false;
             }
             Fault::Unlist(daemon) => self.members[daemon].listed = false,
             Fault::Restart(daemon) => {
-                // Events of the former process are dropped with its number.
+                // Events of the former process are dropped by their incarnation.
                 self.members[daemon] = self.new_member(daemon);
             }
-            Fault::Cut(zone, span) => self.cut_until[zone] = self.now + span,
-            Fault::Outage(span) => self.outage_until = self.now + span,
+            Fault::Cut(zone, duration) => self.cut_until[zone] = self.now + duration,
+            Fault::Outage(duration) => self.outage_until = self.now + duration,
             Fault::Rates(rates) => {
                 self.rates = rates;
                 self.version += 1;
             }
-            Fault::Loss(part) => self.loss = part,
+            Fault::Loss(fraction) => self.loss = fraction,
         }
     }
 }
@@ -595,7 +603,7 @@
     daemon.to_string()
 }
 
-fn local(member: &Member, now: u64) -> Timestamp {
-    let drift = now as i64 / 1_000 * member.parts_per_million / 1_000;
+fn local_time(member: &Member, now: u64) -> Timestamp {
+    let drift = now as i64 / 1_000 * member.drift_ppm / 1_000;
     Timestamp::from_micros(member.offset + (now as i64 + drift) as u64)
 }
--- a/crates/policy/tests/rates_faults.rs
+++ b/crates/policy/tests/rates_faults.rs
@@ -1,4 +1,4 @@
-//! No customer gets more than its rate and burst, whatever fails.
+//! Tests that no customer gets more than its rate and burst, whichever faults occur.
 
 mod rates_bus;
 
@@ -21,19 +21,19 @@
     }
 }
 
-/// Random arrivals of one customer at the given daemons.
+/// Returns random arrivals of one customer at the given daemons.
 fn poisson(
     random: &mut StdRng,
     customer: CustomerKey,
     per_second: f64,
-    span: (u64, u64),
+    period: (u64, u64),
     daemons: &[usize],
 ) -> Vec<(u64, usize, CustomerKey)> {
     let mut arrivals = Vec::new();
-    let mut at = span.0 as f64;
+    let mut at = period.0 as f64;
     loop {
         at += -(1.0 - random.random::<f64>()).ln() / per_second * 1e6;
-        if at >= span.1 as f64 {
+        if at >= period.1 as f64 {
             return arrivals;
         }
         let daemon = daemons[random.random_range(0..daemons.len())];
@@ -53,8 +53,9 @@
     }
 }
 
-/// Requests refused though one bucket for the whole fleet would admit them.
-fn wrongful(bus: &RateBus, rate: &CustomerRate) -> (usize, usize) {
+/// Counts the requests that were refused though one bucket for the whole fleet would
+/// admit them, and all requests.
+fn wrongly_refused(bus: &RateBus, rate: &CustomerRate) -> (usize, usize) {
     let mut central = CentralBucket::new(rate.rate, f64::from(rate.burst));
     let mut count = (0, 0);
     for request in bus
@@ -69,13 +70,19 @@
     count
 }
 
-/// Three times the rate of each customer at random daemons, so that each token
-/// that exists is spent.
-fn overload(bus: &mut RateBus, rates: &[CustomerRate], span: (u64, u64)) {
+/// Sends three times the rate of each customer to random daemons, so that every
+/// existing token is spent.
+fn overload(bus: &mut RateBus, rates: &[CustomerRate], period: (u64, u64)) {
     let mut random = StdRng::seed_from_u64(bus.options.seed);
     let daemons: Vec<usize> = (0..bus.options.zones * bus.options.per_zone).collect();
     for rate in rates {
-        let arrivals = poisson(&mut random, rate.customer, rate.rate * 3.0, span, &daemons);
+        let arrivals = poisson(
+            &mut random,
+            rate.customer,
+            rate.rate * 3.0,
+            period,
+            &daemons,
+        );
         bus.arrivals(arrivals);
     }
 }
@@ -85,10 +92,10 @@
 }
 
 #[test]
-fn skewed_arrival_is_served_like_by_one_bucket() {
-    // A balancer keeps a customer's connections on one daemon, so that all its
-    // requests arrive there. With equal fixed parts the customer would be
-    // refused at a ninth of its rate.
+fn skewed_arrivals_are_served_as_by_one_bucket() {
+    // A load balancer keeps a customer's connections on one daemon, so that all its
+    // requests arrive there. With equal fixed shares the customer would be refused at a
+    // ninth of its rate.
     let rates = [customer("small", 10.0, 20), customer("large", 400.0, 200)];
     for seed in 0..3 {
         let mut bus = RateBus::new(
@@ -100,14 +107,14 @@
         );
         let mut random = StdRng::seed_from_u64(seed);
         for rate in &rates {
-            let span = (WARM_UP, 80 * SECOND);
-            let arrivals = poisson(&mut random, rate.customer, rate.rate * 0.7, span, &[4]);
+            let period = (WARM_UP, 80 * SECOND);
+            let arrivals = poisson(&mut random, rate.customer, rate.rate * 0.7, period, &[4]);
             bus.arrivals(arrivals);
         }
         bus.run_until(85 * SECOND);
         assert_never_above(&bus, &rates);
         for rate in &rates {
-            let (wrong, all) = wrongful(&bus, rate);
+            let (wrong, all) = wrongly_refused(&bus, rate);
             assert!(wrong * 1_000 <= all, "{wrong} of {all} wrongly refused");
         }
     }
@@ -115,9 +122,9 @@
 
 #[test]
 fn a_whole_burst_after_a_pause_is_admitted_at_one_daemon() {
-    // A buyer's screen sends a handful of requests at once after a quiet hour.
-    // The tokens lie with the holders of all zones, in fractions; if these were
-    // lost on the way together, the last request of the burst would be refused.
+    // A buyer's screen sends several requests at once after an idle hour. The tokens
+    // are spread over the holders of all zones, in fractions; if these were lost when
+    // they are combined, the last request of the burst would be refused.
     let rates = [customer("small", 2.0, 10), customer("large", 300.0, 200)];
     let mut bus = RateBus::new(BusOptions::default(), &rates);
     for rate in &rates {
@@ -136,10 +143,10 @@
 
 #[test]
 fn lost_and_replaced_daemons_never_double_tokens() {
-    // A VM dies with slots, borrowed slices and granted tokens; another process
-    // starts on it seconds later, and a second VM never comes back. If a new
-    // holder began with what the lost one may have lent, a customer would get
-    // more than its rate for a while.
+    // A VM fails with slots, borrowed slices and granted tokens; another process starts
+    // on it seconds later, and a second VM never returns. If a new holder started with
+    // tokens that the lost one may have lent, a customer would get more than its rate
+    // for a while.
     let rates = two_customers();
     for seed in 0..4 {
         let mut bus = RateBus::new(
@@ -164,9 +171,9 @@
 
 #[test]
 fn a_paused_daemon_that_was_expelled_spends_nothing_when_it_wakes() {
-    // A VM is paused for minutes, and the VM list takes it for gone, so its slots
-    // go to others. When it wakes, requests wait in its sockets and its buckets
-    // are full. If it spent from them, the customer would get the part twice.
+    // A VM is paused for minutes and missing from the VM list, so its slots go to
+    // others. When it resumes, requests wait in its sockets and its buckets are full.
+    // If it spent these tokens, customers would get its share twice.
     let rates: Vec<_> = (0..12)
         .map(|number| customer(&format!("c{number}"), 4.0, 24))
         .collect();
@@ -204,8 +211,9 @@
 
 #[test]
 fn a_zone_that_is_cut_off_serves_on_within_its_part() {
-    // A zone loses the others and the platform for a minute. Both sides go on
-    // from their fixed parts; each may only count what the other can't spend.
+    // A zone loses the other zones and the platform for a minute. Both sides continue
+    // with their fixed shares; each may only count tokens that the other side can't
+    // spend.
     let rates = two_customers();
     for seed in 0..4 {
         let mut bus = RateBus::new(
@@ -228,10 +236,10 @@
                     && request.daemon / 3 == 1
             };
             let served = bus.requests.iter().filter(within).count() as f64;
-            let part = rate.rate / 3.0 * 50.0;
+            let share = rate.rate / 3.0 * 50.0;
             assert!(
-                served > part * 0.95,
-                "{served} of {part} served in the zone cut off"
+                served > share * 0.95,
+                "{served} of {share} served in the zone cut off"
             );
         }
     }
@@ -239,32 +247,32 @@
 
 #[test]
 fn a_platform_outage_refuses_nobody() {
-    // The platform is away for a minute. Nobody can confirm the rosters, nor
-    // change them; a daemon that stopped for want of confirmation would refuse
-    // customers who are well within their rates.
+    // The platform is unavailable for a minute, and no daemon can confirm or change the
+    // rosters. If daemons stopped for lack of confirmation, they would refuse customers
+    // that are well within their rates.
     let rates = two_customers();
     let mut bus = RateBus::new(BusOptions::default(), &rates);
     let mut random = StdRng::seed_from_u64(3);
     let daemons: Vec<usize> = (0..9).collect();
     for rate in &rates {
-        let span = (WARM_UP, 130 * SECOND);
+        let period = (WARM_UP, 130 * SECOND);
         let demand = rate.rate * 0.6;
-        let arrivals = poisson(&mut random, rate.customer, demand, span, &daemons);
+        let arrivals = poisson(&mut random, rate.customer, demand, period, &daemons);
         bus.arrivals(arrivals);
     }
     bus.fault(50 * SECOND, Fault::Outage(60 * SECOND));
     bus.run_until(135 * SECOND);
     assert_never_above(&bus, &rates);
     for rate in &rates {
-        let (wrong, all) = wrongful(&bus, rate);
+        let (wrong, all) = wrongly_refused(&bus, rate);
         assert!(wrong * 1_000 <= all, "{wrong} of {all} wrongly refused");
     }
 }
 
 #[test]
 fn lost_answers_lose_tokens_and_never_double_them() {
-    // One message in five is lost, asks as well as answers, so givers don't know
-    // whether their tokens arrived, nor takers whether their slices went back.
+    // One message in five is lost, requests as well as answers, so lenders don't know
+    // whether their tokens arrived, nor borrowers whether their slices were returned.
     let rates = two_customers();
     for seed in 0..4 {
         let mut bus = RateBus::new(
@@ -283,18 +291,18 @@
 
 #[test]
 fn a_lowered_rate_holds_everywhere_within_seconds() {
-    // Operators lower a rate in the middle of trouble. What was lent and granted
-    // by the old rate must be over when the settings count as in force. The zone
-    // cut off can't know; its part alone stays as it was.
+    // Operators lower a rate during a fault. Tokens that were lent and granted at the
+    // old rate must have expired when the settings count as in force. A zone that is
+    // cut off can't know of the change; only its share stays as it was.
     let rates = two_customers();
     let lowered = [customer("small", 2.0, 4), customer("large", 30.0, 15)];
-    let troubles = [
+    let faults = [
         Fault::Loss(0.1),
         Fault::Kill(4),
         Fault::Pause(4, 20 * SECOND),
         Fault::Cut(1, 60 * SECOND),
     ];
-    for (seed, trouble) in troubles.into_iter().enumerate() {
+    for (seed, injected) in faults.into_iter().enumerate() {
         let seed = seed as u64;
         let mut bus = RateBus::new(
             BusOptions {
@@ -304,17 +312,17 @@
             &rates,
         );
         overload(&mut bus, &rates, (WARM_UP, 110 * SECOND));
-        let cut = matches!(trouble, Fault::Cut(..));
-        bus.fault(50 * SECOND, trouble);
+        let cut = matches!(injected, Fault::Cut(..));
+        bus.fault(50 * SECOND, injected);
         bus.fault(50 * SECOND + 1, Fault::Rates(lowered.to_vec()));
         bus.run_until(120 * SECOND);
         let settle = bus.options.timing.settle().as_micros() as u64;
         for (old, new) in rates.iter().zip(&lowered) {
-            let part = |old: f64, new: f64| if cut { (old + 2.0 * new) / 3.0 } else { new };
-            let burst = part(f64::from(old.burst), f64::from(new.burst));
+            let share = |old: f64, new: f64| if cut { (old + 2.0 * new) / 3.0 } else { new };
+            let burst = share(f64::from(old.burst), f64::from(new.burst));
             let steps = [
                 (0, old.rate, f64::from(old.burst)),
-                (50 * SECOND + settle, part(old.rate, new.rate), burst),
+                (50 * SECOND + settle, share(old.rate, new.rate), burst),
             ];
             let excess = overshoot(&bus.admitted(old.customer), &steps);
             assert!(excess <= 0.0, "{excess} above the lowered rate");
@@ -324,10 +332,9 @@
 
 #[test]
 fn a_new_division_into_slots_never_adds_up_to_more() {
-    // A rate is raised so far that the customer uses more slots, and lowered
-    // again. Daemons hear at different times, one of them late; a slot that
-    // counts by the new division beside one that counts by the old would give
-    // the customer both.
+    // A rate is raised so far that the customer uses more slots, and lowered again.
+    // Daemons learn of it at different times, one of them late. If a slot of the new
+    // division counted beside a slot of the old one, the customer would get both.
     let small = [customer("large", 150.0, 90)];
     let big = [customer("large", 260.0, 90)];
     for seed in 0..4 {
@@ -356,14 +363,14 @@
 
 fn any_fault() -> impl Strategy<Value = Fault> {
     let daemon = || 0..9_usize;
-    let span = || (1..80_u64).prop_map(|seconds| seconds * SECOND);
+    let period = || (1..80_u64).prop_map(|seconds| seconds * SECOND);
     prop_oneof![
-        (daemon(), span()).prop_map(|(daemon, span)| Fault::Pause(daemon, span)),
+        (daemon(), period()).prop_map(|(daemon, period)| Fault::Pause(daemon, period)),
         daemon().prop_map(Fault::Kill),
         daemon().prop_map(Fault::Unlist),
         daemon().prop_map(Fault::Restart),
-        (0..3_usize, span()).prop_map(|(zone, span)| Fault::Cut(zone, span)),
-        span().prop_map(Fault::Outage),
+        (0..3_usize, period()).prop_map(|(zone, period)| Fault::Cut(zone, period)),
+        period().prop_map(Fault::Outage),
         (0..30_u32).prop_map(|percent| Fault::Loss(f64::from(percent) / 100.0)),
     ]
 }
@@ -376,8 +383,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Anything may fail at any moment, together or twice; a customer that sends
-    /// three times its rate must never get more than it.
+    /// Any faults occur at any time, also together or repeatedly. A customer that sends
+    /// three times its rate must never get more than its rate.
     #[test]
     fn no_run_of_faults_admits_more(
         faults in prop::collection::vec((40..150_u64, any_fault()), 1..9),
--- a/crates/policy/tests/rates_handover.rs
+++ b/crates/policy/tests/rates_handover.rs
@@ -1,4 +1,5 @@
-//! Slots that pass from one daemon of a zone to another while the platform is lost.
+//! Tests of slots that pass from one daemon of a zone to another while the platform is
+//! unavailable.
 
 mod rates_bus;
 
@@ -11,7 +12,7 @@
 
 /// When the second daemon starts.
 const START: u64 = 20 * SECOND;
-/// The new holder of a slot waits for 7 s, and begins with an empty bucket.
+/// The new holder of a slot waits for 7 s and starts with an empty bucket.
 const HANDOVER: u64 = 10 * SECOND;
 const OUTAGE: u64 = 60 * SECOND;
 
@@ -24,7 +25,7 @@
     rates.collect()
 }
 
-/// A zone alone, whose second daemon starts later.
+/// Returns a single zone whose second daemon starts later.
 fn fleet(seed: u64, rates: &[CustomerRate]) -> RateBus {
     let options = BusOptions {
         zones: 1,
@@ -36,23 +37,23 @@
     RateBus::new(options, rates)
 }
 
-/// Requests of all customers, `part` times their rates, at either daemon.
-fn send(bus: &mut RateBus, rates: &[CustomerRate], part: f64, daemons: usize, until: u64) {
+/// Sends requests of all customers, at `part` times their rates, to random daemons.
+fn send(bus: &mut RateBus, rates: &[CustomerRate], load: f64, daemons: usize, until: u64) {
     let mut random = StdRng::seed_from_u64(bus.options.seed);
     for rate in rates {
-        let pause = 1e6 / (rate.rate * part);
+        let interval = 1e6 / (rate.rate * load);
         let mut at = 10.0 * SECOND as f64;
         while at < until as f64 {
             let daemon = random.random_range(0..daemons);
             bus.arrivals([(at as u64, daemon, rate.customer)]);
-            at += pause * random.random_range(0.5..1.5);
+            at += interval * random.random_range(0.5..1.5);
         }
     }
 }
 
-/// A second daemon starts shortly before the platform is lost. Slots that the first one
-/// had released, and the second not yet taken, were nobody's, and their customers were
-/// refused everything until the platform was back.
+/// A second daemon starts shortly before the platform is lost. Slots that the first
+/// daemon had released and the second had not yet taken had no holder, and their
+/// customers were refused everything until the platform was back.
 #[test]
 fn an_outage_while_slots_change_hands_refuses_nobody() {
     let rates = customers();
@@ -71,13 +72,17 @@
                 .filter(|it| central.admits(it.arrived) && !it.admitted)
                 .filter(|it| it.arrived > lost + HANDOVER);
             let wrong = wrong.count();
-            assert_eq!(wrong, 0, "refused, lost {step} steps after the start");
+            assert_eq!(
+                wrong, 0,
+                "refused requests; platform lost {step} steps after the start"
+            );
         }
     }
 }
 
-/// A daemon goes on with slots that it gave away until the other knows. Were it to go on
-/// for too long, or the other to begin too soon, customers would have a slot twice.
+/// A daemon continues to use slots that it gave away until the new holder knows of
+/// them. If it continued for too long, or the new holder started too early, both would
+/// spend the tokens of a slot.
 #[test]
 fn slots_that_change_hands_are_not_spent_twice() {
     let rates = customers();
@@ -88,13 +93,13 @@
         bus.fault(START, Fault::Restart(1));
         for _ in 0..random.random_range(1..4) {
             let at = START + random.random_range(0..20 * SECOND);
-            let span = random.random_range(SECOND / 10..12 * SECOND);
+            let duration = random.random_range(SECOND / 10..12 * SECOND);
             let daemon = random.random_range(0..2);
             bus.fault(
                 at,
                 match random.random_range(0..4) {
-                    0 => Fault::Outage(span),
-                    1 => Fault::Pause(daemon, span),
+                    0 => Fault::Outage(duration),
+                    1 => Fault::Pause(daemon, duration),
                     2 => Fault::Restart(daemon),
                     _ => Fault::Loss(0.3),
                 },
--- a/crates/policy/tests/rates_ledger.rs
+++ b/crates/policy/tests/rates_ledger.rs
@@ -1,4 +1,4 @@
-//! Single rules of the ledger, message by message.
+//! Tests of single rules of the ledger, message by message.
 
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// One holder a zone, with full buckets at the returned time, and an asker in
-/// zone 0 that holds nothing.
+/// Returns one holder per zone, with full buckets at the returned time, and as the last
+/// ledger a borrower in zone 0 that holds no slot.
 fn fleet(zones: usize, rates: CustomerRate) -> (Vec<ShareLedger>, Timestamp) {
     let timing = LedgerTiming::default();
     let mut ledgers = Vec::new();
@@ -63,17 +63,18 @@
     }
 }
 
-/// The slot that the customer uses, its home, and what the asker would send.
+/// Returns the borrower's first token request, which names the slot that the customer
+/// uses, and the home holder to which it is sent.
 fn first_ask(ledgers: &mut [ShareLedger], now: Timestamp) -> (TokenAsk, usize) {
-    let asker = ledgers.len() - 1;
-    let decision = ledgers[asker].admit(rate(0.0, 0).customer, now);
+    let borrower = ledgers.len() - 1;
+    let decision = ledgers[borrower].admit(rate(0.0, 0).customer, now);
     let Decision::Borrow { to, ask, .. } = decision else {
-        unreachable!("the asker holds tokens: {decision:?}");
+        unreachable!("the borrower already holds tokens: {decision:?}");
     };
     (ask, to.index())
 }
 
-/// How many tokens a holder gives one by one.
+/// Requests tokens one at a time and returns how many the holder grants.
 fn drain(ledger: &mut ShareLedger, slot: u8, now: Timestamp) -> u32 {
     let mut count = 0;
     while let TokenAnswer::Granted { .. } = ledger.handle_tokens(&ask(slot, 1, false), now) {
@@ -82,7 +83,7 @@
     count
 }
 
-/// Delivers what a ledger wants sent, and the answers.
+/// Delivers the outgoing requests of a ledger, and the answers to them.
 fn deliver(ledgers: &mut [ShareLedger], from: usize, now: Timestamp) {
     for Outgoing { to, ask } in ledgers[from].outgoing() {
         let answer = ledgers[to.index()].handle(DaemonId(from as u32), &ask, now);
@@ -94,12 +95,12 @@
 
 #[test]
 fn a_grant_that_comes_late_is_not_spent() {
-    // An answer sits in a socket while its receiver is paused. Its giver counts
-    // the token as gone by then and refills its room; spending it would admit a
+    // An answer is in a socket while its receiver is paused. By then its lender counts
+    // the token as expired and refills the capacity; spending it would admit one
     // request more than the burst.
     let (mut ledgers, now) = fleet(1, rate(100.0, 8));
     let Decision::Borrow { ask, attempt, .. } = ledgers[1].admit(rate(0.0, 0).customer, now) else {
-        panic!("no ask");
+        panic!("no token request");
     };
     let answer = ledgers[0].handle_tokens(&ask, now);
     assert_matches!(answer, TokenAnswer::Granted { count: 1, .. });
@@ -111,22 +112,23 @@
 }
 
 #[test]
-fn granted_tokens_keep_their_room_until_they_are_certainly_over() {
-    // A holder gives its whole burst away and refills within milliseconds. As
-    // long as the receivers may still spend, the refill would add a second burst.
+fn granted_tokens_keep_their_capacity_until_they_have_expired() {
+    // A holder grants its whole burst and refills within milliseconds. As long as the
+    // receivers may still spend the tokens, the refill would add a second burst.
     let (mut ledgers, now) = fleet(1, rate(10_000.0, 7));
     let (first, home) = first_ask(&mut ledgers, now);
     assert_eq!(drain(&mut ledgers[home], first.slot, now), 7);
     assert_eq!(drain(&mut ledgers[home], first.slot, now + 299 * MS), 0);
-    // Room is back after the margin for clocks; the refill begins then.
+    // The capacity is free after the margin for clock differences; the refill starts
+    // then.
     drain(&mut ledgers[home], first.slot, now + 302 * MS);
     assert_eq!(drain(&mut ledgers[home], first.slot, now + 303 * MS), 7);
 }
 
 #[test]
-fn a_settled_grant_gives_room_and_unspent_tokens_back() {
-    // A daemon gets tokens ahead and its customer goes quiet. Without the return
-    // the next burst elsewhere would find the tokens gone.
+fn a_settled_grant_returns_capacity_and_unspent_tokens() {
+    // A daemon gets tokens in advance and its customer becomes idle. If they weren't
+    // returned, the next burst at another daemon would find no tokens.
     let (mut ledgers, now) = fleet(1, rate(1.0, 64));
     let (first, home) = first_ask(&mut ledgers, now);
     let answer = ledgers[home].handle_tokens(&ask(first.slot, 10, true), now);
@@ -148,10 +150,10 @@
 }
 
 #[test]
-fn a_slot_on_its_way_leaves_the_others_in_reach() {
-    // Daemons join, and a slot of a customer is between two holders. Its former
-    // holder still has the customer's other slots; a request that gave up on the
-    // daemon would be refused though the customer has hardly sent anything.
+fn a_slot_between_holders_leaves_the_others_usable() {
+    // Daemons join, and a slot of a customer is between two holders. Its former holder
+    // still has the customer's other slots; if a request gave up on that daemon, it
+    // would be refused though the customer has hardly sent anything.
     let (mut ledgers, now) = fleet(1, rate(1_000.0, 800));
     let decision = ledgers[1].admit(rate(0.0, 0).customer, now);
     let Decision::Borrow { ask, attempt, .. } = decision else {
@@ -164,16 +166,16 @@
     assert_eq!(answer, TokenAnswer::NotHolder);
     let decision = ledgers[1].take(attempt, answer, now);
     let Decision::Borrow { ask, attempt, .. } = decision else {
-        panic!("no second ask: {decision:?}");
+        panic!("no second token request: {decision:?}");
     };
     let answer = ledgers[0].handle_tokens(&ask, now);
     assert_eq!(ledgers[1].take(attempt, answer, now), Decision::Admitted);
 }
 
 #[test]
-fn an_overtaken_ask_does_not_end_the_newer_loan() {
-    // An ask for a slice is delayed and arrives after its sender gave up and asked
-    // anew. If it replaced the newer loan, the lender would take the slice back
+fn a_delayed_request_does_not_end_the_newer_loan() {
+    // A request for a slice is delayed and arrives after its sender gave up and
+    // reissued it. If it replaced the newer loan, the lender would take the slice back
     // with the older number while the borrower still spends from it.
     let (mut ledgers, now) = fleet(2, rate(10.0, 40));
     let (first, home) = first_ask(&mut ledgers, now);
@@ -197,23 +199,27 @@
         capacity: Tokens::whole(20),
     };
     assert_eq!(lend(9, now).slice, half);
-    assert_eq!(lend(9, now).tokens, Tokens::ZERO, "the tokens moved twice");
+    assert_eq!(
+        lend(9, now).tokens,
+        Tokens::ZERO,
+        "the tokens were moved twice"
+    );
     assert_eq!(lend(5, now).slice, Slice::default());
-    let back = SliceReturn {
+    let slice_return = SliceReturn {
         customer: first.customer,
         slot: first.slot,
         loan: 5,
         tokens: Tokens::whole(20),
     };
-    ledgers[lender].handle(borrower, &RateAsk::Return(vec![back]), now);
+    ledgers[lender].handle(borrower, &RateAsk::Return(vec![slice_return]), now);
     assert_eq!(drain(&mut ledgers[lender], first.slot, now + 2_900 * MS), 0);
 }
 
 #[test]
 fn a_slice_refills_up_to_its_end_and_not_beyond() {
-    // A holder with borrowed slices looks at its bucket late. Counting the
-    // borrowed rate up to that moment would add to what the lender refills since
-    // its slice came back.
+    // A holder with borrowed slices refills its bucket late. If it counted the borrowed
+    // rate up to that time, this would add to what the lender refills since its slice
+    // was returned.
     let (mut ledgers, now) = fleet(2, rate(100.0, 1_000));
     let (first, home) = first_ask(&mut ledgers, now);
     for ledger in &mut ledgers[..2] {
@@ -221,20 +227,20 @@
     }
     let now = now + 400 * MS;
     let before = drain(&mut ledgers[home], first.slot, now);
-    assert!(before <= 1, "room of grants isn't free yet");
+    assert!(before <= 1, "the capacity of grants isn't free yet");
     ledgers[home].handle_tokens(&ask(first.slot, 1, true), now);
     deliver(&mut ledgers, home, now);
     let later = now + Duration::from_secs(3);
     ledgers[home].confirm(later);
     let count = drain(&mut ledgers[home], first.slot, later);
-    // Two seconds at the whole rate, one at half of it, 15 moved with the slice.
+    // Two seconds at the full rate, one at half of it; 15 tokens moved with the slice.
     assert!((235..=266).contains(&count), "{count} tokens");
 }
 
 #[test]
 fn a_lowered_rate_drops_what_was_borrowed_and_granted() {
-    // Operators lower a rate. What a daemon has from others stems from the old
-    // one; it must not be spent on once the daemon knows.
+    // Operators lower a rate. Tokens and slices that a daemon has from others result
+    // from the old rate; it must not spend them once it knows the new rate.
     let (mut ledgers, now) = fleet(2, rate(100.0, 1_000));
     let (first, home) = first_ask(&mut ledgers, now);
     for _ in 0..600 {
@@ -242,22 +248,22 @@
         deliver(&mut ledgers, home, now);
     }
     let lowered = rate(10.0, 10);
-    let mut asker = ledgers.remove(2);
+    let mut borrower = ledgers.remove(2);
     for number in 0..20 {
         let at = now + number * MS;
-        if let Decision::Borrow { ask, attempt, .. } = asker.admit(lowered.customer, at) {
+        if let Decision::Borrow { ask, attempt, .. } = borrower.admit(lowered.customer, at) {
             let answer = ledgers[home].handle_tokens(&TokenAsk { want: 9, ..ask }, at);
-            asker.take(attempt, answer, at);
+            borrower.take(attempt, answer, at);
         }
     }
     let now = now + 20 * MS;
-    assert_eq!(asker.admit(lowered.customer, now), Decision::Admitted);
-    asker.set_rates(&[lowered], now);
-    assert_ne!(asker.admit(lowered.customer, now), Decision::Admitted);
+    assert_eq!(borrower.admit(lowered.customer, now), Decision::Admitted);
+    borrower.set_rates(&[lowered], now);
+    assert_ne!(borrower.admit(lowered.customer, now), Decision::Admitted);
     ledgers[home].set_rates(&[lowered], now);
     let count = drain(&mut ledgers[home], first.slot, now);
     assert!(count <= 5, "{count} tokens of the old rate");
-    // The room of the grants is free again before the refill is counted.
+    // The capacity of the grants is free again before the refill is counted.
     drain(&mut ledgers[home], first.slot, now + 400 * MS);
     let count = drain(&mut ledgers[home], first.slot, now + Duration::from_secs(1));
     assert!(count <= 5, "{count} tokens of the old slices");
@@ -265,9 +271,9 @@
 
 #[test]
 fn a_stale_holder_stops_unless_the_whole_zone_is_stale() {
-    // A daemon has heard nothing of the platform for a while. Either it alone is
-    // in trouble, and others may be about to take its slots, or the zone is cut
-    // off, and stopping would refuse everybody in it.
+    // A daemon has received nothing from the platform for a while. Either only this
+    // daemon is affected, and others may be about to take its slots, or the zone is cut
+    // off, and stopping would refuse all requests in it.
     let (ledgers, now) = fleet(1, rate(10.0, 10));
     let customer = rate(0.0, 0).customer;
     let later = now + Duration::from_secs(5);
@@ -295,38 +301,48 @@
 
 #[test]
 fn a_daemon_that_was_paused_waits_for_a_new_confirmation() {
-    // A daemon wakes after minutes. All it knows of its peers is as old as its
-    // own view, which looks like a zone that is cut off; but its slots may be gone.
+    // A daemon resumes after minutes. Everything it knows of its peers is as old as its
+    // own view, as in a zone that is cut off; but its slots may have been given to
+    // others.
     let (mut ledgers, now) = fleet(1, rate(10.0, 10));
     let customer = rate(0.0, 0).customer;
-    let woken = now + Duration::from_secs(100);
+    let resumed = now + Duration::from_secs(100);
     let ledger = &mut ledgers[0];
     ledger.set_members(&[]);
-    assert_ne!(ledger.admit(customer, woken), Decision::Admitted);
-    ledger.tick(woken);
-    ledger.tick(woken + 200 * MS);
-    assert_ne!(ledger.admit(customer, woken + 200 * MS), Decision::Admitted);
-    ledger.confirm(woken - 1 * MS);
-    assert_ne!(ledger.admit(customer, woken + 200 * MS), Decision::Admitted);
-    ledger.confirm(woken + 1 * MS);
-    assert_eq!(ledger.admit(customer, woken + 200 * MS), Decision::Admitted);
+    assert_ne!(ledger.admit(customer, resumed), Decision::Admitted);
+    ledger.tick(resumed);
+    ledger.tick(resumed + 200 * MS);
+    assert_ne!(
+        ledger.admit(customer, resumed + 200 * MS),
+        Decision::Admitted
+    );
+    ledger.confirm(resumed - 1 * MS);
+    assert_ne!(
+        ledger.admit(customer, resumed + 200 * MS),
+        Decision::Admitted
+    );
+    ledger.confirm(resumed + 1 * MS);
+    assert_eq!(
+        ledger.admit(customer, resumed + 200 * MS),
+        Decision::Admitted
+    );
 }
 
 #[test]
-fn a_slot_that_nobody_held_counts_at_once() {
-    // The first daemon of a fleet starts. Nobody can have lent from its slots, so
-    // a wait would only refuse the first callers.
+fn a_slot_without_a_former_holder_counts_at_once() {
+    // The first daemon of a fleet starts. No other daemon can have lent from its slots,
+    // so a wait would only refuse the first callers.
     let (mut ledgers, now) = fleet(1, rate(1_000.0, 7));
     let (first, _) = first_ask(&mut ledgers, now);
-    let asker = &mut ledgers[1];
-    asker.set_holders(0, &[Some(DaemonId(1)); SLOTS], u64::MAX, now);
-    assert_eq!(drain(asker, first.slot, now), 7);
+    let borrower = &mut ledgers[1];
+    borrower.set_holders(0, &[Some(DaemonId(1)); SLOTS], u64::MAX, now);
+    assert_eq!(drain(borrower, first.slot, now), 7);
 }
 
 #[test]
 fn a_new_customer_may_send_its_burst_at_once_and_not_again_under_the_old_name() {
     // An operator creates a customer, and its first caller sends a burst. Then the
-    // customer is removed and created anew, which must not bring the burst back.
+    // customer is removed and created again, which must not restore the burst.
     let (mut ledgers, now) = fleet(1, rate(0.5, 7));
     let (first, home) = first_ask(&mut ledgers, now);
     let holder = &mut ledgers[home];
@@ -352,8 +368,8 @@
 }
 
 #[test]
-fn a_zone_that_is_added_takes_its_part_after_the_others_gave_it() {
-    // A zone opens while the rest of the fleet hears of it one by one. Its part
+fn an_added_zone_takes_its_share_after_the_others_released_it() {
+    // A zone is added while the other daemons learn of it one after another. Its share
     // must not count beside that of a daemon that still divides by fewer zones.
     let (mut ledgers, now) = fleet(1, rate(1_000.0, 7));
     let (first, home) = first_ask(&mut ledgers, now);
@@ -373,17 +389,17 @@
 }
 
 #[test]
-fn a_slot_gained_starts_empty_and_late() {
-    // A slot changes hands. Its former holder may have lent its part a moment
-    // before, so the new one waits until that is over, and brings no tokens.
+fn a_gained_slot_starts_empty_after_a_wait() {
+    // A slot changes its holder. The former holder may just have lent from it, so the
+    // new holder waits until such a loan has expired, and starts without tokens.
     let (mut ledgers, now) = fleet(1, rate(1_000.0, 7));
     let (first, _) = first_ask(&mut ledgers, now);
     let settle = LedgerTiming::default().settle();
-    let asker = &mut ledgers[1];
-    asker.set_holders(0, &[Some(DaemonId(1)); SLOTS], 0, now);
-    refresh(asker, now + Duration::from_secs(1));
-    refresh(asker, now + settle - 1 * MS);
-    assert_eq!(drain(asker, first.slot, now + settle - 1 * MS), 0);
-    assert_eq!(drain(asker, first.slot, now + settle), 0);
-    assert_eq!(drain(asker, first.slot, now + settle + 100 * MS), 7);
+    let borrower = &mut ledgers[1];
+    borrower.set_holders(0, &[Some(DaemonId(1)); SLOTS], 0, now);
+    refresh(borrower, now + Duration::from_secs(1));
+    refresh(borrower, now + settle - 1 * MS);
+    assert_eq!(drain(borrower, first.slot, now + settle - 1 * MS), 0);
+    assert_eq!(drain(borrower, first.slot, now + settle), 0);
+    assert_eq!(drain(borrower, first.slot, now + settle + 100 * MS), 7);
 }
