--- a/crates/policy/examples/rate_refusals.rs
+++ b/crates/policy/examples/rate_refusals.rs
@@ -126,7 +126,7 @@
     admitted: usize,
     admitted_too_few: usize,
     split_wrong: usize,
-    call_wrong: usize,
+    counter_wrong: usize,
     unavoidable: usize,
 }
 
@@ -172,7 +172,7 @@
         total.admitted += count.admitted;
         total.admitted_too_few += count.central.saturating_sub(count.admitted);
         total.split_wrong += count.split_wrong;
-        total.call_wrong += count.call_wrong;
+        total.counter_wrong += count.counter_wrong;
         total.unavoidable += count.unavoidable;
         let mut times: Vec<u64> = Vec::new();
         times.extend(
@@ -204,7 +204,7 @@
         percent(total.wrong),
         percent(total.admitted_too_few),
         percent(total.split_wrong),
-        percent(total.call_wrong),
+        percent(total.counter_wrong),
         percent(total.unavoidable),
         messages.join(" / "),
         each,
@@ -264,7 +264,7 @@
         count.admitted += usize::from(request.admitted);
         count.wrong += usize::from(admits && !request.admitted);
         count.split_wrong += usize::from(admits && !split_admits);
-        count.call_wrong += usize::from(admits && is_disconnected);
+        count.counter_wrong += usize::from(admits && is_disconnected);
     }
     count
 }
--- a/crates/policy/tests/fleet_run/mod.rs
+++ b/crates/policy/tests/fleet_run/mod.rs
@@ -94,7 +94,7 @@
         self.now
     }
 
-    /// Advances the simulation by `span`.
+    /// Advances the simulation by `duration`.
     pub fn advance(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
--- a/crates/policy/tests/members.rs
+++ b/crates/policy/tests/members.rs
@@ -17,7 +17,7 @@
     format!("entry-{daemon:03}")
 }
 
-fn beat(daemon: usize) -> Heartbeat {
+fn heartbeat(daemon: usize) -> Heartbeat {
     Heartbeat {
         name: name(daemon),
         zone: if daemon < 100 { OWN_ZONE } else { OTHER_ZONE },
@@ -28,11 +28,11 @@
 }
 
 fn listed(daemon: usize) -> ListedDaemon {
-    let beat = beat(daemon);
+    let heartbeat = heartbeat(daemon);
     ListedDaemon {
-        name: beat.name,
-        zone: beat.zone,
-        address: beat.address,
+        name: heartbeat.name,
+        zone: heartbeat.zone,
+        address: heartbeat.address,
         leaving: false,
     }
 }
@@ -40,9 +40,9 @@
 /// Returns the table of daemon `own`, which has received a heartbeat of each of
 /// `others`.
 fn table(own: usize, others: impl IntoIterator<Item = usize>, now: Timestamp) -> MemberTable {
-    let mut table = MemberTable::new(&beat(own), now);
+    let mut table = MemberTable::new(&heartbeat(own), now);
     for other in others {
-        table.heartbeat(&beat(other), now);
+        table.heartbeat(&heartbeat(other), now);
     }
     table
 }
@@ -68,7 +68,7 @@
     let mut table = table(0, [1, 101], at(1.0));
     table.apply_list(&[listed(0), listed(1), listed(101)], at(1.0));
     for secs in 2..600 {
-        table.heartbeat(&beat(1), at(f64::from(secs)));
+        table.heartbeat(&heartbeat(1), at(f64::from(secs)));
         table.apply_list(&[], at(f64::from(secs)));
     }
     assert_eq!(names(&table, at(600.0)), vec![name(0), name(1)]);
@@ -83,7 +83,7 @@
     let mut table = table(0, [1], at(1.0));
     for secs in 2..600 {
         assert_eq!(
-            table.heartbeat(&beat(1), at(f64::from(secs))),
+            table.heartbeat(&heartbeat(1), at(f64::from(secs))),
             MemberNews::Known(DaemonId(1))
         );
         table.apply_list(&[listed(0)], at(f64::from(secs)));
@@ -102,12 +102,12 @@
     table.apply_list(&list, at(8.0));
     assert_eq!(names(&table, at(8.0)), vec![name(0), name(101)]);
     assert_eq!(names(&table, at(62.0)), vec![name(0)]);
-    let back = table.heartbeat(&beat(1), at(70.0));
+    let back = table.heartbeat(&heartbeat(1), at(70.0));
     assert!(matches!(back, MemberNews::Joined(_)), "{back:?}");
 
     table.unreachable(table.find(&name(1)).unwrap());
     assert_eq!(names(&table, at(70.5)), vec![name(0)]);
-    table.heartbeat(&beat(1), at(71.0));
+    table.heartbeat(&heartbeat(1), at(71.0));
     assert_eq!(names(&table, at(71.0)).len(), 2);
 }
 
@@ -118,13 +118,13 @@
     assert!(table.find(&name(1)).is_some());
     table.apply_list(&[listed(0)], at(122.0));
     assert_eq!(table.find(&name(1)), None);
-    table.heartbeat(&beat(2), at(123.0));
+    table.heartbeat(&heartbeat(2), at(123.0));
     assert_eq!(
         table.find(&name(2)),
         Some(DaemonId(2)),
         "numbers aren't reused for a while"
     );
-    table.heartbeat(&beat(3), at(4000.0));
+    table.heartbeat(&heartbeat(3), at(4000.0));
     assert_eq!(table.find(&name(3)), Some(DaemonId(1)));
 }
 
@@ -135,7 +135,7 @@
     let mut table = table(0, [1], at(1.0));
     let leaving = Heartbeat {
         leaving: true,
-        ..beat(1)
+        ..heartbeat(1)
     };
     assert_eq!(
         table.heartbeat(&leaving, at(2.0)),
@@ -143,13 +143,13 @@
     );
     assert_eq!(names(&table, at(2.0)), vec![name(0)]);
     assert_eq!(
-        table.heartbeat(&beat(1), at(2.1)),
+        table.heartbeat(&heartbeat(1), at(2.1)),
         MemberNews::Known(DaemonId(1))
     );
     assert_eq!(names(&table, at(2.1)), vec![name(0)]);
     let successor = Heartbeat {
         incarnation: Incarnation(77),
-        ..beat(1)
+        ..heartbeat(1)
     };
     assert_eq!(
         table.heartbeat(&successor, at(3.0)),
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -54,8 +54,8 @@
 }
 
 /// Ten customers send three calls a second each to servers that answer forty. The
-/// bursting customer sends `times` as much between the seconds 20 and 40.
-fn run(discipline: Discipline, times: f64, seed: u64) -> Measurements {
+/// bursting customer sends `burst_factor` times as much between the seconds 20 and 40.
+fn run(discipline: Discipline, burst_factor: f64, seed: u64) -> Measurements {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut urgencies = UrgencyTable::default();
     let mut queue = LiveQueue::default();
@@ -78,7 +78,7 @@
         for customer in 0..CUSTOMERS {
             let own = CustomerId(customer);
             let factor = if bursting && own == BURSTING {
-                times
+                burst_factor
             } else {
                 1.0
             };
--- a/crates/policy/tests/rates_handover.rs
+++ b/crates/policy/tests/rates_handover.rs
@@ -37,7 +37,7 @@
     RateBus::new(options, rates)
 }
 
-/// Sends requests of all customers, at `part` times their rates, to random daemons.
+/// Sends requests of all customers, at `load` times their rates, to random daemons.
 fn send(bus: &mut RateBus, rates: &[CustomerRate], load: f64, daemons: usize, until: u64) {
     let mut random = StdRng::seed_from_u64(bus.options.seed);
     for rate in rates {
--- a/crates/policy/tests/rates_ledger.rs
+++ b/crates/policy/tests/rates_ledger.rs
@@ -157,7 +157,7 @@
     let (mut ledgers, now) = fleet(1, rate(1_000.0, 800));
     let decision = ledgers[1].admit(rate(0.0, 0).customer, now);
     let Decision::Borrow { ask, attempt, .. } = decision else {
-        panic!("no ask: {decision:?}");
+        panic!("no token request: {decision:?}");
     };
     let mut holders = [Some(DaemonId(0)); SLOTS];
     holders[usize::from(ask.slot)] = None;
--- a/crates/policy/tests/rates_roster.rs
+++ b/crates/policy/tests/rates_roster.rs
@@ -1,4 +1,5 @@
-//! Who holds which slot, and how a lost member loses its own.
+//! Tests of slot assignment in a zone's roster, and of how a lost member loses its
+//! slots.
 
 use std::time::Duration;
 
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_newcomer_gets_an_equal_part_once_others_release_theirs() {
+fn a_new_member_gets_an_equal_share_after_others_release_theirs() {
     let roster = roster_of(&["a", "b"]);
     assert_eq!(count(&roster, "a"), SLOTS / 2);
     let roster = roster.with_member("c", "", 1).unwrap();
@@ -52,8 +53,8 @@
 
 #[test]
 fn a_restarted_process_takes_over_its_slots() {
-    // A daemon crashes and starts again on its VM. Waiting until the others have
-    // expelled it would leave its part of each customer's rate unused.
+    // A daemon crashes and restarts on its VM. If it waited until the others have
+    // expelled it, its share of each customer's rate would be unused.
     let roster = roster_of(&["a", "b"]);
     let restarted = roster.with_member("a", "", 2).unwrap();
     assert_eq!(restarted.slots, roster.slots);
@@ -63,23 +64,23 @@
 
 #[test]
 fn a_lost_member_keeps_its_slots_for_the_whole_wait() {
-    // A VM is gone. Its slots must go to others, but not before a daemon that is
-    // merely paused would have noticed that its view is stale.
+    // A VM is lost. Its slots must go to others, but not before a daemon that is merely
+    // paused would have noticed that its view is stale.
     let roster = roster_of(&["a", "b"]);
     let mut watch = ExpulsionWatch::default();
-    let yes = |_: &str| true;
-    let no = |_: &str| false;
+    let always = |_: &str| true;
+    let never = |_: &str| false;
     assert_eq!(
-        watch.marked(&roster, "a", yes, no),
+        watch.marked(&roster, "a", always, never),
         None,
         "it still answers"
     );
     assert_eq!(
-        watch.marked(&roster, "a", no, yes),
+        watch.marked(&roster, "a", never, always),
         None,
         "the list still has it"
     );
-    let roster = watch.marked(&roster, "a", yes, yes).unwrap();
+    let roster = watch.marked(&roster, "a", always, always).unwrap();
     let key_of = |name: &str| Some(DaemonId(u32::from(name.as_bytes()[0])));
     assert!(!roster.holders(key_of).contains(&key_of("b")));
     watch.note(&roster, second(100));
@@ -92,8 +93,8 @@
 
 #[test]
 fn a_member_that_answers_again_clears_its_mark_and_the_wait() {
-    // A daemon was paused and marked; it wakes and reads the record before the
-    // wait is over. The wait must not go on from the old mark if it is marked again.
+    // A daemon was paused and marked; it resumes and reads the record before the wait
+    // is over. If it is marked again, the wait must start again.
     let roster = roster_of(&["a", "b"]);
     let mut watch = ExpulsionWatch::default();
     let marked = roster.with_expelled("b").unwrap();
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -1,4 +1,5 @@
-//! Retries: what may be tried again, and what that does to a fleet in trouble.
+//! Tests of retries: which requests may be retried, and how retries affect a fleet
+//! during a fault.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -34,7 +35,7 @@
     decide_retry(attempt, &mut budget, at(1.0), &mut rng)
 }
 
-fn last_word(attempt: &AttemptReport) -> (RunState, FinalCause) {
+fn final_answer(attempt: &AttemptReport) -> (RunState, FinalCause) {
     let decision = decide(attempt);
     assert_matches!(decision, RetryDecision::Final(answer) => {
         assert!(answer.retry_after > Duration::ZERO);
@@ -42,8 +43,8 @@
     })
 }
 
-/// A server dies after a print job was sent to it, and nobody knows
-/// whether it was printed. A second try could print it twice.
+/// A server dies after a print job was sent to it, and it is unknown whether the job
+/// was printed. A second attempt could print it twice.
 #[test]
 fn what_may_have_run_and_must_not_run_twice_is_unknown() {
     let attempt = AttemptReport {
@@ -51,7 +52,7 @@
         ..broken()
     };
     assert_eq!(
-        last_word(&attempt),
+        final_answer(&attempt),
         (RunState::Unknown, FinalCause::NotIdempotent)
     );
     let not_sent = AttemptReport {
@@ -63,13 +64,13 @@
         deadline: at(1.05),
         ..not_sent
     };
-    assert_eq!(last_word(&late), (RunState::No, FinalCause::Deadline));
+    assert_eq!(final_answer(&late), (RunState::No, FinalCause::Deadline));
 }
 
-/// An engine dies in the middle of a stream. Starting over would repeat what
-/// the caller has read; giving up would cut it off.
+/// An engine dies in the middle of a stream. A restart would repeat tokens that the
+/// caller has received; giving up would end the stream early.
 #[test]
-fn a_stream_goes_on_after_the_tokens_delivered() {
+fn a_stream_resumes_after_the_delivered_tokens() {
     let attempt = AttemptReport {
         tokens_delivered: 17,
         ..broken()
@@ -83,11 +84,11 @@
         answer_begun: true,
         ..broken()
     };
-    assert_eq!(last_word(&begun), (RunState::Partly, FinalCause::Begun));
+    assert_eq!(final_answer(&begun), (RunState::Partly, FinalCause::Begun));
 }
 
 #[test]
-fn suspects_need_a_trial_and_blocked_requests_hear_when_to_come_back() {
+fn suspects_need_a_trial_and_blocked_requests_get_a_retry_time() {
     let suspect = AttemptReport {
         suspect: SuspectVerdict::NeedsTrial,
         ..broken()
@@ -99,7 +100,7 @@
         ..broken()
     };
     let RetryDecision::Final(answer) = decide(&blocked) else {
-        panic!("a blocked request was tried again");
+        panic!("a blocked request was retried");
     };
     assert_eq!(
         (answer.cause, answer.retry_after),
@@ -114,7 +115,7 @@
         ..broken()
     };
     assert_eq!(
-        last_word(&attempt),
+        final_answer(&attempt),
         (RunState::Unknown, FinalCause::Attempts)
     );
     let mut budget = RetryBudget::default();
@@ -124,8 +125,8 @@
     assert_eq!(budget.left(), before);
 }
 
-/// A daemon that was quiet loses a server with a full batch on it. Its budget
-/// must pay for all of them although it saw no success for a while.
+/// An idle daemon loses a server with a full batch. Its budget must suffice for all of
+/// these requests although it had no success for a while.
 #[test]
 fn a_quiet_daemon_can_retry_one_servers_requests() {
     let mut budget = RetryBudget::default();
@@ -138,13 +139,13 @@
     assert!(budget.take(at(4.0)));
 }
 
-/// Requests a second that the fleet of the model can answer.
+/// Requests a second that the simulated fleet can answer.
 const CAPACITY: f64 = 100.0;
 /// Requests a second that callers send.
 const OFFERED: f64 = 80.0;
-/// Requests that wait at the servers of the model at most.
-const QUEUE: usize = 150;
-/// Steps of the model per second.
+/// The maximum number of requests that wait at the simulated servers.
+const MAX_QUEUE: usize = 150;
+/// Simulation steps per second.
 const STEPS: u32 = 100;
 /// Steps until an attempt is given up.
 const ATTEMPT_STEPS: u32 = STEPS;
@@ -155,22 +156,22 @@
     deadline: Timestamp,
 }
 
-/// A fleet as one queue in order of arrival, which answers a third of its
-/// capacity between the seconds 20 and 40. An attempt is given up after one
-/// second, but the servers work on it all the same. A refusal costs a server a
-/// fifth of an answer. Returns the answers in time before, in and after.
-fn brown_out(always: bool) -> [u32; 3] {
+/// Simulates a fleet as one queue in order of arrival, which has a third of its
+/// capacity between the seconds 20 and 40. An attempt is given up after one second, but
+/// the servers still process it. A rejection costs a server a fifth of an answer.
+/// Returns the numbers of answers in time before, during and after the fault.
+fn brown_out(retry_always: bool) -> [u32; 3] {
     let mut rng = StdRng::seed_from_u64(7);
     let mut budget = RetryBudget::default();
     let mut queue: VecDeque<Waiting> = VecDeque::new();
     let mut sent: VecDeque<Waiting> = VecDeque::new();
-    let mut good = [0; 3];
-    let mut room = 0.0;
+    let mut on_time = [0; 3];
+    let mut capacity = 0.0;
     for step in 0..80 * STEPS {
         let secs = step / STEPS;
         let now = at(f64::from(step) / f64::from(STEPS));
         let share = if (20..40).contains(&secs) { 0.33 } else { 1.0 };
-        room = (room + share * CAPACITY / f64::from(STEPS)).min(2.0);
+        capacity = (capacity + share * CAPACITY / f64::from(STEPS)).min(2.0);
         if rng.random_bool(OFFERED / f64::from(STEPS)) {
             sent.push_back(Waiting {
                 sent: step,
@@ -182,24 +183,24 @@
         for mut request in sent.drain(..) {
             request.sent = step;
             request.attempts += 1;
-            if queue.len() < QUEUE {
+            if queue.len() < MAX_QUEUE {
                 queue.push_back(request);
             } else {
-                room -= 0.2;
+                capacity -= 0.2;
                 failed.push(request);
             }
         }
-        while room >= 1.0 {
+        while capacity >= 1.0 {
             let Some(request) = queue.pop_front() else {
                 break;
             };
-            room -= 1.0;
+            capacity -= 1.0;
             if step - request.sent <= ATTEMPT_STEPS {
-                good[(secs / 20).min(2) as usize] += 1;
+                on_time[(secs / 20).min(2) as usize] += 1;
                 budget.success();
             } else {
-                // The caller's daemon gave up earlier. Counting the retry here
-                // leaves the order of events but for the time in the queue.
+                // The caller's daemon gave up earlier. Counting the retry here changes
+                // the order of events only by the time in the queue.
                 failed.push(request);
             }
         }
@@ -209,7 +210,7 @@
                 deadline: request.deadline,
                 ..broken()
             };
-            let again = match always {
+            let again = match retry_always {
                 true => now < request.deadline,
                 false => !matches!(
                     decide_retry(&attempt, &mut budget, now, &mut rng),
@@ -221,26 +222,33 @@
             }
         }
     }
-    good
+    on_time
 }
 
-/// A fault takes two thirds of the capacity away for twenty seconds. When every
-/// failure is tried again until the deadline, the queue stays full after the
-/// capacity is back, each answer comes too late, and nobody is served any more.
+/// A fault takes two thirds of the capacity away for twenty seconds. If every failed
+/// request is retried until its deadline, the queue stays full after the capacity is
+/// back, each answer is too late, and no caller is served any more.
 #[test]
 fn retries_do_not_keep_a_fleet_down_after_a_brown_out() {
     let budgeted = brown_out(false);
-    let always = brown_out(true);
-    println!("answers in time before, in and after: budget {budgeted:?}, always {always:?}");
-    assert_eq!(budgeted[0], always[0]);
+    let retry_always = brown_out(true);
+    println!("answers in time before, in and after: budget {budgeted:?}, always {retry_always:?}");
+    assert_eq!(budgeted[0], retry_always[0]);
     let offered_after = OFFERED * 40.0;
     assert!(f64::from(budgeted[2]) > 0.9 * offered_after, "{budgeted:?}");
-    assert!(f64::from(always[2]) < 0.2 * offered_after, "{always:?}");
-    assert!(budgeted[1] >= always[1], "{budgeted:?} against {always:?}");
+    assert!(
+        f64::from(retry_always[2]) < 0.2 * offered_after,
+        "{retry_always:?}"
+    );
+    assert!(
+        budgeted[1] >= retry_always[1],
+        "{budgeted:?} against {retry_always:?}"
+    );
 }
 
-/// A stream runs on both of the engines that another request crashes, and was sent in vain
-/// to a VM that is gone, or turned away, before it ran. It got no answer.
+/// A stream runs on both of the engines that another request crashes. It was also sent
+/// in vain to a VM that is gone, or rejected before it ran. It got no answer, so it
+/// needs another server.
 #[test]
 fn who_shared_two_lost_servers_gets_another() {
     let now = Timestamp::ZERO;
@@ -260,10 +268,10 @@
     };
     let is_final = |decision| matches!(decision, RetryDecision::Final(_));
     assert!(!is_final(decide(3, 1, 2)), "a VM that is gone");
-    assert!(!is_final(decide(3, 0, 2)), "turned away once");
-    assert!(!is_final(decide(4, 0, 2)), "turned away twice");
+    assert!(!is_final(decide(3, 0, 2)), "rejected once");
+    assert!(!is_final(decide(4, 0, 2)), "rejected twice");
     assert!(!is_final(decide(7, 7, 0)), "VMs that are gone");
-    assert!(is_final(decide(3, 0, 0)), "turned away by all");
+    assert!(is_final(decide(3, 0, 0)), "rejected by all");
     assert!(is_final(decide(3, 0, 3)), "three lost servers");
     assert!(is_final(decide(8, 8, 0)), "too many VMs that are gone");
 }
--- a/crates/policy/tests/routing.rs
+++ b/crates/policy/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing: which server gets a request.
+//! Tests of routing: which server gets a request.
 
 mod routing_fixture;
 
@@ -18,30 +18,38 @@
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..32 {
         let server = table.choose(&query(), at(1.0), &mut rng).unwrap();
-        assert_eq!(zone_of(&table, server), HOME);
+        assert_eq!(zone_of(&table, server), OWN_ZONE);
         table.begin(server);
     }
     let server = table.choose(&query(), at(1.0), &mut rng).unwrap();
-    assert_eq!(zone_of(&table, server), AWAY);
+    assert_eq!(zone_of(&table, server), OTHER_ZONE);
 
     let full = ZoneLoad {
         servers: 2,
         load: 40.0,
         batch: 32.0,
     };
-    table.note_zone_load(GROUP, AWAY, full, at(1.0));
+    table.note_zone_load(GROUP, OTHER_ZONE, full, at(1.0));
     let server = table.choose(&query(), at(1.0), &mut rng).unwrap();
-    assert_eq!(zone_of(&table, server), HOME, "the other zone is full too");
+    assert_eq!(
+        zone_of(&table, server),
+        OWN_ZONE,
+        "the other zone is full too"
+    );
     assert_eq!(table.choose_with_room(&query(), at(1.0), &mut rng), None);
     let server = table
         .choose_with_room(&query(), at(12.0), &mut rng)
         .unwrap();
-    assert_eq!(zone_of(&table, server), AWAY, "its word is old by now");
+    assert_eq!(
+        zone_of(&table, server),
+        OTHER_ZONE,
+        "its report is outdated by now"
+    );
 }
 
-/// A server's process is gone while the list still names it, so each request
-/// sent there fails. The daemon must find out by its connections, send it ever
-/// fewer requests, and give it its share back in steps once it answers again.
+/// A server's process is gone while the list still has it, so each request to it fails.
+/// The daemon must detect that by its connections, send it fewer and fewer requests,
+/// and restore its share in steps once it answers again.
 #[test]
 fn ejection_and_return_are_gradual() {
     let mut table = table(4, 0);
@@ -73,21 +81,22 @@
     let mut table = table(4, 0);
     let mut rng = StdRng::seed_from_u64(7);
     let bad = table.find("home-0").unwrap();
-    let mut tries = [0; 2];
+    let mut attempts = [0; 2];
     for tenth in 0..6000 {
         let now = at(f64::from(tenth) / 10.0);
         for _ in 0..10 {
             if table.choose(&query(), now, &mut rng) == Some(bad) {
                 table.outcome(bad, ServerOutcome::ConnectFailed, now, &mut rng);
-                tries[usize::from(tenth >= 3000)] += 1;
+                attempts[usize::from(tenth >= 3000)] += 1;
             }
         }
     }
-    assert!(tries[0] <= 20 && tries[1] <= 8, "{tries:?}");
+    assert!(attempts[0] <= 20 && attempts[1] <= 8, "{attempts:?}");
 }
 
-/// The daemon's own network fails for a moment, and every server with it. With
-/// all of them ejected, callers would be refused long after the network is back.
+/// The daemon's own network fails for a moment, and with it the connections to all
+/// servers. If all of them were ejected, callers would be refused long after the
+/// network is back.
 #[test]
 fn the_last_server_is_never_ejected() {
     let mut table = table(3, 2);
@@ -112,8 +121,8 @@
     assert!(table.choose(&query, at(1.0), &mut rng).is_some());
 }
 
-/// A server reports an idle moment, and the next reports come seconds later.
-/// Believing the report alone, the daemon would send it everything meanwhile.
+/// A server reports that it is idle, and its next reports arrive seconds later. If the
+/// daemon used only the report, it would send all requests to this server.
 #[test]
 fn own_requests_correct_a_lagging_report() {
     let mut table = table(4, 0);
@@ -132,13 +141,13 @@
     }
     let most = (0..4).map(|it| table.entry(ServerId(it)).unwrap().load.in_flight);
     let most = most.max().unwrap();
-    // Even would be 31 on the one that was idle and 23 on each other.
+    // An even load would be 31 on the server that was idle and 23 on each other server.
     assert!(most <= 34, "{most} of 100 went to one server");
 }
 
-/// Every server reports a full batch, of other daemons' requests. Reports ride on
-/// answers, so a daemon that sends nothing hears nothing: it would hold its
-/// callers back for good, long after the servers are free.
+/// Every server reports a full batch of other daemons' requests. Reports arrive with
+/// answers, so a daemon that sends nothing receives no reports: it would hold its
+/// callers' requests forever, long after the servers are free.
 #[test]
 fn full_servers_are_tried_again() {
     let mut table = table(4, 0);
@@ -154,14 +163,15 @@
         }
     }
     let probe = table.choose_with_room(&query(), at(1.1), &mut rng);
-    table.begin(probe.expect("one request to learn from"));
+    table.begin(probe.expect("one request to get new reports"));
     assert_eq!(table.choose_with_room(&query(), at(1.2), &mut rng), None);
     let later = table.choose_with_room(&query(), at(12.0), &mut rng);
     assert!(later.is_some(), "the reports are old");
 }
 
-/// All servers but one are ejected, and that one leaves. The others may be well
-/// again, and holding everything back until their time is over helps nobody.
+/// All servers but one are ejected, and that one leaves. The ejected servers may have
+/// recovered, so they are used rather than holding requests until the end of the
+/// ejection.
 #[test]
 fn ejected_servers_are_used_when_nothing_else_is_left() {
     let mut table = table(3, 0);
@@ -182,7 +192,7 @@
 }
 
 #[test]
-fn least_wait_of_two_beats_chance() {
+fn the_lower_wait_of_two_servers_beats_a_random_choice() {
     let highest = |seed: u64, by_chance: bool| {
         let mut table = table(50, 0);
         let mut rng = StdRng::seed_from_u64(seed);
@@ -197,10 +207,13 @@
         let loads = table.servers().map(|(_, it)| it.load.in_flight);
         loads.max().unwrap()
     };
-    let two: u32 = (0..20).map(|seed| highest(seed, false)).sum();
-    let one: u32 = (0..20).map(|seed| highest(seed, true)).sum();
-    // The mean load is 8; what lies above it is what a request waits for.
-    assert!((two - 160) * 3 < one - 160, "{two} against {one}");
+    let chosen_loads: u32 = (0..20).map(|seed| highest(seed, false)).sum();
+    let random_loads: u32 = (0..20).map(|seed| highest(seed, true)).sum();
+    // The mean load is 8; a request waits for the load above it.
+    assert!(
+        (chosen_loads - 160) * 3 < random_loads - 160,
+        "{chosen_loads} compared with {random_loads}"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/routing_fixture/mod.rs
+++ b/crates/policy/tests/routing_fixture/mod.rs
@@ -1,11 +1,11 @@
-//! Small tables of servers.
+//! Small server tables for tests of routing.
 
 use comfreyramp_policy::{GroupId, ListedServer, RouteQuery, ServerTable, Timestamp, ZoneId};
 use rand::rngs::StdRng;
 
 pub(crate) const GROUP: GroupId = GroupId(0);
-pub(crate) const HOME: ZoneId = ZoneId(0);
-pub(crate) const AWAY: ZoneId = ZoneId(1);
+pub(crate) const OWN_ZONE: ZoneId = ZoneId(0);
+pub(crate) const OTHER_ZONE: ZoneId = ZoneId(1);
 
 pub(crate) fn at(secs: f64) -> Timestamp {
     Timestamp::from_micros((secs * 1e6) as u64)
@@ -22,8 +22,8 @@
 }
 
 pub(crate) fn vms(home: usize, away: usize) -> Vec<ListedServer> {
-    let near = (0..home).map(|it| vm(&format!("home-{it}"), HOME));
-    let far = (0..away).map(|it| vm(&format!("away-{it}"), AWAY));
+    let near = (0..home).map(|it| vm(&format!("home-{it}"), OWN_ZONE));
+    let far = (0..away).map(|it| vm(&format!("away-{it}"), OTHER_ZONE));
     near.chain(far).collect()
 }
 
@@ -34,10 +34,10 @@
 }
 
 pub(crate) fn query() -> RouteQuery<'static> {
-    RouteQuery::new(GROUP, HOME)
+    RouteQuery::new(GROUP, OWN_ZONE)
 }
 
-/// How often each server is chosen in `count` choices.
+/// Returns how often each server is chosen in `count` choices.
 pub(crate) fn shares(
     table: &ServerTable,
     count: usize,
--- a/crates/policy/tests/routing_lists.rs
+++ b/crates/policy/tests/routing_lists.rs
@@ -1,4 +1,4 @@
-//! Routing: what VM lists change, and which servers never get a request.
+//! Tests of routing: what VM lists change, and which servers never get a request.
 
 mod routing_fixture;
 
@@ -10,8 +10,8 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use routing_fixture::*;
 
-/// A platform that has just restarted answers the VM list with nothing. Taken
-/// at its word, every caller would be refused although all servers run.
+/// A platform that has just restarted answers with an empty VM list. If the daemon
+/// applied it, every caller would be refused although all servers are running.
 #[test]
 fn an_empty_list_is_not_an_empty_fleet() {
     let mut table = table(3, 0);
@@ -27,9 +27,9 @@
     }
 }
 
-/// A list read from a lagging replica lacks two servers of three, one of which
-/// answers all the time. Dropping them at once would take two thirds of the
-/// capacity away; keeping all forever would send requests to machines long gone.
+/// A list from a lagging replica lacks two of four servers, one of which answers all
+/// the time. Dropping them at once would remove capacity that is still there; keeping
+/// them forever would send requests to machines that are long gone.
 #[test]
 fn a_missing_server_is_kept_while_it_answers() {
     let mut table = table(4, 0);
@@ -54,10 +54,10 @@
     assert_eq!(outcome.added.len(), 2);
 }
 
-/// The platform's list shrinks to one server of ten from one read to the next.
-/// Most likely the list is wrong, and the fleet must outlive it by far.
+/// The platform's list shrinks to one server of ten between two reads. Most likely the
+/// list is wrong, so the servers are kept for a long time.
 #[test]
-fn a_list_that_lacks_most_servers_is_believed_late() {
+fn a_list_that_lacks_most_servers_is_applied_late() {
     let mut table = table(10, 0);
     for secs in 1..600 {
         table.apply_list(&vms(1, 0), at(f64::from(secs)));
@@ -67,8 +67,8 @@
     assert_eq!(table.servers().count(), 1);
 }
 
-/// A server that is being stopped is listed as leaving, then for some reads a
-/// lagging replica lists it as live again. New work would be cut off there.
+/// A server that is being stopped is listed as leaving, then a lagging replica lists it
+/// as live again for some reads. New requests would be cut off there.
 #[test]
 fn a_leaving_server_gets_nothing_new() {
     let mut table = table(2, 0);
@@ -87,7 +87,7 @@
     }
 }
 
-/// The server says itself that it leaves, long before the list does.
+/// The server itself reports that it is leaving, long before the list does.
 #[test]
 fn a_server_is_believed_when_it_says_that_it_leaves() {
     let mut table = table(2, 0);
@@ -101,25 +101,25 @@
 }
 
 #[test]
-fn a_place_is_reused_only_when_its_requests_have_ended() {
+fn an_index_is_reused_only_after_its_requests_have_ended() {
     let mut table = table(2, 0);
     let gone = table.find("home-0").unwrap();
     table.begin(gone);
     table.apply_list(&vms(2, 0)[1..], at(1.0));
     table.apply_list(&vms(2, 0)[1..], at(40.0));
-    let other = table.apply_list(&[vm("new-0", HOME)], at(41.0)).added[0];
+    let other = table.apply_list(&[vm("new-0", OWN_ZONE)], at(41.0)).added[0];
     assert_ne!(other, gone);
     table.end(gone, Duration::from_secs(1));
-    let reused = table.apply_list(&[vm("new-1", HOME)], at(42.0)).added[0];
+    let reused = table.apply_list(&[vm("new-1", OWN_ZONE)], at(42.0)).added[0];
     assert_eq!(reused, gone);
     assert_eq!(table.entry(gone).unwrap().key, ServerKey::of("new-1"));
     assert_eq!(table.find_key(ServerKey::of("new-1")), Some(gone));
     assert_eq!(table.find_key(ServerKey::of("home-0")), None);
 }
 
-/// Lists that are wrong in every way, outcomes and reports, in any order. What
-/// is chosen must take new work and not be excluded, and something is chosen as
-/// long as such a server is left.
+/// Applies arbitrary wrong lists, outcomes and reports, in any order. A chosen server
+/// must accept new requests and not be excluded, and a server is chosen as long as
+/// there is such a server.
 #[test]
 fn whatever_happens_only_live_servers_are_chosen() {
     for seed in 0..200 {
--- a/crates/policy/tests/routing_model.rs
+++ b/crates/policy/tests/routing_model.rs
@@ -1,4 +1,5 @@
-//! Routing by several daemons with late reports, against round robin.
+//! Simulates routing by several daemons with delayed reports, compared with round
+//! robin.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,14 +12,14 @@
 const SERVERS: usize = 16;
 const BATCH: usize = 8;
 const STEP: Duration = Duration::from_millis(5);
-/// How late a server's report reaches the daemon, on top of the answer's time.
-const LAG: Duration = Duration::from_millis(100);
-/// The prefixes that callers use, and those that a server's cache holds.
+/// The delay of a server's report to the daemon, in addition to the time of the answer.
+const REPORT_DELAY: Duration = Duration::from_millis(100);
+/// The number of prefixes that callers use, and the number that a server's cache holds.
 const PREFIXES: u64 = 128;
 const CACHED: usize = 12;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Strategy {
     RoundRobin,
     LeastWait,
     Prefix,
@@ -33,7 +34,7 @@
     ends_at: Timestamp,
 }
 
-/// A server that starts what arrives in order, up to its batch.
+/// A server that starts requests in order of arrival, up to its batch size.
 #[derive(Default)]
 struct Server {
     queue: VecDeque<Call>,
@@ -41,22 +42,22 @@
     cache: VecDeque<u64>,
 }
 
-struct Measured {
+struct Measurements {
     waits: Vec<Duration>,
     hits: f64,
 }
 
-impl Measured {
-    fn percentile(&mut self, part: f64) -> f64 {
+impl Measurements {
+    fn percentile(&mut self, fraction: f64) -> f64 {
         self.waits.sort_unstable();
-        self.waits[((self.waits.len() - 1) as f64 * part) as usize].as_secs_f64()
+        self.waits[((self.waits.len() - 1) as f64 * fraction) as usize].as_secs_f64()
     }
 }
 
-/// A minute of calls, one in five of them ten times as long as the others. Half
-/// the servers are slower by a half. A prefix found in the cache saves a third
+/// Simulates a minute of calls, one in five of them ten times as long as the others.
+/// Half of the servers are slower by a half. A prefix found in the cache saves a third
 /// of a call's time.
-fn run(way: Way, rate: f64) -> Measured {
+fn run(strategy: Strategy, rate: f64) -> Measurements {
     let mut rng = StdRng::seed_from_u64(3);
     let listed: Vec<ListedServer> = (0..SERVERS)
         .map(|it| ListedServer {
@@ -71,7 +72,7 @@
     let mut servers: Vec<Server> = (0..SERVERS).map(|_| Server::default()).collect();
     let mut reports: Vec<(Timestamp, usize, usize, LoadReport)> = Vec::new();
     let mut turns = [0; DAEMONS];
-    let mut measured = Measured {
+    let mut measurements = Measurements {
         waits: Vec::new(),
         hits: 0.0,
     };
@@ -89,11 +90,11 @@
             }
             let prefix = rng.random_range(0..PREFIXES);
             let query = RouteQuery::new(GroupId(0), ZoneId(0));
-            let query = match way {
-                Way::Prefix => query.prefix(prefix),
+            let query = match strategy {
+                Strategy::Prefix => query.prefix(prefix),
                 _ => query,
             };
-            let server = if way == Way::RoundRobin {
+            let server = if strategy == Strategy::RoundRobin {
                 turns[daemon] += 1;
                 (turns[daemon] + daemon * 2) % SERVERS
             } else {
@@ -118,7 +119,7 @@
                     waiting: server.queue.len() as u32,
                     batch: BATCH as u32,
                 };
-                reports.push((now + LAG, call.daemon, at, report));
+                reports.push((now + REPORT_DELAY, call.daemon, at, report));
                 let held = now.since(call.sent_at);
                 tables[call.daemon].end(ServerId(at as u32), held);
             }
@@ -127,7 +128,7 @@
                     break;
                 };
                 let wait = now.since(call.sent_at);
-                measured.waits.push(wait);
+                measurements.waits.push(wait);
                 tables[call.daemon].first_token(ServerId(at as u32), wait + call.took / 10);
                 let hit = server.cache.contains(&call.prefix);
                 server.cache.retain(|&it| it != call.prefix);
@@ -135,7 +136,7 @@
                 if server.cache.len() > CACHED {
                     server.cache.pop_front();
                 }
-                measured.hits += f64::from(u8::from(hit));
+                measurements.hits += f64::from(u8::from(hit));
                 let slow = if at % 2 == 0 { 1.0 } else { 1.5 };
                 let saved = if hit { 2.0 / 3.0 } else { 1.0 };
                 call.ends_at = now + call.took.mul_f64(slow * saved);
@@ -143,20 +144,22 @@
             }
         }
     }
-    measured
+    measurements
 }
 
-/// Daemons that take turns over the servers send the slow ones as much as the
-/// others, and whoever waits behind them sees no first token.
+/// With round robin, the slow servers get as many requests as the others, and requests
+/// that wait behind them get no first token.
 #[test]
 fn least_wait_keeps_the_tail_short_where_round_robin_does_not() {
-    // 0.56 s a call, longer by a half on half the servers: 183 a second fill all.
+    // A call takes 0.56 s on average, and half as long again on half of the servers:
+    // 183 calls a second use all capacity.
     let rate = 150.0;
-    let mut results = [Way::RoundRobin, Way::LeastWait, Way::Prefix].map(|it| run(it, rate));
+    let mut results =
+        [Strategy::RoundRobin, Strategy::LeastWait, Strategy::Prefix].map(|it| run(it, rate));
     let tails = results.each_mut().map(|it| it.percentile(0.99));
     let hits = results.each_ref().map(|it| it.hits / it.waits.len() as f64);
     println!("99th percentile of waits (round robin, least wait, prefix): {tails:.3?} s");
-    println!("part of calls whose prefix was cached: {hits:.2?}");
+    println!("fraction of calls whose prefix was cached: {hits:.2?}");
     assert!(tails[1] * 5.0 < tails[0], "{tails:?}");
     assert!(tails[2] * 5.0 < tails[0], "{tails:?}");
     assert!(hits[2] > 2.0 * hits[1], "{hits:?}");
--- a/crates/policy/tests/runner_choice.rs
+++ b/crates/policy/tests/runner_choice.rs
@@ -1,5 +1,5 @@
-//! Which daemons run lots: a burst of lots, and a restart of all daemons, replayed on
-//! virtual time.
+//! Simulates on virtual time which daemons run lots: during a burst of lots, and after
+//! a restart of all daemons.
 
 use comfreyramp_policy::{
     lots::{RunnerLoad, choose_runner, choose_successor, home_daemon},
@@ -9,13 +9,13 @@
 
 const RUNNERS: usize = 14;
 const STEP_MS: u64 = 50;
-/// How often daemons tell what they have.
-const TOLD_MS: u64 = 750;
+/// The interval at which daemons report their loads.
+const REPORT_INTERVAL_MS: u64 = 750;
 /// Lots of about ten items: fifteen a second, for three seconds.
 const BURST_MS: u64 = 3_000;
 const LOTS_PER_SEC: f64 = 15.0;
 const ITEM_MS: u64 = 2_300;
-/// The items that a daemon finds slots for.
+/// The number of items that a daemon finds slots for.
 const SLOTS: usize = 18;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,11 +26,11 @@
 }
 
 struct RunnerReplay {
-    /// Whole lots that wait at each daemon, by their items.
+    /// The lots that wait at each daemon, as their numbers of items.
     waiting: Vec<Vec<u32>>,
-    /// When each item that runs ends.
+    /// The end time of each running item.
     running: Vec<Vec<u64>>,
-    told: Vec<u32>,
+    reported: Vec<u32>,
     random: StdRng,
 }
 
@@ -39,7 +39,7 @@
         RunnerReplay {
             waiting: vec![Vec::new(); RUNNERS],
             running: vec![Vec::new(); RUNNERS],
-            told: vec![0; RUNNERS],
+            reported: vec![0; RUNNERS],
             random: StdRng::seed_from_u64(seed),
         }
     }
@@ -53,7 +53,7 @@
         others
             .map(|it| RunnerLoad {
                 runner: PeerId(it as u64),
-                items: self.told[it],
+                items: self.reported[it],
             })
             .collect()
     }
@@ -100,14 +100,14 @@
         }
     }
 
-    /// Runs until nothing is left, and returns when that was.
-    fn finish(&mut self, begin: u64, hands_over: bool) -> u64 {
+    /// Runs until nothing is left, and returns that time.
+    fn finish(&mut self, begin: u64, allows_handover: bool) -> u64 {
         let mut now = begin;
         while (0..RUNNERS).any(|it| self.items(it) > 0) {
             now += STEP_MS;
-            self.tell(now);
+            self.report_loads(now);
             self.run_items(now);
-            if hands_over && now.is_multiple_of(250) {
+            if allows_handover && now.is_multiple_of(250) {
                 for runner in 0..RUNNERS {
                     self.hand_over(runner);
                 }
@@ -116,22 +116,22 @@
         now
     }
 
-    fn tell(&mut self, now: u64) {
+    fn report_loads(&mut self, now: u64) {
         for runner in 0..RUNNERS {
-            // They don't speak in step.
-            if (now + runner as u64 * STEP_MS).is_multiple_of(TOLD_MS) {
-                self.told[runner] = self.items(runner);
+            // The daemons don't report at the same time.
+            if (now + runner as u64 * STEP_MS).is_multiple_of(REPORT_INTERVAL_MS) {
+                self.reported[runner] = self.items(runner);
             }
         }
     }
 }
 
-/// When the last item of a burst is done.
+/// Returns when the last item of a burst is done.
 fn burst(choice: Choice, seed: u64) -> u64 {
     let mut replay = RunnerReplay::new(seed);
     let mut lots = seed as usize * 1_000;
     for now in (0..BURST_MS).step_by(STEP_MS as usize) {
-        replay.tell(now);
+        replay.report_loads(now);
         if replay
             .random
             .random_bool(LOTS_PER_SEC * STEP_MS as f64 / 1_000.0)
@@ -146,8 +146,9 @@
     replay.finish(BURST_MS, false)
 }
 
-/// A burst of lots goes to a few daemons, whose customers wait while others have nothing
-/// to do: by a hash, or to the one that had nothing to do when it was last heard.
+/// A burst of lots goes to a few daemons, whose customers wait while other daemons are
+/// idle. That happens if the daemon is chosen by a hash, or as the one that was idle in
+/// its last report.
 #[test]
 fn a_burst_of_lots_is_spread() {
     let mean = |choice| (1..=20).map(|it| burst(choice, it)).sum::<u64>() / 20;
@@ -160,22 +161,22 @@
     assert!(of_two < by_hash && of_two < least);
 }
 
-/// All daemons were lost, and the first one that is back has claimed every lot before it
-/// hears the others. Their customers wait for one daemon.
+/// All daemons were lost, and the first one that is back claims every lot before it
+/// receives reports of the others. All customers would wait for this daemon.
 #[test]
 fn lots_that_one_daemon_claimed_after_a_restart_are_handed_over() {
-    let alone = |hands_over| {
+    let alone = |allows_handover| {
         let mut replay = RunnerReplay::new(1);
         replay.waiting[0] = vec![12; 20];
-        replay.finish(0, hands_over)
+        replay.finish(0, allows_handover)
     };
     let (kept, handed_over) = (alone(false), alone(true));
-    eprintln!("done after {kept} ms, {handed_over} where lots are handed over");
+    eprintln!("done after {kept} ms, {handed_over} ms with handover");
     assert!(handed_over * 3 <= kept, "{handed_over} of {kept} ms");
 }
 
-/// Daemons with about as much to do hand a lot back and forth, and each time costs three
-/// calls to the store.
+/// Daemons with similar loads could hand a lot back and forth, and each handover costs
+/// three calls to the store.
 #[test]
 fn a_lot_is_not_handed_back_and_forth() {
     let load = |items| {
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! The request that crashes servers: rule by rule.
+//! Tests of single rules about requests that crash servers.
 
 use std::time::Duration;
 
@@ -13,8 +13,9 @@
     Timestamp::from_micros((secs * 1e6) as u64)
 }
 
-/// A table without peers whose one run of the poison killed server 1.
-fn bereaved(incarnation: u64) -> SuspectTable {
+/// Returns a table without peers in which one run of the poison request killed server
+/// 1.
+fn table_after_one_death(incarnation: u64) -> SuspectTable {
     let mut table = SuspectTable::new(Incarnation(incarnation));
     let begun = table.begin(POISON, RunId(1), ServerKey(1), at(1.0));
     assert_eq!(begun, SuspectVerdict::Clear);
@@ -23,93 +24,95 @@
     table
 }
 
-fn granted(
+fn grant_trial(
     table: &mut SuspectTable,
-    book: &mut TrialBook,
+    tracker: &mut TrialBook,
     server: u64,
     now: Timestamp,
 ) -> TrialAsk {
     let ask = table.ask_trial(POISON, ServerKey(server), now);
-    let ask = ask.expect("time to ask");
-    assert_eq!(book.ask(&ask, now), TrialAnswer::Granted);
+    let ask = ask.expect("a trial can be requested");
+    assert_eq!(tracker.ask(&ask, now), TrialAnswer::Granted);
     ask
 }
 
-/// A daemon is paused between the grant of a trial and its beginning, for an
-/// hour perhaps. Its grant must not outlive what others made of it.
+/// A daemon is paused for a long time, up to an hour, between the grant of a trial and
+/// its start. The old grant must not be used after others had time to act on it.
 #[test]
 fn a_paused_daemon_does_not_begin_an_old_trial() {
-    let mut book = TrialBook::default();
-    let mut table = bereaved(1);
-    let ask = granted(&mut table, &mut book, 2, at(3.0));
+    let mut tracker = TrialBook::default();
+    let mut table = table_after_one_death(1);
+    let ask = grant_trial(&mut table, &mut tracker, 2, at(3.0));
     table.trial_answer(&ask, TrialAnswer::Granted, at(3.1));
     assert_eq!(table.trial_step(POISON, at(3.2)), TrialStep::Start);
     assert_eq!(table.start_trial(POISON, RunId(2), at(3600.0)), None);
     table.poll(at(3600.0));
     for settlement in table.take_settlements() {
-        book.settle(&settlement);
+        tracker.settle(&settlement);
     }
-    granted(&mut bereaved(2), &mut book, 3, at(3601.0));
+    grant_trial(&mut table_after_one_death(2), &mut tracker, 3, at(3601.0));
 }
 
-/// The daemon that has the trial is lost together with the server. Nobody can
-/// say how the trial ended, and a second trial could cost a third server.
+/// The daemon that has the trial is lost together with the server. Its result is
+/// unknown, and a second trial could cost a third server.
 #[test]
 fn a_trial_whose_daemon_was_lost_blocks_the_request() {
-    let mut book = TrialBook::default();
-    let mut lost = bereaved(1);
-    granted(&mut lost, &mut book, 2, at(3.0));
+    let mut tracker = TrialBook::default();
+    let mut lost = table_after_one_death(1);
+    grant_trial(&mut lost, &mut tracker, 2, at(3.0));
 
-    let mut other = bereaved(2);
+    let mut other = table_after_one_death(2);
     let ask = other.ask_trial(POISON, ServerKey(3), at(4.0)).unwrap();
-    let answer = book.ask(&ask, at(4.0));
+    let answer = tracker.ask(&ask, at(4.0));
     other.trial_answer(&ask, answer, at(4.0));
     let soon = TrialStep::Refuse(Duration::from_secs(5));
     assert_eq!(other.trial_step(POISON, at(4.0)), soon);
 
     let ask = other.ask_trial(POISON, ServerKey(3), at(1003.0)).unwrap();
-    let answer = book.ask(&ask, at(1003.0));
+    let answer = tracker.ask(&ask, at(1003.0));
     other.trial_answer(&ask, answer, at(1003.0));
     let late = TrialStep::Refuse(Duration::from_secs(24 * 3600 - 1000));
     assert_eq!(other.trial_step(POISON, at(1003.0)), late);
 }
 
-/// Two suspects from two daemons would share a server. Were it to die, both
-/// would be blocked, one of them an innocent.
+/// Suspects of two daemons would have their trials on the same server. If it died, both
+/// would be blocked, one of them without a fault of its own.
 #[test]
 fn suspects_of_different_daemons_do_not_share_a_server() {
-    let mut book = TrialBook::default();
-    let mut table = bereaved(1);
-    granted(&mut table, &mut book, 2, at(3.0));
+    let mut tracker = TrialBook::default();
+    let mut table = table_after_one_death(1);
+    grant_trial(&mut table, &mut tracker, 2, at(3.0));
 
-    let neighbour = Fingerprint(2);
+    let other_suspect = Fingerprint(2);
     let mut other = SuspectTable::new(Incarnation(2));
-    other.begin(neighbour, RunId(1), ServerKey(1), at(1.0));
+    other.begin(other_suspect, RunId(1), ServerKey(1), at(1.0));
     other.server_died(ServerKey(1), at(2.0));
-    let ask = other.ask_trial(neighbour, ServerKey(2), at(3.0)).unwrap();
-    let answer = book.ask(&ask, at(3.0));
+    let ask = other
+        .ask_trial(other_suspect, ServerKey(2), at(3.0))
+        .unwrap();
+    let answer = tracker.ask(&ask, at(3.0));
     assert_eq!(answer, TrialAnswer::ServerTaken);
     other.trial_answer(&ask, answer, at(3.0));
-    assert_eq!(other.trial_step(neighbour, at(3.0)), TrialStep::Ask);
+    assert_eq!(other.trial_step(other_suspect, at(3.0)), TrialStep::Ask);
 }
 
-/// The answer that grants a trial is lost on its way. Asking again under the
-/// same ticket must not be taken for a second trial.
+/// The answer that grants a trial is lost. A repeated request with the same ticket must
+/// not count as a second trial.
 #[test]
 fn a_repeated_request_for_a_trial_gets_the_same_answer() {
-    let mut book = TrialBook::default();
-    let mut table = bereaved(1);
-    let ask = granted(&mut table, &mut book, 2, at(3.0));
-    assert_eq!(book.ask(&ask, at(3.5)), TrialAnswer::Granted);
+    let mut tracker = TrialBook::default();
+    let mut table = table_after_one_death(1);
+    let ask = grant_trial(&mut table, &mut tracker, 2, at(3.0));
+    assert_eq!(tracker.ask(&ask, at(3.5)), TrialAnswer::Granted);
 }
 
-/// The caller gives up in the middle of a trial, and the server dies of it a
+/// The caller gives up in the middle of a trial, and the server dies of the request a
 /// moment later.
 #[test]
 fn a_server_that_dies_after_a_stopped_trial_counts() {
-    let mut book = TrialBook::default();
-    let mut table = bereaved(1);
-    let ask = granted(&mut table, &mut book, 2, at(3.0));
+    let mut tracker = TrialBook::default();
+    let mut table = table_after_one_death(1);
+    let ask = grant_trial(&mut table, &mut tracker, 2, at(3.0));
     table.trial_answer(&ask, TrialAnswer::Granted, at(3.0));
     assert!(table.start_trial(POISON, RunId(2), at(3.0)).is_some());
     table.end(POISON, RunId(2), RunEnd::Stopped, at(4.0));
@@ -121,11 +124,12 @@
     );
 }
 
-/// A daemon starts after the block, and another one a day later. The first must
-/// know of it, and the second find it lapsed, or callers are refused for good.
+/// A daemon starts after the block, and another one a day later. The first must learn
+/// of the block, and the second must find it expired, or callers would be refused
+/// forever.
 #[test]
-fn a_block_reaches_newcomers_and_lapses() {
-    let mut table = bereaved(1);
+fn a_block_reaches_new_daemons_and_expires() {
+    let mut table = table_after_one_death(1);
     table.begin(Fingerprint(7), RunId(5), ServerKey(9), at(2.5));
     let mut second = SuspectTable::new(Incarnation(3));
     second.begin(POISON, RunId(1), ServerKey(2), at(2.0));
@@ -136,45 +140,45 @@
         SuspectVerdict::Blocked(_)
     ));
 
-    let mut newcomer = SuspectTable::new(Incarnation(2));
-    newcomer.import(&table.export(at(4.0)), at(100.0));
-    let begun = newcomer.begin(POISON, RunId(1), ServerKey(3), at(100.0));
+    let mut new_daemon = SuspectTable::new(Incarnation(2));
+    new_daemon.import(&table.export(at(4.0)), at(100.0));
+    let begun = new_daemon.begin(POISON, RunId(1), ServerKey(3), at(100.0));
     assert!(matches!(begun, SuspectVerdict::Blocked(_)), "{begun:?}");
     let day = 24.0 * 3600.0;
     assert_eq!(
-        newcomer.verdict(POISON, at(day + 101.0)),
+        new_daemon.verdict(POISON, at(day + 101.0)),
         SuspectVerdict::Clear
     );
-    newcomer.poll(at(day + 101.0));
-    assert!(newcomer.export(at(day + 101.0)).is_empty());
+    new_daemon.poll(at(day + 101.0));
+    assert!(new_daemon.export(at(day + 101.0)).is_empty());
 }
 
-/// All daemons are lost at once, and with them all that they told each other.
-/// The request would be free to kill two servers more.
+/// All daemons are lost at once, and with them all that they reported to each other.
+/// The request could then kill two more servers.
 #[test]
 fn a_block_outlives_all_daemons_in_the_platform() {
-    let mut book = TrialBook::default();
-    let mut table = bereaved(1);
+    let mut tracker = TrialBook::default();
+    let mut table = table_after_one_death(1);
     assert!(table.take_blocks(at(2.0)).is_empty());
-    let ask = granted(&mut table, &mut book, 2, at(3.0));
+    let ask = grant_trial(&mut table, &mut tracker, 2, at(3.0));
     table.trial_answer(&ask, TrialAnswer::Granted, at(3.0));
     assert!(table.start_trial(POISON, RunId(2), at(3.0)).is_some());
     table.server_died(ServerKey(2), at(4.0));
-    let kept = table.take_blocks(at(4.0));
-    assert_eq!(kept.len(), 1);
+    let blocks = table.take_blocks(at(4.0));
+    assert_eq!(blocks.len(), 1);
     assert!(table.take_blocks(at(5.0)).is_empty());
 
-    let mut newcomer = SuspectTable::new(Incarnation(9));
-    newcomer.import(&kept, at(1.0));
-    let verdict = newcomer.verdict(POISON, at(1.0));
+    let mut new_daemon = SuspectTable::new(Incarnation(9));
+    new_daemon.import(&blocks, at(1.0));
+    let verdict = new_daemon.verdict(POISON, at(1.0));
     assert!(matches!(verdict, SuspectVerdict::Blocked(_)), "{verdict:?}");
 }
 
-/// Two daemons see the same death, ten seconds apart at most. Counted as two,
-/// it would block everything that ran twice on the dead server.
+/// Two daemons detect the same death, ten seconds apart at most. Counted as two deaths,
+/// it would block every request that ran twice on the dead server.
 #[test]
 fn one_death_seen_by_two_daemons_is_one_death() {
-    let mut table = bereaved(1);
+    let mut table = table_after_one_death(1);
     let mut other = SuspectTable::new(Incarnation(2));
     other.begin(POISON, RunId(1), ServerKey(1), at(1.5));
     other.server_died(ServerKey(1), at(6.0));
@@ -191,12 +195,12 @@
     ));
 }
 
-/// A copy of a suspect runs at a peer when the first server dies of it. It may
-/// kill a second server at any moment, and a trial begun now a third.
+/// A copy of a suspect runs at a peer when the first server dies of it. The copy may
+/// kill a second server at any moment, and a trial that starts now could kill a third.
 #[test]
 fn a_trial_waits_for_copies_that_run_at_peers() {
     let peer = DaemonId(7);
-    let mut tables = [bereaved(1), bereaved(1)];
+    let mut tables = [table_after_one_death(1), table_after_one_death(1)];
     for (finishes, table) in [true, false].into_iter().zip(&mut tables) {
         table.set_peers(&[peer]);
         let mut other = SuspectTable::new(Incarnation(2));
@@ -225,10 +229,10 @@
     ));
 }
 
-/// A caller whose request broke off sends it again to the next daemon. Told
-/// before the peers are, it would be faster than the warning.
+/// A caller whose request failed resends it to another daemon. If the caller got its
+/// answer before the peers are notified, the resend could arrive before the notice.
 #[test]
-fn a_caller_is_told_after_the_peers() {
+fn a_caller_is_answered_after_the_peers() {
     let peer = DaemonId(7);
     let mut table = SuspectTable::new(Incarnation(1));
     table.set_peers(&[peer]);
@@ -248,13 +252,13 @@
     );
 }
 
-/// The only server of a group comes back within a second, and dies in the trial
-/// again. Taken for the same death, the trial would be repeated for ever.
+/// The only server of a group restarts within a second, and dies again in the trial. If
+/// that counted as the same death, the trial would be repeated forever.
 #[test]
 fn a_server_that_came_back_for_the_trial_can_die_twice() {
-    let mut book = TrialBook::default();
-    let mut table = bereaved(1);
-    let ask = granted(&mut table, &mut book, 1, at(2.5));
+    let mut tracker = TrialBook::default();
+    let mut table = table_after_one_death(1);
+    let ask = grant_trial(&mut table, &mut tracker, 1, at(2.5));
     table.trial_answer(&ask, TrialAnswer::Granted, at(2.5));
     assert!(table.start_trial(POISON, RunId(2), at(2.5)).is_some());
     table.server_died(ServerKey(1), at(2.9));
@@ -263,33 +267,33 @@
         SuspectVerdict::Blocked(_)
     ));
     for settlement in table.take_settlements() {
-        book.settle(&settlement);
+        tracker.settle(&settlement);
     }
-    let mut other = bereaved(2);
+    let mut other = table_after_one_death(2);
     let ask = other.ask_trial(POISON, ServerKey(3), at(4.0)).unwrap();
     assert!(matches!(
-        book.ask(&ask, at(4.0)),
+        tracker.ask(&ask, at(4.0)),
         TrialAnswer::Blocked { .. }
     ));
 }
 
-/// Word of a death comes back to the daemon that saw it after half a minute on
-/// the way, looking like a later death.
+/// The report of a death comes back to the daemon that detected it after half a minute
+/// in transit, with a time that looks like a later death.
 #[test]
-fn a_death_is_known_again_after_a_detour() {
-    let mut table = bereaved(1);
+fn a_delayed_report_of_a_known_death_is_not_a_new_death() {
+    let mut table = table_after_one_death(1);
     let mut other = SuspectTable::new(Incarnation(2));
     other.import(&table.export(at(2.0)), at(32.0));
     table.import(&other.export(at(32.0)), at(32.0));
     assert_eq!(table.verdict(POISON, at(32.0)), SuspectVerdict::NeedsTrial);
 }
 
-/// The platform is out and no other daemon keeps trials. Without the record
-/// nobody knows who else tries the suspect, so it doesn't run; and the caller
-/// must not wait for an outage that may last for hours.
+/// The platform is unavailable and no other daemon keeps trials. Without the record it
+/// is unknown which daemons run the suspect, so it doesn't run; and the caller must not
+/// wait for the end of an outage that may last for hours.
 #[test]
-fn without_anybody_to_ask_there_is_no_trial() {
-    let mut table = bereaved(1);
+fn without_a_trial_record_there_is_no_trial() {
+    let mut table = table_after_one_death(1);
     let ask = table.ask_trial(POISON, ServerKey(2), at(3.0)).unwrap();
     assert_eq!(table.trial_step(POISON, at(3.0)), TrialStep::Wait);
     table.trial_answer(&ask, TrialAnswer::Unavailable, at(3.1));
--- a/crates/policy/tests/suspects_fleet.rs
+++ b/crates/policy/tests/suspects_fleet.rs
@@ -1,4 +1,4 @@
-//! The request that crashes servers, let loose on a small fleet on virtual time.
+//! Simulates a request that crashes servers in a small fleet, on virtual time.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 
 const POISON: Fingerprint = Fingerprint(1);
 const TICK: Duration = Duration::from_millis(5);
-const CRASHES_AFTER: Duration = Duration::from_millis(100);
-const RUNS_FOR: Duration = Duration::from_millis(400);
-const RESTARTS_AFTER: Duration = Duration::from_secs(5);
+const CRASH_DELAY: Duration = Duration::from_millis(100);
+const RUN_DURATION: Duration = Duration::from_millis(400);
+const RESTART_DELAY: Duration = Duration::from_secs(5);
 
-enum Mail {
+enum Message {
     Notice(usize, usize, SuspectNotice),
     Ack(usize, usize, NoticeAck),
     Ask(usize, TrialAsk),
@@ -38,23 +38,22 @@
     fingerprint: Fingerprint,
     daemon: usize,
     stage: Stage,
-    /// The servers that died while it ran on them.
-    struck: u32,
+    /// The number of servers that died while the request ran on them.
+    lost_servers: u32,
 }
 
-/// Daemons, servers and the platform's records, with messages that are late or
-/// lost.
+/// Daemons, servers and the platform's records, with messages that are delayed or lost.
 struct Fleet {
     rng: StdRng,
     now: Timestamp,
     tables: Vec<SuspectTable>,
     servers: ServerTable,
-    book: TrialBook,
+    tracker: TrialBook,
     down_until: Vec<Timestamp>,
     requests: Vec<Request>,
-    mail: Vec<(Timestamp, Mail)>,
+    in_transit: Vec<(Timestamp, Message)>,
     loss: f64,
-    /// A daemon that no peer can reach, and since when the peers know.
+    /// A daemon that no peer can reach.
     cut: Option<usize>,
     deaths: usize,
 }
@@ -78,10 +77,10 @@
                 .map(|it| SuspectTable::new(Incarnation(it)))
                 .collect(),
             servers: servers(),
-            book: TrialBook::default(),
+            tracker: TrialBook::default(),
             down_until: vec![Timestamp::ZERO; 12],
             requests: Vec::new(),
-            mail: Vec::new(),
+            in_transit: Vec::new(),
             loss,
             cut: None,
             deaths: 0,
@@ -103,55 +102,55 @@
             fingerprint,
             daemon,
             stage: Stage::New,
-            struck: 0,
+            lost_servers: 0,
         });
     }
 
-    fn post(&mut self, mail: Mail) {
-        let between = match &mail {
-            Mail::Notice(from, to, _) | Mail::Ack(from, to, _) => Some((*from, *to)),
+    fn send(&mut self, message: Message) {
+        let between = match &message {
+            Message::Notice(from, to, _) | Message::Ack(from, to, _) => Some((*from, *to)),
             _ => None,
         };
         let cut = between.is_some_and(|(a, b)| self.cut == Some(a) || self.cut == Some(b));
-        // A settlement is repeated until it is confirmed, so it is late at worst.
-        let can_be_lost = !matches!(mail, Mail::Death(..) | Mail::Settle(_));
+        // A settlement is repeated until it is confirmed, so it can only be delayed.
+        let can_be_lost = !matches!(message, Message::Death(..) | Message::Settle(_));
         if cut || (can_be_lost && self.rng.random_bool(self.loss)) {
             return;
         }
         let delay = Duration::from_millis(self.rng.random_range(0..100));
-        self.mail.push((self.now + delay, mail));
+        self.in_transit.push((self.now + delay, message));
     }
 
-    fn deliver(&mut self, mail: Mail) {
-        match mail {
-            Mail::Notice(from, to, notice) => {
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Notice(from, to, notice) => {
                 let ack = self.tables[to].note(&notice, self.now);
-                self.post(Mail::Ack(to, from, ack));
+                self.send(Message::Ack(to, from, ack));
             }
-            Mail::Ack(from, to, ack) => {
+            Message::Ack(from, to, ack) => {
                 self.tables[to].acknowledged(DaemonId(from as u32), &ack, self.now);
             }
-            Mail::Ask(from, ask) => {
-                let answer = self.book.ask(&ask, self.now);
-                self.post(Mail::Answer(from, ask, answer));
+            Message::Ask(from, ask) => {
+                let answer = self.tracker.ask(&ask, self.now);
+                self.send(Message::Answer(from, ask, answer));
             }
-            Mail::Answer(to, ask, answer) => {
+            Message::Answer(to, ask, answer) => {
                 self.tables[to].trial_answer(&ask, answer, self.now);
             }
-            Mail::Settle(settlement) => self.book.settle(&settlement),
-            Mail::Death(daemon, server) => {
+            Message::Settle(settlement) => self.tracker.settle(&settlement),
+            Message::Death(daemon, server) => {
                 for suspect in self.tables[daemon].server_died(server, self.now) {
                     let request = &mut self.requests[suspect.run.0 as usize];
                     request.stage = Stage::Retry;
-                    request.struck += 1;
+                    request.lost_servers += 1;
                 }
             }
         }
     }
 
-    /// The server that each daemon finds for a request without talking: the one
-    /// that its fingerprint belongs to, as if it were a prefix.
-    fn own_server(&mut self, fingerprint: Fingerprint) -> ServerKey {
+    /// Returns the server that each daemon chooses for a request without communication:
+    /// the one to which its fingerprint belongs if it is used as a prefix.
+    fn preferred_server(&mut self, fingerprint: Fingerprint) -> ServerKey {
         let down = (0..self.down_until.len()).filter(|&it| self.down_until[it] > self.now);
         let down: Vec<ServerId> = down.map(|it| ServerId(it as u32)).collect();
         let query = RouteQuery {
@@ -186,7 +185,7 @@
         let run = RunId(at as u64);
         let now = self.now;
         let server = match stage {
-            Stage::New => self.own_server(fingerprint),
+            Stage::New => self.preferred_server(fingerprint),
             _ => self.any_server(daemon),
         };
         let table = &mut self.tables[daemon];
@@ -206,7 +205,7 @@
                 },
                 TrialStep::Ask => {
                     if let Some(ask) = table.ask_trial(fingerprint, server, now) {
-                        self.post(Mail::Ask(daemon, ask));
+                        self.send(Message::Ask(daemon, ask));
                     }
                     Stage::Retry
                 }
@@ -216,8 +215,8 @@
             Stage::Running(server, since) => {
                 let ran = now.since(since);
                 let down = self.down_until[server.0 as usize] > now;
-                if down || (fingerprint == POISON && ran < CRASHES_AFTER) || ran < RUNS_FOR {
-                    if !down && fingerprint == POISON && ran >= CRASHES_AFTER {
+                if down || (fingerprint == POISON && ran < CRASH_DELAY) || ran < RUN_DURATION {
+                    if !down && fingerprint == POISON && ran >= CRASH_DELAY {
                         self.crash(server);
                     }
                     stage
@@ -233,9 +232,9 @@
 
     fn crash(&mut self, server: ServerKey) {
         self.deaths += 1;
-        self.down_until[server.0 as usize] = self.now + RESTARTS_AFTER;
+        self.down_until[server.0 as usize] = self.now + RESTART_DELAY;
         for daemon in 0..self.tables.len() {
-            self.post(Mail::Death(daemon, server));
+            self.send(Message::Death(daemon, server));
         }
     }
 
@@ -243,15 +242,18 @@
         self.now = self.now + TICK;
         let now = self.now;
         let mut due = Vec::new();
-        self.mail.retain_mut(|(at, mail)| {
-            let late = *at <= now;
-            if late {
-                due.push(std::mem::replace(mail, Mail::Death(0, ServerKey(u64::MAX))));
+        self.in_transit.retain_mut(|(at, message)| {
+            let due_now = *at <= now;
+            if due_now {
+                due.push(std::mem::replace(
+                    message,
+                    Message::Death(0, ServerKey(u64::MAX)),
+                ));
             }
-            !late
+            !due_now
         });
-        for mail in due {
-            self.deliver(mail);
+        for message in due {
+            self.deliver(message);
         }
         for at in 0..self.requests.len() {
             self.step_request(at);
@@ -259,20 +261,20 @@
         for daemon in 0..self.tables.len() {
             self.tables[daemon].poll(now);
             for (peer, notice) in self.tables[daemon].notices(now) {
-                self.post(Mail::Notice(daemon, peer.index(), notice));
+                self.send(Message::Notice(daemon, peer.index(), notice));
             }
             for settlement in self.tables[daemon].take_settlements() {
-                self.post(Mail::Settle(settlement));
+                self.send(Message::Settle(settlement));
             }
         }
     }
 
-    /// Innocent requests all the time, and after a moment the poison at one
-    /// daemon. Its caller sends it to every daemon at once whenever one of them
-    /// has told it of a failure, and doesn't wait.
+    /// Sends other requests all the time, and after a moment the poison request to one
+    /// daemon. If `resend` is set, its caller sends it to every daemon at once whenever
+    /// one of them has reported a failure, without a delay.
     fn run(&mut self, secs: u64, resend: bool) {
         let steps = secs * 200;
-        let mut told = 0;
+        let mut reported = 0;
         for step in 0..steps {
             if step % 10 == 0 && step + 1000 < steps {
                 let daemon = self.rng.random_range(0..self.tables.len());
@@ -281,10 +283,12 @@
             if step == 100 {
                 self.submit(POISON, 0);
             }
-            let poisons = self.requests.iter().filter(|it| it.fingerprint == POISON);
-            let refused = poisons.filter(|it| it.stage == Stage::Refused).count();
-            if resend && refused > told && step % 40 == 0 {
-                told = refused;
+            let poison_requests = self.requests.iter().filter(|it| it.fingerprint == POISON);
+            let refused = poison_requests
+                .filter(|it| it.stage == Stage::Refused)
+                .count();
+            if resend && refused > reported && step % 40 == 0 {
+                reported = refused;
                 for daemon in 0..self.tables.len() {
                     self.submit(POISON, daemon);
                 }
@@ -293,28 +297,32 @@
         }
     }
 
-    fn innocents(&self) -> impl Iterator<Item = &Request> {
+    fn other_requests(&self) -> impl Iterator<Item = &Request> {
         self.requests.iter().filter(|it| it.fingerprint != POISON)
     }
 }
 
-/// One request crashes each server that runs it. Its caller, told of the
-/// failure, sends it to all daemons at once, again and again, while messages
-/// between daemons are late or lost. Without the rules, server after server is
-/// lost, and with each of them everything that ran on it.
+/// One request crashes each server that runs it. Its caller gets failures and
+/// repeatedly resends it to all daemons at once, while messages between daemons are
+/// delayed or lost. Without the rules, server after server would be lost with all
+/// requests that run on it.
 #[test]
 fn one_request_costs_two_servers_at_most() {
     for seed in 0..40 {
         let mut fleet = Fleet::new(seed, 0.2);
         fleet.run(20, true);
         assert_eq!(fleet.deaths, 2, "seed {seed}");
-        for innocent in fleet.innocents() {
-            assert_eq!(innocent.stage, Stage::Finished, "seed {seed}: {innocent:?}");
+        for request in fleet.other_requests() {
+            assert_eq!(request.stage, Stage::Finished, "seed {seed}: {request:?}");
         }
-        let poisons = fleet.requests.iter().filter(|it| it.fingerprint == POISON);
-        let poisons: Vec<_> = poisons.collect();
-        assert!(poisons.len() > 50, "seed {seed}: {}", poisons.len());
-        let known = poisons[..poisons.len() - 5].iter();
+        let poison_requests = fleet.requests.iter().filter(|it| it.fingerprint == POISON);
+        let poison_requests: Vec<_> = poison_requests.collect();
+        assert!(
+            poison_requests.len() > 50,
+            "seed {seed}: {}",
+            poison_requests.len()
+        );
+        let known = poison_requests[..poison_requests.len() - 5].iter();
         assert!(
             known.clone().all(|it| it.stage == Stage::Refused),
             "seed {seed}"
@@ -322,8 +330,8 @@
     }
 }
 
-/// The caller sends the request four times to one daemon in the same moment,
-/// before any server has died of it.
+/// The caller sends the request four times to one daemon at the same time, before any
+/// server has died of it.
 #[test]
 fn copies_on_one_daemon_share_a_server() {
     let mut fleet = Fleet::new(1, 0.0);
@@ -334,8 +342,8 @@
     assert_eq!(fleet.deaths, 2);
 }
 
-/// The caller sends the request to every daemon of the zone in the same moment,
-/// before any server has died of it, so that no word could have been faster.
+/// The caller sends the request to every daemon of the zone at the same time, before
+/// any server has died of it, so that no notice could arrive earlier.
 #[test]
 fn copies_on_all_daemons_of_a_zone_share_a_server() {
     for seed in 0..20 {
@@ -345,16 +353,16 @@
         }
         fleet.run(20, true);
         assert!(fleet.deaths <= 2, "seed {seed}: {}", fleet.deaths);
-        for innocent in fleet.innocents() {
-            assert_eq!(innocent.stage, Stage::Finished, "seed {seed}: {innocent:?}");
+        for request in fleet.other_requests() {
+            assert_eq!(request.stage, Stage::Finished, "seed {seed}: {request:?}");
         }
     }
 }
 
-/// One daemon is cut off from its peers but not from callers, so nobody can
-/// tell it of the first death. It costs one server more and not a whole fleet.
-/// It can strike an innocent twice, by sending the request to the server on
-/// which the innocent has its trial; all others get their answers.
+/// One daemon is cut off from its peers but not from callers, so it doesn't learn of
+/// the first death. That costs one more server, but not the whole fleet. It can affect
+/// another request twice, by sending the poison request to the server on which that
+/// request has its trial; all other requests get their answers.
 #[test]
 fn a_daemon_cut_off_costs_one_server_more() {
     let mut struck_twice = 0;
@@ -364,13 +372,13 @@
         fleet.set_peers(Some(4));
         fleet.run(20, true);
         assert!(fleet.deaths <= 3, "seed {seed}: {}", fleet.deaths);
-        for innocent in fleet.innocents() {
-            let twice = innocent.stage == Stage::Refused && innocent.struck == 2;
+        for request in fleet.other_requests() {
+            let twice = request.stage == Stage::Refused && request.lost_servers == 2;
             struck_twice += u32::from(twice);
-            let finished = innocent.stage == Stage::Finished;
-            assert!(finished || twice, "seed {seed}: {innocent:?}");
+            let finished = request.stage == Stage::Finished;
+            assert!(finished || twice, "seed {seed}: {request:?}");
         }
     }
-    println!("innocents refused after two deaths: {struck_twice} of about 6000");
+    println!("other requests refused after two deaths: {struck_twice} of about 6000");
     assert!(struck_twice <= 2, "{struck_twice}");
 }
--- a/crates/policy/tests/urgency.rs
+++ b/crates/policy/tests/urgency.rs
@@ -1,4 +1,4 @@
-//! Urgency: telling people from programs that come through the same door.
+//! Tests of urgency: distinguishing people from programs that use the same API.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
     streaming: false,
 };
 
-/// Requests of one key at random moments, `rate` a second, each running for
-/// half a second. Returns how many of them ranked as a person's.
+/// Sends requests of one key at random times, `rate` a second, each running for half a
+/// second. Returns how many of them were ranked as a person's.
 fn send(table: &mut UrgencyTable, traits: CallTraits, rate: f64, from: u64, secs: u64) -> u32 {
     let mut rng = StdRng::seed_from_u64(from);
     let mut running: Vec<(Timestamp, Urgency)> = Vec::new();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_shop_full_of_people_keeps_its_rank() {
+fn a_key_used_by_many_people_keeps_its_rank() {
     let mut table = UrgencyTable::default();
     let ranked = send(&mut table, STREAM, 2.5, 1, 600);
     let sent = send(&mut UrgencyTable::default(), STREAM, 2.5, 1, 600);
@@ -51,9 +51,9 @@
     assert!(ranked > 1300, "{ranked} of about 1500");
 }
 
-/// A program sends a lot through the live door, fifty requests a second, since
-/// it is answered sooner there. Ranked as people's requests, they would wait in
-/// front of the people.
+/// A program sends bulk work through the live API, fifty requests a second, because it
+/// gets faster answers there. Ranked as people's requests, they would delay those of
+/// people.
 #[test]
 fn a_program_loses_its_rank_above_what_a_person_could_cause() {
     let mut table = UrgencyTable::default();
@@ -67,8 +67,8 @@
     assert!(at_once < 130 && later > 1300, "{at_once}, {later}");
 }
 
-/// A program and the people in a shop share one key. What the program
-/// does must not put the people behind.
+/// A program and the people in a shop share one key. The program's requests must not
+/// lower the rank of people's requests.
 #[test]
 fn streams_keep_their_rank_beside_a_program_without_streams() {
     let mut table = UrgencyTable::default();
@@ -88,7 +88,7 @@
 
 /// A key was used by a program in the morning and by people in the afternoon.
 #[test]
-fn habits_are_forgotten() {
+fn old_usage_is_forgotten() {
     let mut table = UrgencyTable::default();
     send(&mut table, STREAM, 50.0, 1, 60);
     let now = Timestamp::from_micros(2 * 3_600_000_000);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn many_at_a_time_are_no_persons() {
+fn many_concurrent_requests_do_not_rank_as_persons() {
     let mut table = UrgencyTable::default();
     let now = Timestamp::from_micros(1);
     let begun = (0..40).map(|_| table.begin(KEY, STREAM, now));
@@ -121,6 +121,6 @@
     assert_eq!((kept, table.habits()), (Urgency::Person, 1000));
     let full = table.memory();
     table.poll(Timestamp::from_micros(7_200_000_000));
-    assert_eq!(table.habits(), 1, "the one that has a request in flight");
+    assert_eq!(table.habits(), 1, "the key that has a request in flight");
     assert!(full < 200_000, "{full} bytes for 1000 keys");
 }
--- a/crates/policy/tests/usage_large.rs
+++ b/crates/policy/tests/usage_large.rs
@@ -1,4 +1,4 @@
-//! Customers' rates in a large fleet, where daemons speak at intervals only.
+//! Tests of customers' rates in a large fleet, where daemons report at intervals only.
 
 mod usage_window;
 
@@ -9,68 +9,71 @@
     usage::{CustomerLimit, PeerId, SpeakSchedule, UsageBook},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use usage_window::most_in_window;
+use usage_window::max_in_window;
 
 const DAEMONS: usize = 60;
 const CUSTOMER: u64 = 7;
 const RATE: f64 = 20.0;
 const BURST: f64 = 20.0;
-/// How often daemons speak.
+/// The interval of a daemon's reports.
 const INTERVAL: Duration = Duration::from_millis(750);
 const STEP: Duration = Duration::from_millis(10);
 
 struct LargeFleet {
-    books: Vec<UsageBook>,
+    trackers: Vec<UsageBook>,
     schedules: Vec<SpeakSchedule>,
-    /// Daemons of different groups don't hear each other.
+    /// The group of each daemon; daemons of different groups don't receive each other's
+    /// reports.
     groups: Vec<usize>,
     now: Timestamp,
     random: StdRng,
     admitted: Vec<Timestamp>,
     refused: usize,
-    /// Those of them for which the customer had a token, counted at one place.
+    /// The refused requests for which the customer had a token, by a central count.
     refused_wrongly: usize,
-    refused_by_doubt: usize,
+    refused_unconfirmed: usize,
     tokens: f64,
-    /// Whether a daemon asks the others before it refuses for what they may have let in.
-    asks_words: bool,
+    /// Whether a daemon requests reports of its peers before it refuses a request
+    /// because of usage that they may have admitted.
+    requests_reports: bool,
 }
 
 impl LargeFleet {
     fn new(seed: u64) -> Self {
         let now = Timestamp::from_micros(1_000_000);
         let ids: Vec<PeerId> = (0..DAEMONS).map(id).collect();
-        let books = (0..DAEMONS).map(|own| {
-            let mut book = UsageBook::new(now);
+        let trackers = (0..DAEMONS).map(|own| {
+            let mut tracker = UsageBook::new(now);
             let limit = CustomerLimit {
                 customer: CUSTOMER,
                 rate: RATE,
                 burst: BURST,
             };
-            book.set_limits(&[limit], now);
+            tracker.set_limits(&[limit], now);
             let others = ids.iter().copied().filter(|it| *it != id(own));
-            book.set_members(&others.collect::<Vec<_>>(), now);
-            book.set_interval(INTERVAL);
-            book
+            tracker.set_members(&others.collect::<Vec<_>>(), now);
+            tracker.set_interval(INTERVAL);
+            tracker
         });
         let mut fleet = LargeFleet {
-            books: books.collect(),
+            trackers: trackers.collect(),
             schedules: vec![SpeakSchedule::new(now); DAEMONS],
             groups: vec![0; DAEMONS],
             now,
             admitted: Vec::new(),
             refused: 0,
             refused_wrongly: 0,
-            refused_by_doubt: 0,
+            refused_unconfirmed: 0,
             tokens: BURST,
-            asks_words: false,
+            requests_reports: false,
             random: StdRng::seed_from_u64(seed + 1),
         };
         fleet.run(Duration::from_secs(4), |_| 0.0);
         fleet
     }
 
-    /// Lets time pass; the customer sends so many requests a second to all daemons.
+    /// Advances the simulation; the customer sends `rate` requests a second to all
+    /// daemons.
     fn run(&mut self, span: Duration, rate: impl Fn(f64) -> f64) {
         let begin = self.now;
         while self.now < begin + span {
@@ -81,29 +84,29 @@
             count += usize::from(self.random.random_bool(expected.fract()));
             for _ in 0..count {
                 let daemon = self.random.random_range(0..DAEMONS);
-                self.ask(daemon);
+                self.receive_request(daemon);
             }
             for daemon in 0..DAEMONS {
                 let is_due = self.schedules[daemon].is_due(self.now);
-                if is_due || self.books[daemon].is_tell_urgent(CUSTOMER) {
-                    self.tell(daemon);
+                if is_due || self.trackers[daemon].is_tell_urgent(CUSTOMER) {
+                    self.report_counts(daemon);
                 }
-                self.books[daemon].tick(self.now);
+                self.trackers[daemon].tick(self.now);
             }
         }
     }
 
-    fn ask(&mut self, daemon: usize) {
-        if self.asks_words && self.books[daemon].is_refused_by_doubt(CUSTOMER, self.now) {
-            for peer in self.books[daemon].doubted_peers(self.now) {
+    fn receive_request(&mut self, daemon: usize) {
+        if self.requests_reports && self.trackers[daemon].is_refused_by_doubt(CUSTOMER, self.now) {
+            for peer in self.trackers[daemon].doubted_peers(self.now) {
                 let peer = peer.0 as usize - 1;
                 if self.groups[peer] == self.groups[daemon] {
-                    let counts = self.books[peer].own_counts(self.now);
-                    self.books[daemon].hear(id(peer), 1, &counts, self.now);
+                    let counts = self.trackers[peer].own_counts(self.now);
+                    self.trackers[daemon].hear(id(peer), 1, &counts, self.now);
                 }
             }
         }
-        match self.books[daemon].admit(CUSTOMER, self.now) {
+        match self.trackers[daemon].admit(CUSTOMER, self.now) {
             Ok(()) => {
                 self.tokens -= 1.0;
                 self.admitted.push(self.now);
@@ -111,20 +114,20 @@
             Err(_) => {
                 self.refused += 1;
                 self.refused_wrongly += usize::from(self.tokens >= 1.0);
-                let is_doubt = self.books[daemon].is_refused_by_doubt(CUSTOMER, self.now);
-                self.refused_by_doubt += usize::from(is_doubt);
+                let is_unconfirmed = self.trackers[daemon].is_refused_by_doubt(CUSTOMER, self.now);
+                self.refused_unconfirmed += usize::from(is_unconfirmed);
             }
         }
     }
 
-    fn tell(&mut self, from: usize) {
-        // Word comes a little later than it should, as in a busy fleet.
-        let late = Duration::from_millis(self.random.random_range(0..100));
-        self.schedules[from].speak(INTERVAL + late, self.now, &mut self.random);
-        let counts = self.books[from].own_counts(self.now);
+    fn report_counts(&mut self, from: usize) {
+        // Reports are slightly delayed, as in a busy fleet.
+        let delay = Duration::from_millis(self.random.random_range(0..100));
+        self.schedules[from].speak(INTERVAL + delay, self.now, &mut self.random);
+        let counts = self.trackers[from].own_counts(self.now);
         for to in (0..DAEMONS).filter(|it| *it != from) {
             if self.groups[to] == self.groups[from] {
-                self.books[to].hear(id(from), 1, &counts, self.now);
+                self.trackers[to].hear(id(from), 1, &counts, self.now);
             }
         }
     }
@@ -134,84 +137,92 @@
     PeerId(daemon as u64 + 1)
 }
 
-/// Load in steps, less than the rate on average.
-fn steps(seconds: f64) -> f64 {
+/// Returns the requests a second of a load in steps, below the rate on average.
+fn load_in_steps(seconds: f64) -> f64 {
     let is_high = seconds % 5.8 >= 3.4;
     RATE / 1.6 * if is_high { 1.87 } else { 0.383 }
 }
 
-/// A customer stays within its rate on average and uses its burst at the height of
-/// each step. A part of the burst is left to daemons that spoke half an interval ago,
-/// which costs such a customer 3.1 of 100 requests; with little less of it the next
-/// test's customer would have up to 157 requests in a window for 152.
+/// A customer stays within its rate on average and uses its burst at the height of each
+/// step. A part of the burst is reserved for daemons whose last report is half an
+/// interval old, which costs such a customer 3.1 of 100 requests. With only a little
+/// less reserved, the customer of the next test would have up to 157 requests in a
+/// window for 152.
 #[test]
 fn a_customer_may_use_most_of_its_burst_in_a_large_fleet() {
     let mut refused = 0;
-    let mut asked = 0;
+    let mut sent = 0;
     for seed in 1..=40 {
         let mut fleet = LargeFleet::new(seed);
-        fleet.run(Duration::from_secs(29), steps);
+        fleet.run(Duration::from_secs(29), load_in_steps);
         refused += fleet.refused;
-        asked += fleet.refused + fleet.admitted.len();
+        sent += fleet.refused + fleet.admitted.len();
     }
-    assert!(refused * 25 <= asked, "{refused} of {asked} refused");
+    assert!(refused * 25 <= sent, "{refused} of {sent} refused");
 }
 
-/// All seeds of a customer that stays within its rate, at daemons that ask each other.
-fn asking_fleets() -> impl Iterator<Item = LargeFleet> {
+/// Simulates all seeds of a customer that stays within its rate, at daemons that
+/// request reports.
+fn fleets_that_request_reports() -> impl Iterator<Item = LargeFleet> {
     (1..=40).map(|seed| {
         let mut fleet = LargeFleet::new(seed);
-        fleet.asks_words = true;
-        fleet.run(Duration::from_secs(29), steps);
+        fleet.requests_reports = true;
+        fleet.run(Duration::from_secs(29), load_in_steps);
         fleet
     })
 }
 
-/// A customer that stays within its rate is refused for what daemons may have let in
-/// that would have said, had they been asked, that it was nothing.
+/// A customer that stays within its rate is refused because of usage that peers may
+/// have admitted, though a report of them would have shown that there was none.
 #[test]
-fn nobody_is_refused_for_what_a_word_would_have_settled() {
-    let refused: usize = asking_fleets().map(|it| it.refused_by_doubt).sum();
+fn no_customer_is_refused_for_usage_that_a_report_would_exclude() {
+    let refused: usize = fleets_that_request_reports()
+        .map(|it| it.refused_unconfirmed)
+        .sum();
     assert_eq!(refused, 0);
 }
 
-/// A customer that stays within its rate is refused though it has tokens left, for
-/// whatever reason.
+/// A customer that stays within its rate is refused though it has tokens left, for any
+/// reason.
 #[test]
 fn a_usual_customer_of_a_large_fleet_has_its_whole_rate() {
-    let (mut refused, mut asked) = (0, 0);
-    for fleet in asking_fleets() {
+    let (mut refused, mut sent) = (0, 0);
+    for fleet in fleets_that_request_reports() {
         refused += fleet.refused_wrongly;
-        asked += fleet.refused + fleet.admitted.len();
+        sent += fleet.refused + fleet.admitted.len();
     }
-    assert!(refused * 1_000 <= asked, "{refused} of {asked} refused");
+    assert!(refused * 1_000 <= sent, "{refused} of {sent} refused");
 }
 
 /// A zone with a third of the daemons is cut off at the moment at which a customer
-/// begins to send eight times its usual. Both sides know of a full bucket, and
-/// neither hears what the other lets in.
+/// starts to send eight times its typical load. Both sides start from a full bucket,
+/// and neither receives what the other admits.
 #[test]
 fn a_cut_and_a_hot_customer_stay_within_the_bound() {
     let bound = (RATE * 5.0 + BURST) * 1.1 + 20.0;
-    for (seed, asks_words) in (1..=40).flat_map(|it| [(it, false), (it, true)]) {
+    for (seed, requests_reports) in (1..=40).flat_map(|it| [(it, false), (it, true)]) {
         let mut fleet = LargeFleet::new(seed);
-        fleet.asks_words = asks_words;
-        fleet.run(Duration::from_secs(6), steps);
+        fleet.requests_reports = requests_reports;
+        fleet.run(Duration::from_secs(6), load_in_steps);
         for daemon in 0..DAEMONS / 3 {
             fleet.groups[daemon] = 1;
         }
         fleet.run(Duration::from_secs(10), |_| RATE / 1.6 * 8.0);
-        let most = most_in_window(&fleet.admitted);
-        assert!(most as f64 <= bound, "seed {seed}: {most} of {bound}");
+        let max_admitted = max_in_window(&fleet.admitted);
+        assert!(
+            max_admitted as f64 <= bound,
+            "seed {seed}: {max_admitted} of {bound}"
+        );
     }
 }
 
 /// A zone with a third of the daemons is cut off from the others for some seconds,
-/// while its customer sends as much as ever, well within its rate. Each side has its
-/// part of the rate. It isn't spread quite as the requests are: 5.6 of 100 are refused.
+/// while its customer sends its typical load, well within its rate. Each side has its
+/// share of the rate, which doesn't quite match the distribution of the requests: 5.6
+/// of 100 are refused.
 #[test]
-fn a_cut_costs_a_usual_customer_of_a_large_fleet_little() {
-    let (mut refused, mut asked) = (0, 0);
+fn a_cut_costs_a_typical_customer_of_a_large_fleet_little() {
+    let (mut refused, mut sent) = (0, 0);
     for seed in 1..=40 {
         let mut fleet = LargeFleet::new(seed);
         fleet.run(Duration::from_secs(6), |_| RATE * 0.6);
@@ -221,7 +232,7 @@
         let (admitted, before) = (fleet.admitted.len(), fleet.refused);
         fleet.run(Duration::from_secs(6), |_| RATE * 0.6);
         refused += fleet.refused - before;
-        asked += fleet.refused - before + fleet.admitted.len() - admitted;
+        sent += fleet.refused - before + fleet.admitted.len() - admitted;
     }
-    assert!(refused * 100 <= asked * 7, "{refused} of {asked} refused");
+    assert!(refused * 100 <= sent * 7, "{refused} of {sent} refused");
 }
--- a/crates/policy/tests/view_spread.rs
+++ b/crates/policy/tests/view_spread.rs
@@ -1,4 +1,5 @@
-//! How a change reaches the daemons of a zone of which one watches the store.
+//! Simulates how a change reaches the daemons of a zone in which one daemon watches the
+//! store.
 
 use std::time::Duration;
 
@@ -6,21 +7,21 @@
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 
 const DAEMONS: usize = 30;
-/// What a small VM's connection carries.
+/// The capacity of a small VM's connection.
 const LINK_BYTES_PER_S: f64 = 30e6 / 8.0;
-/// How long an ask waits for its answer.
+/// How long a query waits for its answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// How often a daemon looks whether others are ahead.
-const LOOK_INTERVAL: Duration = Duration::from_millis(300);
-/// A daemon far away hears of a change after up to so long.
-const HEARD_AFTER: Duration = Duration::from_millis(750);
+/// The interval at which a daemon checks whether others are ahead.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// The maximum delay after which other daemons know of a daemon's view.
+const MAX_REPORT_DELAY: Duration = Duration::from_millis(750);
 const STEP: Duration = Duration::from_millis(5);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_micros(millis * 1_000)
 }
 
-/// An answer on its way.
+/// An answer in transit.
 #[derive(Clone, Copy, Debug)]
 struct Transfer {
     source: usize,
@@ -29,22 +30,22 @@
 }
 
 #[derive(Debug)]
-struct Spreader {
+struct ZoneDaemon {
     budget: ShowBudget,
-    passed: PassedSources<usize>,
+    skipped: PassedSources<usize>,
     has_view_since: Option<Timestamp>,
-    /// Since when others can know of its view.
-    shown_from: Timestamp,
-    next_look: Timestamp,
+    /// The time from which other daemons know that it has the view.
+    published_at: Timestamp,
+    next_check: Timestamp,
     transfer: Option<Transfer>,
 }
 
-/// A zone in which daemon 0 has a new view of `bytes`, and the others ask for it.
+/// A zone in which daemon 0 has a new view of `bytes`, and the others request it.
 struct Zone {
-    daemons: Vec<Spreader>,
+    daemons: Vec<ZoneDaemon>,
     bytes: usize,
     random: StdRng,
-    /// Daemons that take a question and never answer.
+    /// Daemons that accept a query and never answer.
     hung: Vec<usize>,
     unanswered: usize,
 }
@@ -54,12 +55,12 @@
         let mut random = StdRng::seed_from_u64(seed);
         let mut daemons = Vec::new();
         for number in 0..DAEMONS {
-            daemons.push(Spreader {
+            daemons.push(ZoneDaemon {
                 budget: ShowBudget::default(),
-                passed: PassedSources::default(),
+                skipped: PassedSources::default(),
                 has_view_since: (number == 0).then_some(Timestamp::ZERO),
-                shown_from: Timestamp::ZERO,
-                next_look: at(random.random_range(0..300)),
+                published_at: Timestamp::ZERO,
+                next_check: at(random.random_range(0..300)),
                 transfer: None,
             });
         }
@@ -73,18 +74,18 @@
     }
 
     fn missing(&self) -> usize {
-        let has_none = |it: &&Spreader| it.has_view_since.is_none();
+        let has_none = |it: &&ZoneDaemon| it.has_view_since.is_none();
         self.daemons.iter().filter(has_none).count()
     }
 
-    /// Runs until all have the view, and returns how long that took.
-    fn spread(&mut self, limit: Duration) -> Option<Duration> {
+    /// Runs until all daemons have the view, and returns how long that took.
+    fn run_until_complete(&mut self, limit: Duration) -> Option<Duration> {
         let mut now = Timestamp::ZERO;
         while now.since(Timestamp::ZERO) < limit {
             now = now + STEP;
             self.send(now);
             for number in 1..DAEMONS {
-                self.look(number, now);
+                self.check_sources(number, now);
             }
             if self.missing() == 0 {
                 return Some(now.since(Timestamp::ZERO));
@@ -93,7 +94,7 @@
         None
     }
 
-    /// Each source's connection is shared evenly by its answers.
+    /// Shares the connection of each source evenly between its answers.
     fn send(&mut self, now: Timestamp) {
         let mut sharing = vec![0_usize; DAEMONS];
         for transfer in self.daemons.iter().filter_map(|it| it.transfer) {
@@ -108,33 +109,33 @@
             transfer.left -= if is_hung { 0.0 } else { share };
             self.daemons[number].transfer = Some(transfer);
             if transfer.left <= 0.0 {
-                let heard = HEARD_AFTER.mul_f64(self.random.random_range(0.0..1.0));
+                let delay = MAX_REPORT_DELAY.mul_f64(self.random.random_range(0.0..1.0));
                 let daemon = &mut self.daemons[number];
                 daemon.transfer = None;
                 daemon.has_view_since = Some(now);
-                daemon.shown_from = now + heard;
+                daemon.published_at = now + delay;
             } else if now >= transfer.until {
                 let daemon = &mut self.daemons[number];
                 daemon.transfer = None;
-                daemon.passed.note_silent(transfer.source, now);
-                daemon.next_look = now;
+                daemon.skipped.note_silent(transfer.source, now);
+                daemon.next_check = now;
                 self.unanswered += 1;
             }
         }
     }
 
-    fn look(&mut self, number: usize, now: Timestamp) {
+    fn check_sources(&mut self, number: usize, now: Timestamp) {
         let daemon = &self.daemons[number];
-        let is_waiting = daemon.transfer.is_some() || daemon.next_look > now;
+        let is_waiting = daemon.transfer.is_some() || daemon.next_check > now;
         if daemon.has_view_since.is_some() || is_waiting {
             return;
         }
         let sources: Vec<usize> = (0..DAEMONS)
             .filter(|it| self.daemons[*it].has_view_since.is_some())
-            .filter(|it| self.daemons[*it].shown_from <= now)
-            .filter(|it| !daemon.passed.is_passed(*it, now))
+            .filter(|it| self.daemons[*it].published_at <= now)
+            .filter(|it| !daemon.skipped.is_passed(*it, now))
             .collect();
-        self.daemons[number].next_look = now + LOOK_INTERVAL;
+        self.daemons[number].next_check = now + CHECK_INTERVAL;
         let Some(&source) = sources.choose(&mut self.random) else {
             return;
         };
@@ -148,62 +149,63 @@
         }
         let random = &mut self.random;
         let daemon = &mut self.daemons[number];
-        daemon.passed.note_busy(source, now, random);
-        daemon.next_look = now + Duration::from_millis(random.random_range(50..150));
+        daemon.skipped.note_busy(source, now, random);
+        daemon.next_check = now + Duration::from_millis(random.random_range(50..150));
     }
 }
 
-/// An operator adds thousands of routes, and all daemons of a zone ask the one that
-/// watches the store, over a connection of 30 Mbit/s. Shown to all of them at once, the
-/// settings arrive at none before it gives up, and all ask again together: the zone
-/// refuses callers of the new routes, and lets in withdrawn keys, until nothing is left
-/// to ask for.
+/// An operator adds thousands of routes, and all daemons of a zone request the settings
+/// from the one that watches the store, over a connection of 30 Mbit/s. If the settings
+/// were sent to all of them at once, they would arrive at none before its timeout, and
+/// all would retry together: the zone would refuse callers of the new routes, and
+/// accept withdrawn keys, indefinitely.
 #[test]
 fn large_settings_reach_a_whole_zone_within_two_seconds_and_a_half() {
     for seed in 1..=40 {
         let mut zone = Zone::new(700_000, seed);
-        let took = zone.spread(Duration::from_secs(30));
+        let duration = zone.run_until_complete(Duration::from_secs(30));
         let left = zone.missing();
         assert!(
-            took.is_some_and(|it| it < Duration::from_millis(2_500)),
-            "seed {seed}: took {took:?}, {left} never"
+            duration.is_some_and(|it| it < Duration::from_millis(2_500)),
+            "seed {seed}: took {duration:?}, {left} daemons without the view"
         );
-        assert_eq!(zone.unanswered, 0, "seed {seed}: asks without an answer");
+        assert_eq!(zone.unanswered, 0, "seed {seed}: queries without an answer");
     }
 }
 
-/// A view as long as the store's values may be still gets through.
+/// The longest view that the store's values allow still reaches all daemons.
 #[test]
 fn the_longest_settings_reach_a_whole_zone() {
     for seed in 1..=40 {
         let mut zone = Zone::new(1_400_000, seed);
-        let took = zone.spread(Duration::from_secs(30));
+        let duration = zone.run_until_complete(Duration::from_secs(30));
         assert!(
-            took.is_some_and(|it| it < Duration::from_millis(5_000)),
-            "seed {seed}: {took:?}"
+            duration.is_some_and(|it| it < Duration::from_millis(5_000)),
+            "seed {seed}: {duration:?}"
         );
     }
 }
 
-/// The daemon that watches is heard and says that it is ahead, but answers nothing:
-/// its process hangs. Those who asked it go to others that have the view.
+/// The daemon that watches reports that it is ahead but answers no queries, because its
+/// process hangs. The others fail over to daemons that have the view.
 #[test]
-fn a_source_that_never_answers_is_passed_over() {
+fn a_source_that_never_answers_is_skipped() {
     for seed in 1..=40 {
         let mut zone = Zone::new(60_000, seed);
         zone.daemons[1].has_view_since = Some(Timestamp::ZERO);
         zone.hung.push(0);
-        let took = zone.spread(Duration::from_secs(30));
+        let duration = zone.run_until_complete(Duration::from_secs(30));
         assert!(
-            took.is_some_and(|it| it < Duration::from_millis(2_500)),
-            "seed {seed}: {took:?}"
+            duration.is_some_and(|it| it < Duration::from_millis(2_500)),
+            "seed {seed}: {duration:?}"
         );
     }
 }
 
-/// All who could show a change are lost, or cut off from this zone. After a step one
-/// daemon asks the store in their place, and the others learn from it; were that to
-/// fail too, all have asked after six seconds. Each asks once.
+/// All daemons that could send a change are lost, or cut off from this zone. After a
+/// delay one daemon queries the store in their place, and the others get the change
+/// from it; if that fails too, all have queried the store after six seconds. Each
+/// queries it once.
 #[test]
 fn more_daemons_stand_in_the_longer_a_change_is_missing() {
     let mut lag = ViewLag::default();
@@ -215,12 +217,12 @@
     assert_eq!(lag.stand_ins(at(62_500)), 3);
     assert!(lag.stand_ins(at(66_100)) >= DAEMONS);
     lag.note(15, 15, at(66_200));
-    assert_eq!(lag.stand_ins(at(70_000)), 0, "it has arrived");
+    assert_eq!(lag.stand_ins(at(70_000)), 0, "the change has arrived");
 }
 
-/// Daemons come and go several times a second, and each change arrives half a second
-/// after others act by it. Nobody has to stand in, though something newer is missing
-/// at any moment.
+/// Daemons join and leave several times a second, and each change arrives half a second
+/// after other daemons apply it. No daemon has to query the store, though a newer
+/// change is missing at any time.
 #[test]
 fn changes_that_keep_arriving_need_nobody_to_stand_in() {
     let mut lag = ViewLag::default();
--- a/crates/policy/tests/waiting_tokens.rs
+++ b/crates/policy/tests/waiting_tokens.rs
@@ -1,5 +1,5 @@
-//! The bound on a customer's waiting tokens, over daemons that race, lose answers and
-//! write late.
+//! Tests the limit of a customer's waiting tokens, with daemons that race, lose answers
+//! and write late.
 
 use std::time::Duration;
 
@@ -10,51 +10,52 @@
 use proptest::{collection::vec, prelude::*};
 
 const DAEMONS: usize = 3;
-const BOUND: u64 = 100;
+const DEFAULT_LIMIT: u64 = 100;
 
-/// What happens next in a run.
+/// An event of a simulated run.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A daemon is handed a lot of so many tokens, which was handed in before if
-    /// `repeats` names one.
-    HandIn {
+    /// A lot of `tokens` is submitted to a daemon; `repeats` names an earlier lot that
+    /// is submitted again.
+    Submit {
         daemon: usize,
         tokens: u64,
         repeats: Option<usize>,
-        /// Its write takes effect later, if its condition holds then.
+        /// Its write takes effect later, if its condition still holds then.
         is_late: bool,
     },
-    /// The oldest late write arrives.
-    Land,
+    /// The oldest late write reaches the store.
+    DeliverLateWrite,
     /// A part of an open lot is finished, or all of it.
     Finish { lot: usize, tokens: u64 },
-    /// A daemon is restarted, and knows nothing.
+    /// A daemon is restarted and loses its copy of the ledger.
     Restart { daemon: usize },
-    /// An operator sets another bound.
-    SetBound { bound: u64 },
+    /// An operator sets another limit.
+    SetLimit { limit: u64 },
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let daemon = 0..DAEMONS;
     prop_oneof![
         6 => (daemon.clone(), 1..60_u64, prop::option::weighted(0.2, 0..8_usize), prop::bool::weighted(0.2))
-            .prop_map(|(daemon, tokens, repeats, is_late)| Event::HandIn { daemon, tokens, repeats, is_late }),
-        2 => Just(Event::Land),
+            .prop_map(|(daemon, tokens, repeats, is_late)| Event::Submit { daemon, tokens, repeats, is_late }),
+        2 => Just(Event::DeliverLateWrite),
         4 => (0..8_usize, 1..80_u64).prop_map(|(lot, tokens)| Event::Finish { lot, tokens }),
         1 => daemon.prop_map(|daemon| Event::Restart { daemon }),
-        1 => (20..200_u64).prop_map(|bound| Event::SetBound { bound }),
+        1 => (20..200_u64).prop_map(|limit| Event::SetLimit { limit }),
     ]
 }
 
-/// A write that holds if the ledger has the revision by which it was counted.
+/// A write that succeeds if the ledger still has the revision from which it was
+/// calculated.
 #[derive(Clone, Debug)]
 struct LedgerWrite {
-    counted_by: u64,
+    based_on: u64,
     ledger: TokenLedger,
     lot: WaitingLot,
 }
 
-/// The store: lots that were accepted, with what waits of each, and their ledger.
+/// The store: accepted lots with their waiting tokens, and the ledger of these tokens.
 #[derive(Debug, Default)]
 struct StoreModel {
     ledger: TokenLedger,
@@ -65,7 +66,7 @@
 impl StoreModel {
     fn write(&mut self, write: LedgerWrite) -> bool {
         let is_new = !self.lots.iter().any(|it| it.lot == write.lot.lot);
-        if write.counted_by != self.revision || !is_new {
+        if write.based_on != self.revision || !is_new {
             return false;
         }
         self.ledger = write.ledger;
@@ -99,33 +100,33 @@
         self.revision = Some(store.revision);
     }
 
-    /// Decides with the copy that it has, and with the open lots where it would refuse.
-    fn judge(&mut self, store: &StoreModel, lot: &WaitingLot, bound: u64) -> TokenVerdict {
+    /// Decides by the daemon's copy, and by the open lots where it would refuse.
+    fn judge(&mut self, store: &StoreModel, lot: &WaitingLot, limit: u64) -> TokenVerdict {
         if self.revision.is_none() {
             self.take(store);
         }
-        let verdict = self.ledger.judge(lot, bound);
+        let verdict = self.ledger.judge(lot, limit);
         let is_full = matches!(verdict, TokenVerdict::Full { .. });
-        if !is_full && !self.ledger.is_doubtful(bound) {
+        if !is_full && !self.ledger.is_doubtful(limit) {
             return verdict;
         }
-        self.known = self.ledger.compare(&store.open(), bound);
-        self.ledger.judge(lot, bound)
+        self.known = self.ledger.compare(&store.open(), limit);
+        self.ledger.judge(lot, limit)
     }
 }
 
-/// Hands a lot in at a daemon, which counts anew until it is decided. Returns whether it
-/// was refused.
-fn hand_in(
+/// Submits a lot to a daemon, which retries with a new copy until it is decided.
+/// Returns whether the lot was refused.
+fn submit(
     copy: &mut DaemonCopy,
     store: &mut StoreModel,
     late: &mut Vec<LedgerWrite>,
     lot: &WaitingLot,
-    bound: u64,
+    limit: u64,
     is_late: bool,
 ) -> bool {
     for _ in 0..8 {
-        match copy.judge(store, lot, bound) {
+        match copy.judge(store, lot, limit) {
             TokenVerdict::Fits => {}
             TokenVerdict::Known => return false,
             TokenVerdict::Full { .. } | TokenVerdict::NeverFits => {
@@ -135,7 +136,7 @@
         let mut ledger = copy.ledger.clone();
         ledger.add(lot.clone());
         let write = LedgerWrite {
-            counted_by: copy.revision.unwrap_or_default(),
+            based_on: copy.revision.unwrap_or_default(),
             ledger: ledger.clone(),
             lot: lot.clone(),
         };
@@ -154,44 +155,45 @@
             return false;
         }
     }
-    unreachable!("each try finds another ledger, though nobody else writes");
+    unreachable!("every attempt found a changed ledger without other writers");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Daemons that race, restart and write late let a customer have more than its
-    /// bound, or refuse it while there is room.
+    /// Daemons that race, restart and write late must neither let a customer exceed its
+    /// limit nor refuse it while there is capacity.
     #[test]
-    fn the_bound_holds_and_nobody_is_refused_below_it(events in vec(event(), 1..80)) {
+    fn the_limit_holds_and_nobody_is_refused_below_it(events in vec(event(), 1..80)) {
         let mut store = StoreModel::default();
         let mut copies: Vec<DaemonCopy> = (0..DAEMONS).map(|_| DaemonCopy::default()).collect();
         let mut late: Vec<LedgerWrite> = Vec::new();
-        let mut handed_in: Vec<WaitingLot> = Vec::new();
-        let mut bound = BOUND;
+        let mut submitted: Vec<WaitingLot> = Vec::new();
+        let mut limit = DEFAULT_LIMIT;
         for event in events {
             match event {
-                Event::HandIn { daemon, tokens, repeats, is_late } => {
-                    let new = WaitingLot { lot: format!("lot-{:04}", handed_in.len()), tokens };
-                    let lot = repeats.and_then(|it| handed_in.get(it).cloned()).unwrap_or(new.clone());
+                Event::Submit { daemon, tokens, repeats, is_late } => {
+                    let new = WaitingLot { lot: format!("lot-{:04}", submitted.len()), tokens };
+                    let lot = repeats.and_then(|it| submitted.get(it).cloned()).unwrap_or(new.clone());
                     if lot == new {
-                        handed_in.push(new);
+                        submitted.push(new);
                     }
                     let before = store.lots.len();
                     let copy = &mut copies[daemon];
-                    let is_refused = hand_in(copy, &mut store, &mut late, &lot, bound, is_late);
+                    let is_refused = submit(copy, &mut store, &mut late, &lot, limit, is_late);
                     let is_accepted = store.lots.len() > before;
                     if is_accepted {
-                        prop_assert!(store.waiting() <= bound, "{} of {bound}", store.waiting());
+                        prop_assert!(store.waiting() <= limit, "{} of {limit}", store.waiting());
                     }
                     if is_refused {
-                        let room = bound.saturating_sub(store.waiting());
-                        prop_assert!(lot.tokens > room, "{} refused with room for {room}", lot.tokens);
+                        let capacity = limit.saturating_sub(store.waiting());
+                        prop_assert!(lot.tokens > capacity, "{} refused with capacity for {capacity}", lot.tokens);
                     }
                 }
-                Event::Land => {
+                Event::DeliverLateWrite => {
                     if !late.is_empty() {
-                        // A bound that was lowered meanwhile binds only what is counted after it.
+                        // A limit that was lowered in the meantime applies only to lots
+                        // that are counted after it.
                         let write = late.remove(0);
                         store.write(write);
                     }
@@ -200,21 +202,21 @@
                     let open: Vec<usize> = (0..store.lots.len())
                         .filter(|it| store.lots[*it].tokens > 0)
                         .collect();
-                    if let Some(place) = open.get(lot % open.len().max(1)) {
-                        let left = &mut store.lots[*place].tokens;
+                    if let Some(index) = open.get(lot % open.len().max(1)) {
+                        let left = &mut store.lots[*index].tokens;
                         *left = left.saturating_sub(tokens);
                     }
                 }
                 Event::Restart { daemon } => copies[daemon] = DaemonCopy::default(),
-                Event::SetBound { bound: wanted } => bound = wanted,
+                Event::SetLimit { limit: wanted } => limit = wanted,
             }
         }
     }
 }
 
-/// Callers are told to come back long before, or long after, there is room.
+/// Callers get a retry time that is long before, or long after, there is capacity.
 #[test]
-fn room_is_foretold_by_how_fast_tokens_come_back() {
+fn capacity_is_forecast_by_the_rate_of_returned_tokens() {
     let lots = |tokens: [u64; 2]| -> Vec<WaitingLot> {
         let named = ["a", "b"].iter().zip(tokens).filter(|it| it.1 > 0);
         named
@@ -225,13 +227,13 @@
             .collect()
     };
     let mut pace = ReturnPace::default();
-    let longest = Duration::from_secs(18);
+    let max_wait = Duration::from_secs(18);
     let mut now = Timestamp::ZERO;
     for open in [[1_000, 800], [500, 800], [0, 800], [0, 300], [0, 0]] {
         pace.note(&lots(open), now);
         now = now + Duration::from_secs(1);
     }
-    assert_eq!(pace.room_in(1_000, longest), Duration::from_millis(2_500));
-    assert_eq!(pace.room_in(u64::MAX, longest), longest);
-    assert_eq!(pace.room_in(1, longest), Duration::from_millis(500));
+    assert_eq!(pace.room_in(1_000, max_wait), Duration::from_millis(2_500));
+    assert_eq!(pace.room_in(u64::MAX, max_wait), max_wait);
+    assert_eq!(pace.room_in(1, max_wait), Duration::from_millis(500));
 }
