--- a/crates/policy/tests/claims.rs
+++ b/crates/policy/tests/claims.rs
@@ -56,7 +56,7 @@
     );
 }
 
-/// The daemon with the claim is lost, and nobody knows whether it sent the call.
+/// The daemon with the claim is lost, and it is unknown whether it sent the call.
 /// Another daemon must neither send the call nor report that it didn't run.
 #[test]
 fn a_resend_after_the_claimant_was_lost_is_unknown() {
@@ -79,7 +79,7 @@
 }
 
 /// The write of a claim succeeds but its answer is lost. If the daemon took the record
-/// for another daemon's claim, it would refuse a call that nobody makes.
+/// for another daemon's claim, it would refuse a call that no daemon makes.
 #[test]
 fn an_own_claim_is_known_again_after_a_lost_answer() {
     let mut store = Store::default();
--- a/crates/policy/tests/copy_proof.rs
+++ b/crates/policy/tests/copy_proof.rs
@@ -115,8 +115,8 @@
 }
 
 /// The daemon that runs a lot reports three results but sends two: its copy was dropped
-/// and read again while the third result was written. However recent that read is,
-/// nobody may get the answer that there is no third result. The reported number is
+/// and read again while the third result was written. However recent that read is, no
+/// reader may get the answer that there is no third result. The reported number is
 /// always valid, because results are never removed.
 #[test]
 fn a_copy_with_fewer_results_than_reported_proves_nothing() {
--- a/crates/policy/tests/freshness.rs
+++ b/crates/policy/tests/freshness.rs
@@ -295,14 +295,14 @@
     let members: Vec<FleetMember> = (1..=8).map(|id| member(id, u64::from(id) * 50)).collect();
     plan.set_members(&members);
     let mut now = at(0);
-    let mut asked = Vec::new();
+    let mut queried = Vec::new();
     let revisions = [40, 60, 50, 30];
     for round in 0..5 {
         assert!(plan.should_follow(now));
         assert!(!plan.is_ready(), "ready after {round} answers");
         let peer = plan.next_ask(now, &mut rng).unwrap();
-        assert!(!asked.contains(&peer), "asked {peer:?} twice");
-        asked.push(peer);
+        assert!(!queried.contains(&peer), "queried {peer:?} twice");
+        queried.push(peer);
         match revisions.get(round) {
             Some(revision) => {
                 let old = offer(0, *revision, seconds(1800));
--- a/crates/policy/tests/rates_bus/mod.rs
+++ b/crates/policy/tests/rates_bus/mod.rs
@@ -576,9 +576,7 @@
 
     fn apply(&mut self, fault: Fault) {
         match fault {
-            Fault::Pause(daemon, duration) => {
-                self.members[daemon].paused_until = self.now + duration
-            }
+            Fault::Pause(daemon, micros) => self.members[daemon].paused_until = self.now + micros,
             Fault::Kill(daemon) => {
                 self.members[daemon].alive = false;
                 self.members[daemon].listed = false;
@@ -588,8 +586,8 @@
                 // Events of the former process are dropped by their incarnation.
                 self.members[daemon] = self.new_member(daemon);
             }
-            Fault::Cut(zone, duration) => self.cut_until[zone] = self.now + duration,
-            Fault::Outage(duration) => self.outage_until = self.now + duration,
+            Fault::Cut(zone, micros) => self.cut_until[zone] = self.now + micros,
+            Fault::Outage(micros) => self.outage_until = self.now + micros,
             Fault::Rates(rates) => {
                 self.rates = rates;
                 self.version += 1;
--- a/crates/policy/tests/routing_lists.rs
+++ b/crates/policy/tests/routing_lists.rs
@@ -28,8 +28,8 @@
 }
 
 /// A list from a lagging replica lacks two of four servers, one of which answers all
-/// the time. Dropping them at once would remove capacity that is still there; keeping
-/// them forever would send requests to machines that are long gone.
+/// the time. Dropping them at once would take half of the capacity away; keeping them
+/// forever would send requests to machines that are long gone.
 #[test]
 fn a_missing_server_is_kept_while_it_answers() {
     let mut table = table(4, 0);
--- a/crates/policy/tests/usage.rs
+++ b/crates/policy/tests/usage.rs
@@ -14,7 +14,7 @@
 const CUSTOMER: u64 = 7;
 const RATE: f64 = 90.0;
 const BURST: f64 = 90.0;
-/// The interval of the exchanges of counts between daemons.
+/// The delay of a message, and the interval at which daemons report.
 const DELAY: Duration = Duration::from_millis(40);
 const STEP: Duration = Duration::from_millis(10);
 
