--- a/crates/policy/examples/rate_refusals.rs
+++ b/crates/policy/examples/rate_refusals.rs
@@ -29,7 +29,7 @@
     Moving,
     /// Any daemon of one zone.
     OneZone,
-    /// One daemon: the whole burst at once, followed by an idle period.
+    /// One daemon: the whole burst at once after an idle period.
     Bursts,
 }
 
--- a/crates/policy/tests/claims.rs
+++ b/crates/policy/tests/claims.rs
@@ -99,7 +99,8 @@
 }
 
 /// The platform can't be reached. The call isn't made, the caller gets a refusal at
-/// once, and later calls are refused without another attempt to reach the platform.
+/// once, and calls shortly after it are refused without another attempt to reach the
+/// platform.
 #[test]
 fn without_the_platform_calls_are_refused_and_not_run() {
     let mut tracker = ClaimBook::new(Incarnation(1));
--- a/crates/policy/tests/placement_load.rs
+++ b/crates/policy/tests/placement_load.rs
@@ -24,7 +24,7 @@
 const LIVE_DURATION: Duration = Duration::from_millis(650);
 const ITEM_DURATION: Duration = Duration::from_millis(4_600);
 const MAX_LIVE_WAIT: Duration = Duration::from_millis(210);
-/// Mean live requests a second, which need 86 of 96 slots at the height of a step.
+/// Mean live requests a second. At the height of a step they need 86 of 96 slots.
 const LIVE_RATE: f64 = 71.0;
 
 #[derive(Clone, Copy)]
--- a/crates/policy/tests/usage_large.rs
+++ b/crates/policy/tests/usage_large.rs
@@ -146,8 +146,8 @@
 /// A customer stays within its rate on average and uses its burst at the height of each
 /// step. A part of the burst is reserved for daemons whose last report is half an
 /// interval old, which costs such a customer 3.1 of 100 requests. With only a little
-/// less reserved, the customer of the next test would have up to 157 requests in a
-/// window for 152.
+/// less reserved, the customer of `a_cut_and_a_hot_customer_stay_within_the_bound`
+/// would have up to 157 requests in a window for 152.
 #[test]
 fn a_customer_may_use_most_of_its_burst_in_a_large_fleet() {
     let mut refused = 0;
@@ -182,8 +182,8 @@
     assert_eq!(refused, 0);
 }
 
-/// A customer that stays within its rate is refused though it has tokens left, for any
-/// reason.
+/// A customer that stays within its rate is refused though it has tokens left, whatever
+/// the reason.
 #[test]
 fn a_usual_customer_of_a_large_fleet_has_its_whole_rate() {
     let (mut refused, mut sent) = (0, 0);
