--- a/crates/policy/benches/rate_ledger.rs
+++ b/crates/policy/benches/rate_ledger.rs
@@ -1,5 +1,5 @@
-//! What the rate ledger costs with 780 customers loaded: one admission from a
-//! slot held here, one token borrowed and answered, one tick.
+//! Benchmarks the rate ledger with 780 customers: admitting a request from a slot held
+//! by this daemon, borrowing one token from another daemon, and one tick.
 
 use std::{hint::black_box, time::Duration};
 
@@ -23,7 +23,8 @@
     rates
 }
 
-/// A ledger as in a zone of 51 daemons; `all` holds all slots of the zone.
+/// Returns the ledger of daemon `me` in a zone of 51 daemons. If `all` is given, that
+/// daemon holds all slots of the zone.
 fn ledger(me: u32, all: Option<u32>) -> (ShareLedger, Timestamp) {
     let start = Timestamp::from_micros(1_000_000);
     let timing = LedgerTiming::default();
@@ -47,10 +48,10 @@
 
 fn bench(criterion: &mut Criterion) {
     let customers: Vec<CustomerKey> = rates().iter().map(|rate| rate.customer).collect();
-    let (asker, now) = ledger(357, None);
+    let (slotless, now) = ledger(357, None);
     println!(
         "a ledger with 780 customers takes {} bytes",
-        asker.footprint()
+        slotless.footprint()
     );
 
     let (mut holder, _) = ledger(0, Some(0));
@@ -66,9 +67,9 @@
         });
     });
 
-    // Two milliseconds apart, so that each customer has less demand here than
-    // makes the asker borrow ahead.
-    let mut borrower = asker.clone();
+    // Requests are two milliseconds apart, so that each customer's demand at this
+    // daemon stays below the level at which the daemon borrows in advance.
+    let mut borrower = slotless.clone();
     let (mut holder, _) = ledger(0, Some(0));
     let mut number = 0;
     criterion.bench_function("borrow: ask, answer, spend", |bencher| {
@@ -82,7 +83,7 @@
             let customer = customers[number as usize % customers.len()];
             let decision = borrower.admit(black_box(customer), at);
             let Decision::Borrow { ask, attempt, .. } = decision else {
-                unreachable!("the asker has tokens");
+                unreachable!("the borrower already has tokens");
             };
             let answer = holder.handle_tokens(&ask, at);
             borrower.take(attempt, answer, at)
