--- a/crates/serving/tests/arrival_clock.rs
+++ b/crates/serving/tests/arrival_clock.rs
@@ -1,23 +1,32 @@
-//! When datagrams came in that are read late.
+//! Receive times of datagrams that are read late.
 
 use std::time::Duration;
 
 use comfreyramp_policy::Timestamp;
 use comfreyramp_serving::fleet::{ArrivalClock, QUIET_LOOK};
 
-/// A VM stands still for five seconds. The datagrams that wait for it then may have come
-/// in at any moment of them, and none of them tells how it is now.
+/// After a VM was paused for five seconds, the datagrams queued in that time may have
+/// arrived at any moment of it, so none of them shows the present state. They must be dated
+/// to the start of the pause, not to the moment of reading.
 #[test]
-fn what_waited_while_a_daemon_stood_still_is_old() {
-    let begin = Timestamp::from_micros(1_000_000);
-    let mut clock = ArrivalClock::new(begin);
-    let soon = begin + Duration::from_millis(30);
-    assert_eq!(clock.arrival(soon), soon, "it runs");
-    let awake = begin + Duration::from_secs(5);
-    let arrival = clock.arrival(awake);
-    assert_eq!(arrival, begin + QUIET_LOOK);
-    assert_eq!(clock.arrival(awake), arrival, "also the next one");
-    clock.note_quiet(awake);
-    let fresh = awake + Duration::from_millis(20);
+fn datagrams_queued_while_a_daemon_was_paused_are_old() {
+    let start = Timestamp::from_micros(1_000_000);
+    let mut clock = ArrivalClock::new(start);
+    let running = start + Duration::from_millis(30);
+    assert_eq!(
+        clock.arrival(running),
+        running,
+        "a running daemon reads at once"
+    );
+    let resumed = start + Duration::from_secs(5);
+    let arrival = clock.arrival(resumed);
+    assert_eq!(arrival, start + QUIET_LOOK);
+    assert_eq!(
+        clock.arrival(resumed),
+        arrival,
+        "also the next queued datagram"
+    );
+    clock.note_quiet(resumed);
+    let fresh = resumed + Duration::from_millis(20);
     assert_eq!(clock.arrival(fresh), fresh);
 }
--- a/crates/serving/tests/connection_pool.rs
+++ b/crates/serving/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Which connections to servers are used again.
+//! Which idle connections to backend servers are reused.
 
 #![allow(clippy::unwrap_used, reason = "a test ends where something is missing")]
 
@@ -15,9 +15,10 @@
     task::LocalSet,
 };
 
-const BEGIN: Timestamp = Timestamp::from_micros(1_000_000);
+const START: Timestamp = Timestamp::from_micros(1_000_000);
 
-/// A server that answers each request on any connection, and keeps them for 5 s.
+/// Starts a server that answers each request on every connection and keeps idle connections
+/// for 5 s.
 async fn start_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -27,8 +28,8 @@
             tokio::task::spawn_local(async move {
                 let mut request = [0; 1_024];
                 while stream.read(&mut request).await.is_ok_and(|it| it > 0) {
-                    let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-                    stream.write_all(answer).await.unwrap();
+                    let response = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
+                    stream.write_all(response).await.unwrap();
                 }
             });
         }
@@ -36,43 +37,43 @@
     address
 }
 
-/// Makes a call over a connection that hasn't been idle for longer than
-/// `longest_idle`, and returns whether it had carried another one.
-async fn call(
+/// Sends a request over a connection that hasn't been idle for longer than `max_idle`,
+/// and returns whether the connection was reused.
+async fn send_request(
     pool: &ConnectionPool,
     address: SocketAddr,
-    longest_idle: Duration,
+    max_idle: Duration,
     now: Timestamp,
 ) -> bool {
-    let mut connection = pool.connect(address, longest_idle, now).await.unwrap();
+    let mut connection = pool.connect(address, max_idle, now).await.unwrap();
     let request = Request::get("/").header("host", "fleet.example");
     let request = request.body(Full::new(Bytes::new())).unwrap();
-    let answer = connection.send(request).await.unwrap();
-    answer.into_body().collect().await.unwrap();
-    // The connection is ready again a moment after its answer was read.
+    let response = connection.send(request).await.unwrap();
+    response.into_body().collect().await.unwrap();
+    // The connection becomes reusable a moment after its response was read.
     tokio::time::sleep(Duration::from_millis(20)).await;
     let is_reused = connection.is_reused();
     pool.put_back(connection, Some(Duration::from_secs(5)), now);
     is_reused
 }
 
-/// A zone is cut off while connections to its servers are idle. An item that is sent
-/// over one of them is held up for as long as nobody notices, and may reach its server
-/// when the cut heals, seconds after the customer ended its lot. So an item opens a
-/// new connection where the idle ones weren't in use a moment ago.
+/// A zone is cut off while connections to its servers are idle. An item sent over one of
+/// them stalls until the cut is noticed, and may reach its server when the network
+/// recovers, seconds after the customer ended its lot. An item must therefore open a new
+/// connection unless an idle one was in use a moment ago.
 #[tokio::test]
 async fn an_item_is_not_sent_over_a_connection_that_was_idle_for_long() {
     let local = LocalSet::new();
     let test = async {
         let address = start_server().await;
         let pool = ConnectionPool::default();
-        let longest_idle = Duration::from_secs(1);
-        let at = |millis: u64| BEGIN + Duration::from_millis(millis);
-        assert!(!call(&pool, address, longest_idle, at(0)).await);
-        assert!(call(&pool, address, longest_idle, at(900)).await);
-        assert!(!call(&pool, address, longest_idle, at(2_500)).await);
-        // A live request may use what the server still keeps.
-        assert!(call(&pool, address, Duration::from_secs(60), at(4_500)).await);
+        let max_idle = Duration::from_secs(1);
+        let at = |millis: u64| START + Duration::from_millis(millis);
+        assert!(!send_request(&pool, address, max_idle, at(0)).await);
+        assert!(send_request(&pool, address, max_idle, at(900)).await);
+        assert!(!send_request(&pool, address, max_idle, at(2_500)).await);
+        // A live request may reuse any connection that the server still keeps open.
+        assert!(send_request(&pool, address, Duration::from_secs(60), at(4_500)).await);
     };
     local.run_until(test).await;
 }
--- a/crates/serving/tests/follow_store.rs
+++ b/crates/serving/tests/follow_store.rs
@@ -1,4 +1,4 @@
-//! Who follows the store, when that changes hands.
+//! Watching the store when the zone's watching daemon changes.
 
 #![allow(clippy::unwrap_used, reason = "tests end where something is missing")]
 
@@ -22,96 +22,102 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// A store in which nothing changes, and that counts its lists.
+/// A store in which nothing changes. It counts the list requests.
 #[derive(Clone, Debug, Default)]
-struct QuietStore {
-    lists: Arc<AtomicUsize>,
+struct UnchangingStore {
+    list_count: Arc<AtomicUsize>,
 }
 
 #[derive(Debug)]
-struct QuietWatch;
+struct UnchangingWatch;
 
-impl WatchStream for QuietWatch {
+impl WatchStream for UnchangingWatch {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
         tokio::time::sleep(Duration::from_millis(50)).await;
         Ok(WatchBatch::default())
     }
 }
 
-fn unused<T>() -> Result<T, StoreError> {
-    Err(StoreError::Rejected("not used here".to_owned()))
+fn unimplemented_call<T>() -> Result<T, StoreError> {
+    Err(StoreError::Rejected(
+        "not implemented by this test's store".to_owned(),
+    ))
 }
 
-impl PlatformStore for QuietStore {
-    type Watch = QuietWatch;
+impl PlatformStore for UnchangingStore {
+    type Watch = UnchangingWatch;
 
     async fn range(&self, _: KeyRange, _: usize) -> Result<RangeAnswer, StoreError> {
-        self.lists.fetch_add(1, Ordering::SeqCst);
+        self.list_count.fetch_add(1, Ordering::SeqCst);
         Ok(RangeAnswer::default())
     }
 
     async fn transact(&self, _: WriteBatch) -> Result<TransactionAnswer, StoreError> {
-        unused()
+        unimplemented_call()
     }
 
     async fn grant(&self, _: Duration) -> Result<LeaseId, StoreError> {
-        unused()
+        unimplemented_call()
     }
 
     async fn renew(&self, _: LeaseId) -> Result<Duration, StoreError> {
-        unused()
+        unimplemented_call()
     }
 
     async fn revoke(&self, _: LeaseId) -> Result<(), StoreError> {
-        unused()
+        unimplemented_call()
     }
 
-    async fn watch(&self, _: KeyRange, _: Revision) -> Result<QuietWatch, StoreError> {
-        Ok(QuietWatch)
+    async fn watch(&self, _: KeyRange, _: Revision) -> Result<UnchangingWatch, StoreError> {
+        Ok(UnchangingWatch)
     }
 }
 
-/// In a large fleet most daemons stop watching once they have heard who does. The one
-/// that watches for their zone is lost. Whoever comes next has to take over, or the zone
-/// goes on with what it has, for as long as it lives.
+/// In a large fleet most daemons stop watching the store once a peer of their zone does it.
+/// If that peer is lost, its successor has to start watching again; otherwise the zone
+/// keeps its outdated data for as long as the successor runs.
 #[tokio::test]
-async fn a_daemon_that_stepped_back_watches_again_when_it_has_to() {
-    let store = QuietStore::default();
+async fn a_daemon_that_stopped_watching_resumes_when_it_is_the_watcher() {
+    let store = UnchangingStore::default();
     let stop = CancellationToken::new();
     let is_watcher = Rc::new(Cell::new(false));
-    let news = Rc::new(Cell::new(0));
-    let (asked, told) = (is_watcher.clone(), news.clone());
-    let sink = move |_: FollowNews| told.set(told.get() + 1);
+    let update_count = Rc::new(Cell::new(0));
+    let (watcher_flag, update_counter) = (is_watcher.clone(), update_count.clone());
+    let sink = move |_: FollowNews| update_counter.set(update_counter.get() + 1);
     let followed = FollowedStore {
         store: store.clone(),
         contact: ContactDesk::new(BootClock::default()),
     };
-    let following = follow_store(
+    let follower = follow_store(
         followed,
         "prefix",
         sink,
-        move || asked.get(),
+        move || watcher_flag.get(),
         Duration::ZERO,
         stop.clone(),
     );
-    let turns = async {
+    let test = async {
         tokio::time::sleep(Duration::from_millis(700)).await;
         assert_eq!(
-            store.lists.load(Ordering::SeqCst),
+            store.list_count.load(Ordering::SeqCst),
             1,
-            "it knows all, and steps back"
+            "after one list it stops watching"
         );
-        for turn in 2..4 {
+        for expected_lists in 2..4 {
             is_watcher.set(true);
             tokio::time::sleep(Duration::from_millis(1_000)).await;
-            assert_eq!(store.lists.load(Ordering::SeqCst), turn, "it takes over");
-            let before = news.get();
+            assert_eq!(
+                store.list_count.load(Ordering::SeqCst),
+                expected_lists,
+                "it lists again to take over"
+            );
+            let updates_before = update_count.get();
             tokio::time::sleep(Duration::from_millis(500)).await;
-            assert!(news.get() > before, "it goes on watching");
+            assert!(update_count.get() > updates_before, "it keeps watching");
             is_watcher.set(false);
             tokio::time::sleep(Duration::from_millis(300)).await;
         }
         stop.cancel();
     };
-    tokio::join!(following, turns);
+    tokio::join!(follower, test);
 }
--- a/crates/serving/tests/lot_cache.rs
+++ b/crates/serving/tests/lot_cache.rs
@@ -1,4 +1,4 @@
-//! What a daemon keeps of lots that it read or wrote.
+//! A daemon's cached copies of the lots that it read or wrote.
 
 #![allow(
     clippy::unwrap_used,
@@ -32,7 +32,7 @@
     pair(lot, "head", &head)
 }
 
-/// The store's record of a group of results.
+/// Returns the store's record of a group of results.
 fn group(number: usize, results: &[ItemResult]) -> KeyValue {
     let results = serde_json::to_value(results).unwrap();
     pair(LOT, &format!("results/{number:05}"), &results)
@@ -47,11 +47,11 @@
 }
 
 fn ids(cache: &LotCache) -> Vec<String> {
-    let known = cache.get(LOT).unwrap();
-    known.results.iter().map(|it| it.id.clone()).collect()
+    let lot = cache.get(LOT).unwrap();
+    lot.results.iter().map(|it| it.id.clone()).collect()
 }
 
-/// A cache that has read a lot with the results of one group.
+/// Returns a cache that has read a lot with one group of results.
 fn with_one_group() -> LotCache {
     let pairs = [head(LOT), group(0, &[result("a"), result("b")])];
     let mut cache = LotCache::default();
@@ -60,11 +60,12 @@
     cache
 }
 
-/// A daemon writes results and the answer is late. Meanwhile somebody who reads the lot
-/// there brings them from the store. When the answer comes, they must not be taken in
-/// again: a caller would find an item at two positions, and more results than items.
+/// A daemon writes results, and the store's answer is late. Meanwhile a reader of the lot
+/// at this daemon loads the same results from the store. When the answer arrives, they must
+/// not be added again: a caller would find an item at two positions, and more results than
+/// items.
 #[test]
-fn results_that_were_read_before_their_write_was_answered_stand_once() {
+fn results_that_were_read_before_their_write_was_answered_are_kept_once() {
     let mut cache = with_one_group();
     let now = Timestamp::ZERO;
     let second = vec![result("c"), result("d")];
@@ -73,11 +74,12 @@
     assert_eq!(ids(&cache), ["a", "b", "c", "d"]);
 }
 
-/// A daemon's copy of a lot was dropped for want of memory and read anew by a call that
-/// came back before the last write took effect. Results that don't follow on what is
-/// known would stand at the positions of those in between.
+/// A daemon's copy of a lot was evicted for lack of memory and loaded again by a request
+/// that was answered before the last write took effect. Results that don't continue the
+/// copy must not be appended: they would take the positions of the missing results in
+/// between.
 #[test]
-fn results_that_do_not_follow_on_a_copy_are_left_out() {
+fn results_that_do_not_continue_a_copy_are_left_out() {
     let mut cache = with_one_group();
     let now = Timestamp::ZERO;
     cache.add_results(LOT, 2, vec![result("d")], now);
@@ -86,37 +88,40 @@
     assert_eq!(ids(&cache), ["a", "b", "c"]);
 }
 
-/// Two readers ask for a lot at the same time. The first has brought a copy of it, so
-/// that the second asks the store only for what lies behind that; before the answer is
-/// there many other lots are read, and the copy is dropped. The answer has no head, and
-/// the second reader must not be told that there is no such lot.
+/// Two readers request a lot at the same time. The first one loads a copy, so the second
+/// requests only the keys after it from the store. Before its answer arrives, many other
+/// lots are read and the copy is evicted. The answer contains no head, but the second
+/// reader must not be told that the lot doesn't exist.
 #[test]
-fn what_lies_behind_a_dropped_copy_does_not_say_that_there_is_no_lot() {
+fn a_partial_answer_after_an_eviction_does_not_say_that_the_lot_is_missing() {
     let mut cache = LotCache::default();
     let now = Timestamp::ZERO;
-    let is_known = cache.take("lot-0", &[head("lot-0")], now, now);
-    assert!(is_known.unwrap());
-    assert!(cache.last_key("lot-0").is_some(), "asked behind this");
+    let is_complete = cache.take("lot-0", &[head("lot-0")], now, now);
+    assert!(is_complete.unwrap());
+    assert!(
+        cache.last_key("lot-0").is_some(),
+        "the next request starts after this key"
+    );
     for number in 1..=64 {
         let lot = format!("lot-{number}");
         let later = now + std::time::Duration::from_millis(number);
         cache.take(&lot, &[head(&lot)], later, later).unwrap();
     }
-    let is_known = cache.take("lot-0", &[], now, now).unwrap();
-    assert!(!is_known, "it has to be read anew");
-    assert!(cache.last_key("lot-0").is_none(), "from its beginning");
+    let is_complete = cache.take("lot-0", &[], now, now).unwrap();
+    assert!(!is_complete, "the lot has to be read again");
+    assert!(cache.last_key("lot-0").is_none(), "from its first key");
     assert!(cache.take("lot-0", &[head("lot-0")], now, now).unwrap());
 }
 
-/// The same, but a third reader whose question is older has made the copy anew by then,
-/// from what the store held at that time. The answer to the second begins behind what
-/// this one lacks, and its results would stand at the positions of others.
+/// As above, but a third reader with an older request has restored the copy by then, from
+/// an earlier state of the store. The answer to the second reader starts after results that
+/// this copy lacks, and its results would take their positions.
 #[test]
-fn what_does_not_follow_on_a_copy_is_no_part_of_it() {
+fn results_after_a_gap_are_not_added_to_a_copy() {
     let mut cache = with_one_group();
     let now = Timestamp::ZERO;
-    let follows = cache.take(LOT, &[group(2, &[result("d")])], now, now);
-    assert!(!follows.unwrap(), "it has to be read anew");
+    let continues_copy = cache.take(LOT, &[group(2, &[result("d")])], now, now);
+    assert!(!continues_copy.unwrap(), "the lot has to be read again");
     assert_eq!(ids(&cache), ["a", "b"]);
     let whole = [
         group(0, &[result("a"), result("b")]),
--- a/crates/serving/tests/lot_notices.rs
+++ b/crates/serving/tests/lot_notices.rs
@@ -1,4 +1,4 @@
-//! What daemons repeat of lots, and for how long.
+//! How long daemons repeat notices about lots to their peers.
 
 use std::time::Duration;
 
@@ -10,38 +10,39 @@
     LotNotice::Ended("lot-1".to_owned())
 }
 
-/// A customer ends a lot while the daemon that runs it is cut off for less time than
-/// its lease holds. When it is back it still has the claim, and nothing but a word of
-/// the others tells it to stop: otherwise items of the lot go on being started, and
-/// the customer pays for what it has ended.
+/// A customer ends a lot while the daemon that runs it is cut off for less time than its
+/// lease lasts. That daemon still holds the claim afterwards, and only a notice from its
+/// peers tells it to stop. Without one it would keep starting items, and the customer would
+/// pay for a lot that it has ended.
 #[test]
-fn the_end_of_a_lot_is_told_for_longer_than_a_claim_outlives_a_cut() {
-    let begin = Timestamp::from_micros(1_000_000);
+fn the_end_of_a_lot_is_repeated_for_longer_than_a_claim_survives_a_cut() {
+    let start = Timestamp::from_micros(1_000_000);
     let mut notices = LotNotices::default();
-    notices.tell(ended(), begin);
-    let (told, _) = notices.current(None, begin + Duration::from_secs(10));
-    assert_eq!(told, vec![ended()]);
-    let (told, _) = notices.current(None, begin + Duration::from_secs(20));
-    assert_eq!(told, vec![], "it isn't repeated for ever");
+    notices.tell(ended(), start);
+    let (reported, _) = notices.current(None, start + Duration::from_secs(10));
+    assert_eq!(reported, vec![ended()]);
+    let (reported, _) = notices.current(None, start + Duration::from_secs(20));
+    assert_eq!(reported, vec![], "the notice expires");
 }
 
-/// An accepted lot is claimed within moments or found by the next list; told for as
-/// long as an end, it would take up each message of a fleet that accepts many.
+/// An accepted lot is claimed within moments or found by the next listing. If its notice
+/// were repeated for as long as the notice of an end, it would fill every message of a
+/// fleet that accepts many lots.
 #[test]
-fn an_accepted_lot_is_told_for_a_moment() {
-    let begin = Timestamp::from_micros(1_000_000);
+fn an_accepted_lot_is_repeated_for_a_moment() {
+    let start = Timestamp::from_micros(1_000_000);
     let mut notices = LotNotices::default();
-    notices.tell(LotNotice::Accepted("lot-1".to_owned()), begin);
-    let (told, _) = notices.current(None, begin + Duration::from_secs(2));
-    assert_eq!(told.len(), 1);
-    let (told, _) = notices.current(None, begin + Duration::from_secs(4));
-    assert_eq!(told, vec![]);
+    notices.tell(LotNotice::Accepted("lot-1".to_owned()), start);
+    let (reported, _) = notices.current(None, start + Duration::from_secs(2));
+    assert_eq!(reported.len(), 1);
+    let (reported, _) = notices.current(None, start + Duration::from_secs(4));
+    assert_eq!(reported, vec![]);
 }
 
 const LEASE: LeaseId = LeaseId(7);
 
-/// A daemon that runs a lot, as it says so at `now` while it holds `lease`.
-fn told_stage(basis: ClaimBasis, lease: Option<LeaseId>, now: Timestamp) -> LotStage {
+/// Returns the stage that a daemon running a lot reports at `now` while it holds `lease`.
+fn reported_stage(basis: ClaimBasis, lease: Option<LeaseId>, now: Timestamp) -> LotStage {
     let mut notices = LotNotices::default();
     let progress = LotProgress {
         lot: "lot-1".to_owned(),
@@ -49,54 +50,62 @@
         stage: LotStage::Held,
     };
     notices.tell_progress(progress, basis, Timestamp::ZERO);
-    let (_, told) = notices.current(lease, now);
+    let (_, reported) = notices.current(lease, now);
     assert_eq!(
         notices.vouched_results("lot-1", lease, now),
-        (told[0].stage == LotStage::Held).then_some(3),
-        "what is told and what is shown agree"
+        (reported[0].stage == LotStage::Held).then_some(3),
+        "the report and the confirmed results agree"
     );
-    told[0].stage
+    reported[0].stage
 }
 
-/// A VM stands still for longer than its lease, or the store turns it away. Another
-/// daemon takes its lot over and writes results. The first one is heard again, and
-/// what it says there is would be taken for all.
+/// A VM is paused for longer than its lease, or the store rejects its requests. Another
+/// daemon takes over its lot and writes results. When the first daemon is heard again, its
+/// outdated report must not be taken as complete.
 #[test]
-fn a_daemon_whose_claim_may_be_gone_speaks_for_no_lot() {
+fn a_daemon_whose_claim_may_be_gone_confirms_no_results() {
     let now = Timestamp::from_micros(9_000_000);
     let basis = ClaimBasis {
         lease: Some(LEASE),
         undecided_since: None,
     };
-    assert_eq!(told_stage(basis, Some(LEASE), now), LotStage::Held);
-    assert_eq!(told_stage(basis, None, now), LotStage::Unsure, "lapsed");
+    assert_eq!(reported_stage(basis, Some(LEASE), now), LotStage::Held);
+    assert_eq!(
+        reported_stage(basis, None, now),
+        LotStage::Unsure,
+        "the lease expired"
+    );
     let later_lease = Some(LeaseId(8));
     assert_eq!(
-        told_stage(basis, later_lease, now),
+        reported_stage(basis, later_lease, now),
         LotStage::Unsure,
-        "not claimed anew"
+        "not claimed under the new lease"
     );
     assert_eq!(
-        told_stage(ClaimBasis::default(), Some(LEASE), now),
+        reported_stage(ClaimBasis::default(), Some(LEASE), now),
         LotStage::Unsure
     );
 }
 
-/// The store takes results and answers late, or never. Until then the daemon that
-/// wrote them says that there are fewer than the store shows to others.
+/// The store accepts results and answers late, or never. Until then the daemon that wrote
+/// them knows of fewer results than the store returns to others, so it must not report its
+/// count as complete.
 #[test]
-fn a_daemon_with_an_unanswered_write_speaks_for_no_lot() {
-    let begun = Timestamp::from_micros(9_000_000);
+fn a_daemon_with_an_unanswered_write_confirms_no_results() {
+    let write_sent_at = Timestamp::from_micros(9_000_000);
     let basis = ClaimBasis {
         lease: Some(LEASE),
-        undecided_since: Some(begun),
+        undecided_since: Some(write_sent_at),
     };
-    let soon = begun + Duration::from_millis(100);
+    let shortly_after = write_sent_at + Duration::from_millis(100);
     assert_eq!(
-        told_stage(basis, Some(LEASE), soon),
+        reported_stage(basis, Some(LEASE), shortly_after),
         LotStage::Held,
-        "answers take a moment"
+        "a write in flight for 100 ms is no reason for doubt"
+    );
+    let long_after = write_sent_at + Duration::from_millis(300);
+    assert_eq!(
+        reported_stage(basis, Some(LEASE), long_after),
+        LotStage::Unsure
     );
-    let late = begun + Duration::from_millis(300);
-    assert_eq!(told_stage(basis, Some(LEASE), late), LotStage::Unsure);
 }
--- a/crates/serving/tests/member_list.rs
+++ b/crates/serving/tests/member_list.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of the others by what they say.
+//! What a daemon knows of its peers from their messages.
 
 use std::time::Duration;
 
@@ -41,30 +41,33 @@
     }]
 }
 
-/// A daemon acknowledges the end of a lot and is lost before it has told anybody.
-/// Whoever lists the open lots has to know that the lot is run, or the daemon that
-/// runs it would go on until the store refuses its results.
+/// A daemon acknowledges the end of a lot and is lost before it has informed its peers. A
+/// daemon that lists the open lots has to know that this lot is still run, or the daemon
+/// that runs it would continue until the store rejects its results.
 #[test]
 fn lots_that_others_run_are_known_until_they_are_done_or_silent() {
-    let begin = Timestamp::from_micros(1_000_000);
+    let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
-    members.hear(&message(1, progress(LotStage::Held)), begin);
-    assert_eq!(members.held_lots(begin), ["lot-1"]);
-    let silent = begin + Duration::from_secs(4);
-    assert!(members.held_lots(silent).is_empty(), "its lease has lapsed");
-    members.hear(&message(2, progress(LotStage::Finished)), begin);
-    assert!(members.held_lots(begin).is_empty(), "it is done");
+    members.hear(&message(1, progress(LotStage::Held)), start);
+    assert_eq!(members.held_lots(start), ["lot-1"]);
+    let silent = start + Duration::from_secs(4);
+    assert!(
+        members.held_lots(silent).is_empty(),
+        "its lease has expired"
+    );
+    members.hear(&message(2, progress(LotStage::Finished)), start);
+    assert!(members.held_lots(start).is_empty(), "the lot is finished");
 }
 
-/// In a flood a daemon tells of hundreds of lots, in no order, and each lot that waits is
-/// looked up among them many times a second: one that isn't found would be claimed by
-/// daemon after daemon.
+/// Under high load a daemon reports hundreds of lots, in no order, and each waiting lot is
+/// looked up among them many times a second. A lot that isn't found would be claimed by one
+/// daemon after another.
 #[test]
 fn each_of_many_lots_is_found() {
-    let begin = Timestamp::from_micros(1_000_000);
+    let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
     let lot = |number: usize| format!("lot-{}", number * 37 % 200);
-    let told = (0..200).map(|number| LotProgress {
+    let reported = (0..200).map(|number| LotProgress {
         lot: lot(number),
         results: 1,
         stage: match number % 2 {
@@ -72,36 +75,36 @@
             _ => LotStage::Finished,
         },
     });
-    members.hear(&message(1, told.collect()), begin);
+    members.hear(&message(1, reported.collect()), start);
     for number in 0..200 {
         let is_held = number % 2 == 0;
-        assert_eq!(members.is_held(&lot(number), begin), is_held, "{number}");
+        assert_eq!(members.is_held(&lot(number), start), is_held, "{number}");
         assert_eq!(members.told_finished(&lot(number)), !is_held, "{number}");
     }
-    assert!(!members.is_held("lot-x", begin) && !members.told_finished("lot-x"));
+    assert!(!members.is_held("lot-x", start) && !members.told_finished("lot-x"));
 }
 
-/// A daemon that runs a lot is restarted, and is heard again before anybody noticed.
-/// What it said in its former life tells nothing of what the store holds by now, and
-/// a reader must not be told that a result isn't there on the strength of it.
+/// A daemon that runs a lot is restarted and heard again before its peers noticed. The
+/// reports of its former incarnation say nothing about what the store holds by now, so a
+/// reader must not be told on their basis that a result doesn't exist.
 #[test]
-fn what_a_former_life_said_of_a_lot_is_forgotten() {
-    let begin = Timestamp::from_micros(1_000_000);
+fn reports_of_a_former_incarnation_are_forgotten() {
+    let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("entry-1");
-    members.hear(&message(9, progress(LotStage::Held)), begin);
+    members.hear(&message(9, progress(LotStage::Held)), start);
     assert_eq!(members.runner_vouch("lot-1").map(|it| it.results), Some(3));
-    let mut next_life = message(1, Vec::new());
-    next_life.from.incarnation = 2;
-    members.hear(&next_life, begin + Duration::from_millis(500));
+    let mut next_incarnation = message(1, Vec::new());
+    next_incarnation.from.incarnation = 2;
+    members.hear(&next_incarnation, start + Duration::from_millis(500));
     assert_eq!(members.runner_vouch("lot-1"), None);
     assert_eq!(
-        members.lot_runner("lot-1", begin + Duration::from_millis(500)),
+        members.lot_runner("lot-1", start + Duration::from_millis(500)),
         None
     );
 }
 
-/// Two daemons tell of a lot: one that left it to others, and one that isn't sure of
-/// its claim. Neither may be asked in place of the store, though both are heard.
+/// Two daemons report a lot: one that left it to others, and one that is unsure of its
+/// claim. Neither may be queried in place of the store, though both are heard.
 #[test]
 fn only_a_daemon_that_knows_all_results_is_asked_for_them() {
     let now = Timestamp::from_micros(1_000_000);
@@ -112,236 +115,274 @@
     members.hear(&other, now);
     assert_eq!(members.runner_vouch("lot-1"), None);
     assert_eq!(members.lot_runner("lot-1", now), None);
-    assert!(members.is_held("lot-1", now), "it still runs there");
+    assert!(members.is_held("lot-1", now), "lots-3 may still run it");
     members.hear(&message(2, progress(LotStage::Finished)), now);
     assert!(members.lot_runner("lot-1", now).is_some());
 }
 
-/// A daemon ran a lot, was cut off, and another one runs it now. Both have told the
-/// same number of results; the word that is kept from the first is old. If it hid the
-/// other's, each reader that waits would have the store asked in vain.
+/// A daemon ran a lot and was cut off, and another one runs it now. Both have reported the
+/// same number of results, but the first one's report is old. If it hid the newer one, each
+/// waiting reader would cause a useless request to the store.
 #[test]
-fn the_later_of_two_words_counts() {
-    let begin = Timestamp::from_micros(1_000_000);
-    let later = begin + Duration::from_millis(2_000);
+fn the_later_of_two_reports_counts() {
+    let start = Timestamp::from_micros(1_000_000);
+    let later = start + Duration::from_millis(2_000);
     for names in [["lots-2", "lots-3"], ["lots-3", "lots-2"]] {
         let mut members = MemberList::new("entry-1");
-        for (name, at) in names.into_iter().zip([begin, later]) {
-            let mut word = message(1, progress(LotStage::Held));
-            word.from.name = name.to_owned();
-            members.hear(&word, at);
+        for (name, at) in names.into_iter().zip([start, later]) {
+            let mut report = message(1, progress(LotStage::Held));
+            report.from.name = name.to_owned();
+            members.hear(&report, at);
         }
-        let vouch = members.runner_vouch("lot-1");
-        assert_eq!(vouch.map(|it| it.heard_at), Some(later), "{names:?}");
+        let confirmed = members.runner_vouch("lot-1");
+        assert_eq!(confirmed.map(|it| it.heard_at), Some(later), "{names:?}");
     }
 }
 
-/// What a daemon says in one of its lives.
-fn of_life(incarnation: u64, number: u64, progress: Vec<LotProgress>) -> PeerMessage {
+/// Returns a message from the given incarnation of a daemon.
+fn message_of_incarnation(
+    incarnation: u64,
+    number: u64,
+    progress: Vec<LotProgress>,
+) -> PeerMessage {
     let mut message = message(number, progress);
     message.from.incarnation = incarnation;
     message
 }
 
-/// A daemon is restarted, speaks, and has not registered yet. Meanwhile a further
-/// daemon registers, and the list of all that the store has then names the former
-/// life: its lease runs on for seconds. A daemon that goes back to it takes the claim
-/// of the living one for a leftover and runs the lot as well; both then tell readers
-/// that they know of all its results.
+/// A daemon is restarted and sends reports, but hasn't registered yet. Meanwhile another
+/// daemon registers, and the store's member list still names the former incarnation, whose
+/// lease runs for some seconds more. A daemon that went back to that incarnation would take
+/// the running one's claim for a leftover and run the lot as well, and both would tell
+/// readers that they know all of its results.
 #[test]
-fn a_list_that_is_behind_brings_no_former_life_back() {
-    let begin = Timestamp::from_micros(1_000_000);
-    let later = begin + Duration::from_millis(300);
+fn an_outdated_list_does_not_restore_a_former_incarnation() {
+    let start = Timestamp::from_micros(1_000_000);
+    let later = start + Duration::from_millis(300);
     let mut members = MemberList::new("lots-1");
-    members.set_listed(&[of_life(1, 0, Vec::new()).from], begin);
-    members.hear(&of_life(1, 9, Vec::new()), begin);
-    members.hear(&of_life(2, 1, progress(LotStage::Held)), later);
-    members.set_listed(&[of_life(1, 0, Vec::new()).from], later);
-    assert!(members.is_held("lot-1", later), "the living one runs it");
-    assert!(!members.is_former_life("lots-2", 2, later), "it lives");
+    members.set_listed(&[message_of_incarnation(1, 0, Vec::new()).from], start);
+    members.hear(&message_of_incarnation(1, 9, Vec::new()), start);
+    members.hear(
+        &message_of_incarnation(2, 1, progress(LotStage::Held)),
+        later,
+    );
+    members.set_listed(&[message_of_incarnation(1, 0, Vec::new()).from], later);
+    assert!(
+        members.is_held("lot-1", later),
+        "the running incarnation holds the lot"
+    );
+    assert!(
+        !members.is_former_life("lots-2", 2, later),
+        "this incarnation is running"
+    );
     assert!(members.is_former_life("lots-2", 1, later));
-    assert_eq!(members.hear(&of_life(2, 1, Vec::new()), later), None);
+    assert_eq!(
+        members.hear(&message_of_incarnation(2, 1, Vec::new()), later),
+        None
+    );
 }
 
-/// The same where this daemon has never heard the former life: it started after it
-/// was lost, heard the next one, and reads the list of all only then.
+/// As above, but this daemon never heard the former incarnation: it started after that was
+/// lost, heard the next incarnation, and reads the member list only then.
 #[test]
-fn a_list_that_is_behind_brings_back_no_life_that_was_never_heard() {
-    let begin = Timestamp::from_micros(1_000_000);
+fn an_outdated_list_does_not_restore_an_incarnation_that_was_never_heard() {
+    let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
-    members.hear(&of_life(2, 1, progress(LotStage::Held)), begin);
-    members.set_listed(&[of_life(1, 0, Vec::new()).from], begin);
-    assert!(members.is_held("lot-1", begin), "the living one runs it");
-    assert!(!members.is_former_life("lots-2", 2, begin), "it lives");
+    members.hear(
+        &message_of_incarnation(2, 1, progress(LotStage::Held)),
+        start,
+    );
+    members.set_listed(&[message_of_incarnation(1, 0, Vec::new()).from], start);
+    assert!(
+        members.is_held("lot-1", start),
+        "the running incarnation holds the lot"
+    );
+    assert!(
+        !members.is_former_life("lots-2", 2, start),
+        "this incarnation is running"
+    );
 }
 
-/// A daemon is restarted, and a datagram of its former life is late: it waited in a
-/// queue, or at a VM that stood still. It says that the daemon runs a lot and how many
-/// results there are, which was so before, and it comes after what the next life said.
+/// A daemon is restarted, and a datagram of its former incarnation arrives late, after
+/// messages of the next one: it waited in a queue, or at a paused VM. Its lots and result
+/// counts are outdated and must be ignored.
 #[test]
-fn a_late_word_of_a_former_life_is_not_heard() {
-    let begin = Timestamp::from_micros(1_000_000);
-    let later = begin + Duration::from_millis(300);
+fn a_late_message_of_a_former_incarnation_is_ignored() {
+    let start = Timestamp::from_micros(1_000_000);
+    let later = start + Duration::from_millis(300);
     let mut members = MemberList::new("entry-1");
-    members.hear(&of_life(1, 8, Vec::new()), begin);
-    members.hear(&of_life(2, 1, Vec::new()), later);
-    let late = of_life(1, 9, progress(LotStage::Held));
+    members.hear(&message_of_incarnation(1, 8, Vec::new()), start);
+    members.hear(&message_of_incarnation(2, 1, Vec::new()), later);
+    let late = message_of_incarnation(1, 9, progress(LotStage::Held));
     assert_eq!(members.hear(&late, later), None);
     assert_eq!(members.runner_vouch("lot-1"), None);
     assert!(!members.is_held("lot-1", later));
-    assert!(!members.is_former_life("lots-2", 2, later), "it lives");
+    assert!(
+        !members.is_former_life("lots-2", 2, later),
+        "this incarnation is running"
+    );
 }
 
-/// Which of two lives is the later one is told by the order in which they are heard.
-/// Should that be wrong once, the one that goes on speaking has to be heard again, or
-/// a living daemon would be left out for ever.
+/// Which of two incarnations is the later one is judged by the order in which they are
+/// heard. If that is ever wrong, the incarnation that keeps sending must be accepted again,
+/// or a running daemon would be ignored for ever.
 #[test]
-fn a_life_that_goes_on_speaking_is_heard_again() {
-    let begin = Timestamp::from_micros(1_000_000);
+fn an_incarnation_that_keeps_sending_is_accepted_again() {
+    let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("entry-1");
-    members.hear(&of_life(2, 1, Vec::new()), begin);
-    members.hear(&of_life(1, 9, Vec::new()), begin);
-    let later = begin + Duration::from_millis(1_200);
-    let heard = members.hear(&of_life(2, 6, progress(LotStage::Held)), later);
-    assert!(heard.is_some());
+    members.hear(&message_of_incarnation(2, 1, Vec::new()), start);
+    members.hear(&message_of_incarnation(1, 9, Vec::new()), start);
+    let later = start + Duration::from_millis(1_200);
+    let received = members.hear(
+        &message_of_incarnation(2, 6, progress(LotStage::Held)),
+        later,
+    );
+    assert!(received.is_some());
     assert!(members.is_held("lot-1", later));
 }
 
-/// All daemons are restarted in turn. One of them reads the list of all, which names a
-/// life that is lost already, and the next life of that daemon claims a lot without
-/// having been heard here. Who was only listed has proved nothing: the claim is no
-/// leftover, and the lot must be left to the one that runs it.
+/// All daemons are restarted in turn. One of them reads a member list that names an
+/// incarnation which is already lost, and that daemon's next incarnation claims a lot
+/// without having been heard here. A mere listing proves nothing: the claim is no leftover,
+/// and the lot must stay with the daemon that runs it.
 #[test]
-fn a_claim_is_no_leftover_because_another_life_was_listed_or_heard() {
+fn a_claim_is_no_leftover_because_another_incarnation_was_listed_or_heard() {
     let now = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
-    members.set_listed(&[of_life(1, 0, Vec::new()).from], now);
-    assert!(!members.is_former_life("lots-2", 2, now), "listed only");
-    members.hear(&of_life(1, 9, Vec::new()), now);
-    assert!(!members.is_former_life("lots-2", 2, now), "it may be later");
+    members.set_listed(&[message_of_incarnation(1, 0, Vec::new()).from], now);
+    assert!(
+        !members.is_former_life("lots-2", 2, now),
+        "the other incarnation was only listed"
+    );
+    members.hear(&message_of_incarnation(1, 9, Vec::new()), now);
+    assert!(
+        !members.is_former_life("lots-2", 2, now),
+        "the incarnation that wasn't heard may be the later one"
+    );
 }
 
-/// One daemon lists all open lots for the others, which finds lots that nobody was told
-/// to run. The store turns it away, with others still hearing it: were they to rely on
-/// it, a lot would lie until the store lets it in again.
+/// One daemon lists all open lots for its peers, which finds lots that no daemon was told
+/// to run. If the store rejects its requests while peers still hear it and rely on it, such
+/// a lot would wait until the store accepts them again.
 #[test]
 fn a_daemon_that_does_not_reach_the_store_lists_no_lots_for_others() {
     let now = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-3");
-    let mut heard = message(1, Vec::new());
-    members.hear(&heard, now);
-    assert!(!members.is_lister("lots-3", now), "lots-2 does");
-    heard.number = 2;
-    heard.reaches_store = false;
-    members.hear(&heard, now);
+    let mut received = message(1, Vec::new());
+    members.hear(&received, now);
+    assert!(!members.is_lister("lots-3", now), "lots-2 lists for others");
+    received.number = 2;
+    received.reaches_store = false;
+    members.hear(&received, now);
     assert!(members.is_lister("lots-3", now));
 }
 
-/// A daemon was cut off, or stood still, and hears the others again. Its claims may be
-/// gone, and lots that it runs be ended; it has to notice that it was away. Single
-/// words that get lost are no such sign.
+/// A daemon was cut off or paused, and hears its peers again. Its claims may be gone and
+/// its lots ended, so it has to notice the gap. Single lost messages are no such sign.
 #[test]
 fn a_daemon_notices_that_others_were_out_of_touch() {
-    let begin = Timestamp::from_micros(1_000_000);
-    let at = |millis: u64| begin + Duration::from_millis(millis);
+    let start = Timestamp::from_micros(1_000_000);
+    let at = |millis: u64| start + Duration::from_millis(millis);
     let mut members = MemberList::new("lots-1");
-    members.hear(&message(1, Vec::new()), begin);
+    members.hear(&message(1, Vec::new()), start);
     members.hear(&message(3, Vec::new()), at(2_000));
     assert_eq!(members.regained_at(), None);
     members.hear(&message(4, Vec::new()), at(6_000));
     assert_eq!(members.regained_at(), Some(at(6_000)));
     members.hear(&message(5, Vec::new()), at(6_250));
-    assert_eq!(members.regained_at(), Some(at(6_000)), "it stays in touch");
+    assert_eq!(members.regained_at(), Some(at(6_000)), "no further gap");
 }
 
-/// A daemon learns of new settings first, tells of it and is lost. Whoever is behind asks
-/// those that are ahead for what they know; were the lost one among them until its lease
-/// lapses, each such question would find no answer while others could give it.
+/// A daemon learns of new settings first, reports them and is lost. Daemons that are behind
+/// request data from those that are ahead. If the lost one stayed among them until its
+/// lease expires, such requests would go unanswered though others could answer them.
 #[test]
-fn nothing_is_asked_of_a_daemon_that_is_silent() {
+fn nothing_is_requested_from_a_silent_daemon() {
     let now = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("entry-1");
     members.set_listed(&[message(1, Vec::new()).from], now);
-    let mut heard = message(1, Vec::new());
-    heard.revisions.operators = 7;
-    members.hear(&heard, now);
+    let mut received = message(1, Vec::new());
+    received.revisions.operators = 7;
+    members.hear(&received, now);
     let known = ViewRevisions::default();
     let ahead = |now| members.ahead_of(known, "zone-1", |_| false, &mut rand::rng(), now);
-    assert_eq!(ahead(now), Some(heard.from.address));
+    assert_eq!(ahead(now), Some(received.from.address));
     assert_eq!(ahead(now + Duration::from_secs(3)), None);
 }
 
-/// A fleet of 30 daemons in each of three zones, none of which reaches the store.
+/// Returns the member list of the daemon numbered `own` in a fleet of 30 daemons in each of
+/// three zones. `reaches_store` says which of them reach the store.
 fn zone_of_thirty(own: usize, reaches_store: impl Fn(usize) -> bool) -> MemberList {
-    let begin = Timestamp::from_micros(1_000_000);
+    let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new(&format!("entry-{own}"));
-    for place in 0..90 {
-        let mut said = message(1, Vec::new());
-        said.from.name = format!("entry-{place}");
-        said.from.zone = format!("zone-{}", place / 30);
-        said.reaches_store = reaches_store(place);
-        members.hear(&said, begin);
+    for index in 0..90 {
+        let mut report = message(1, Vec::new());
+        report.from.name = format!("entry-{index}");
+        report.from.zone = format!("zone-{}", index / 30);
+        report.reaches_store = reaches_store(index);
+        members.hear(&report, start);
     }
     members
 }
 
-/// Those of the first zone of which something holds.
-fn chosen(
+/// Returns the numbers of the first zone's daemons for which `holds` is true.
+fn matching_daemons(
     reaches_store: impl Fn(usize) -> bool,
     holds: impl Fn(&MemberList, &MemberRecord) -> bool,
 ) -> Vec<usize> {
-    let is_chosen = |own: &usize| {
+    let matches = |own: &usize| {
         let mut record = message(1, Vec::new()).from;
         record.name = format!("entry-{own}");
         record.zone = "zone-0".to_owned();
         holds(&zone_of_thirty(*own, &reaches_store), &record)
     };
-    (0..30).filter(is_chosen).collect()
+    (0..30).filter(matches).collect()
 }
 
-/// Those of the first zone that ask the store, where `stand_ins` of them stand in.
+/// Returns the numbers of the first zone's daemons that query the store while `stand_ins`
+/// further ones are requested.
 fn watchers(stand_ins: usize, reaches_store: impl Fn(usize) -> bool) -> Vec<usize> {
-    let begin = Timestamp::from_micros(1_000_000);
-    chosen(reaches_store, |members, own| {
-        members.is_watcher(own, stand_ins, begin)
+    let start = Timestamp::from_micros(1_000_000);
+    matching_daemons(reaches_store, |members, own| {
+        members.is_watcher(own, stand_ins, start)
     })
 }
 
-/// Nobody of a zone probes the store, so that its silence goes unnoticed, or each daemon
-/// does, and all probes are billed.
+/// If no daemon of a zone probes the store, its silence goes unnoticed; if every daemon
+/// does, all probes are billed.
 #[test]
 fn one_daemon_of_a_zone_probes_the_store() {
-    let begin = Timestamp::from_micros(1_000_000);
-    let leads = |reaches_store: &dyn Fn(usize) -> bool| {
-        chosen(reaches_store, |members, own| {
-            members.is_first_of_zone(own, begin)
+    let start = Timestamp::from_micros(1_000_000);
+    let probing = |reaches_store: &dyn Fn(usize) -> bool| {
+        matching_daemons(reaches_store, |members, own| {
+            members.is_first_of_zone(own, start)
         })
     };
-    let first = leads(&|_| true);
+    let first = probing(&|_| true);
     assert_eq!(first.len(), 1, "{first:?}");
-    let with_next = leads(&|it| it != first[0]);
+    let with_next = probing(&|it| it != first[0]);
     assert_eq!(
         with_next.len(),
         2,
-        "the next one of those that reach it too"
+        "the failing daemon and the next one that reaches the store"
     );
 }
 
-/// The store is away for all. Each daemon that fails says so, and the next one steps
-/// in; were there no end to that, a store that comes back would find a hundred daemons
-/// at its door, and each of their calls is billed.
+/// The store is away for all. Each daemon that fails reports so, and the next one replaces
+/// it. Without a limit, a store that comes back would receive requests from a hundred
+/// daemons, each of them billed.
 #[test]
-fn few_daemons_of_a_zone_ask_a_store_that_is_away() {
+fn few_daemons_of_a_zone_query_a_store_that_is_away() {
     assert_eq!(watchers(0, |_| true).len(), 1);
-    let asking = watchers(0, |_| false);
-    assert_eq!(asking.len(), 4, "{asking:?}");
+    let querying = watchers(0, |_| false);
+    assert_eq!(querying.len(), 4, "{querying:?}");
     let first = watchers(0, |_| true);
     let next = watchers(0, |it| it != first[0]);
-    assert_eq!(next.len(), 2, "the one that is turned away, and one for it");
+    assert_eq!(next.len(), 2, "the rejected daemon and its replacement");
 }
 
-/// A change is known to be missing, and nobody brings it. One daemon more asks the
-/// store, then three.
+/// A change is known to be missing, and no peer provides it. One more daemon queries the
+/// store, and then three more.
 #[test]
 fn daemons_stand_in_by_their_order() {
     let first = watchers(0, |_| true);
--- a/crates/serving/tests/store_view.rs
+++ b/crates/serving/tests/store_view.rs
@@ -1,4 +1,4 @@
-//! What a daemon's copy of the store tells others of how new it is.
+//! The revisions that a daemon's copy of store data reports to peers.
 
 use comfreyramp_policy::Timestamp;
 use comfreyramp_serving::fleet::{StoreView, WholeList};
@@ -24,10 +24,10 @@
     }
 }
 
-/// Two daemons watch the same keys. The store answers both with the same change, one
-/// of them a moment later, when other keys have been written too. Were that one's
-/// copy taken for the newer, its zone would send the whole settings around once more,
-/// and whoever has no news within a second would ask the store.
+/// Two daemons watch the same keys. The store sends both the same change, to one of them a
+/// moment later, when other keys have been written too. If that daemon's copy counted as
+/// newer, its zone would transfer all settings once more, and every daemon without an
+/// update within a second would query the store.
 #[test]
 fn the_same_change_counts_as_the_same_at_every_daemon() {
     let change = |revision| WatchBatch {
@@ -52,23 +52,27 @@
     assert_eq!(late.changed_revision(), early.changed_revision());
 }
 
-/// The store drops its history while a server leaves. The daemon that watches lists
-/// the servers anew, and the others of its zone learn from it. The list names no
-/// removal: unless the copy counts as changed, they hear of nothing newer, and send
-/// requests to a server that is gone.
+/// The store drops its history while a server leaves, so the watching daemon lists the
+/// servers again, and the others of its zone learn from its list. A list names no removals:
+/// unless the copy counts as changed, the others receive nothing newer and send requests to
+/// a server that is gone.
 #[test]
-fn a_removal_that_only_a_list_shows_is_a_change() {
+fn a_removal_that_is_only_visible_in_a_list_is_a_change() {
     let mut view = StoreView::default();
     view.reset(list(vec![pair("one", 3), pair("two", 5)], 10), NOW);
     assert_eq!(view.changed_revision(), 5);
     view.reset(list(vec![pair("one", 3)], 20), NOW);
     assert_eq!(view.changed_revision(), 20);
     view.reset(list(vec![pair("one", 3)], 25), NOW);
-    assert_eq!(view.changed_revision(), 20, "nothing changed since");
+    assert_eq!(
+        view.changed_revision(),
+        20,
+        "the second list changed nothing"
+    );
 }
 
-/// A daemon learns of a newer state from another one, and then an older list comes in
-/// that was long on its way. A withdrawn key would work again.
+/// A daemon receives a newer state from a peer, and then an older list arrives that was
+/// delayed. It must not be applied, or a withdrawn key would work again.
 #[test]
 fn an_older_list_changes_nothing() {
     let mut view = StoreView::default();
--- a/crates/serving/tests/usage_times.rs
+++ b/crates/serving/tests/usage_times.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of customers' requests.
+//! The times that daemons attach to their reports of customers' requests.
 
 use std::time::Duration;
 
@@ -15,55 +15,57 @@
     Timestamp::from_micros((1_000_000_000 + millis) * 1_000)
 }
 
-fn book_with(other: u64) -> UsageBook {
-    let mut book = UsageBook::new(at(0));
+fn tracker_with_peer(peer: u64) -> UsageBook {
+    let mut tracker = UsageBook::new(at(0));
     let limit = CustomerLimit {
         customer: CUSTOMER,
         rate: BURST,
         burst: BURST,
     };
-    book.set_limits(&[limit], at(0));
-    book.set_members(&[PeerId(other)], at(0));
-    book.set_interval(Duration::from_millis(750));
-    book
+    tracker.set_limits(&[limit], at(0));
+    tracker.set_members(&[PeerId(peer)], at(0));
+    tracker.set_interval(Duration::from_millis(750));
+    tracker
 }
 
-/// Of a word that takes long to come, a part of it lost on the way: the requests are
-/// charged to a bucket that was full since they were let in, though they left room in it.
-fn level_after_words(sent: impl Fn(Vec<UsageCount>) -> Vec<UsageCount>) -> f64 {
-    let (mut near, mut far) = (book_with(2), book_with(1));
+/// Returns a customer's token level at a daemon whose peer reports late, in reports that
+/// `alter` may alter. The requests were admitted while the bucket had capacity, but the late
+/// report charges them to a bucket that has been full since then.
+fn level_after_late_reports(alter: impl Fn(Vec<UsageCount>) -> Vec<UsageCount>) -> f64 {
+    let (mut local, mut remote) = (tracker_with_peer(2), tracker_with_peer(1));
     for millis in [4_000, 4_700] {
-        near.tick(at(millis));
-        let word = sent(far.own_counts(at(millis)));
-        near.hear(PeerId(2), 1, &word, at(millis));
+        local.tick(at(millis));
+        let report = alter(remote.own_counts(at(millis)));
+        local.hear(PeerId(2), 1, &report, at(millis));
         if millis == 4_000 {
             for _ in 0..3 {
-                assert!(far.admit(CUSTOMER, at(4_100)).is_ok());
+                assert!(remote.admit(CUSTOMER, at(4_100)).is_ok());
             }
         }
     }
-    near.tick(at(4_800));
-    near.level(CUSTOMER)
+    local.tick(at(4_800));
+    local.level(CUSTOMER)
 }
 
-/// Without the times, a customer that was long made up for is short of tokens.
+/// Requests that are reported late must be charged at the time of their admission. Without
+/// the times, a customer whose bucket has long been refilled is short of tokens.
 #[test]
-fn requests_told_late_are_charged_as_if_they_were_new() {
-    let full = level_after_words(|counts| counts);
-    assert!(full > BURST - 0.1, "{full}");
-    let untimed = level_after_words(|mut counts| {
+fn requests_reported_late_are_charged_as_if_they_were_new() {
+    let timed = level_after_late_reports(|counts| counts);
+    assert!(timed > BURST - 0.1, "{timed}");
+    let untimed = level_after_late_reports(|mut counts| {
         counts.iter_mut().for_each(|it| it.times = None);
         counts
     });
     assert!(untimed < BURST - 0.5, "{untimed}");
 }
 
-/// Times go behind everything else, and a former version's message has none.
+/// Times are the last field of a message, and messages of an earlier version have none.
 #[test]
 fn a_message_without_times_is_read_as_before() {
-    let mut book = book_with(1);
-    assert!(book.admit(CUSTOMER, at(4_000)).is_ok());
-    let counts = book.own_counts(at(4_010));
+    let mut tracker = tracker_with_peer(1);
+    assert!(tracker.admit(CUSTOMER, at(4_000)).is_ok());
+    let counts = tracker.own_counts(at(4_010));
     let times = UsageTimes::of(&counts);
     assert_eq!(times.sums.len(), counts.len());
     assert_eq!(counts[0].times.map(|it| it.told), Some(times.told));
