--- a/crates/serving/tests/member_list.rs
+++ b/crates/serving/tests/member_list.rs
@@ -381,8 +381,8 @@
     assert_eq!(next.len(), 2, "the rejected daemon and its replacement");
 }
 
-/// A change is known to be missing, and no peer provides it. One more daemon queries the
-/// store, and then three more.
+/// A change is known to be missing, and no peer provides it. At first one and then three
+/// further daemons of the zone query the store.
 #[test]
 fn daemons_stand_in_by_their_order() {
     let first = watchers(0, |_| true);
--- a/crates/serving/tests/usage_times.rs
+++ b/crates/serving/tests/usage_times.rs
@@ -28,9 +28,9 @@
     tracker
 }
 
-/// Returns a customer's token level at a daemon whose peer reports late, in reports that
-/// `alter` may alter. The requests were admitted while the bucket had capacity, but the late
-/// report charges them to a bucket that has been full since then.
+/// Returns a customer's token level at a daemon whose peer reports late; `alter` may drop
+/// parts of the reports. The requests were admitted while the bucket had capacity, but a late
+/// report without their times charges them to a bucket that has been full since then.
 fn level_after_late_reports(alter: impl Fn(Vec<UsageCount>) -> Vec<UsageCount>) -> f64 {
     let (mut local, mut remote) = (tracker_with_peer(2), tracker_with_peer(1));
     for millis in [4_000, 4_700] {
