--- a/crates/node/tests/calm_fleet.rs
+++ b/crates/node/tests/calm_fleet.rs
@@ -1,56 +1,56 @@
-//! A fleet in which nothing goes wrong serves everything it is for.
+//! What a fleet serves while nothing fails.
 
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
-    reason = "tests end where something is missing"
+    reason = "a test fails where something is missing"
 )]
 
 mod fleet;
 
 use comfreyramp_http::{Method, StatusCode};
-use fleet::{Ask, Fleet, KEY, whole_output, whole_stream};
+use fleet::{CallerRequest, Fleet, KEY, expected_output, expected_stream};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_passed_on_event_by_event() {
     let fleet = Fleet::started().await;
-    let answer = fleet
-        .ask(0, Ask::post("/drafts/1", "r1", b"verse"))
+    let response = fleet
+        .send(0, CallerRequest::post("/drafts/1", "r1", b"verse"))
         .await
         .unwrap();
-    assert_eq!(answer.status(), StatusCode::OK);
-    assert_eq!(answer.body(), &whole_stream());
+    assert_eq!(response.status(), StatusCode::OK);
+    assert_eq!(response.body(), &expected_stream());
     assert_eq!(
-        answer.headers()["x-response-signature"],
+        response.headers()["x-response-signature"],
         "engine-1",
-        "the own zone goes first"
+        "the daemon's own zone is preferred"
     );
-    assert_eq!(answer.headers()["x-request-id"], "r1");
+    assert_eq!(response.headers()["x-request-id"], "r1");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn servers_learn_the_customer_and_never_the_key() {
     let fleet = Fleet::started().await;
-    let answer = fleet
-        .ask(1, Ask::post("/proofs/7", "r2", b"state of 7"))
+    let response = fleet
+        .send(1, CallerRequest::post("/proofs/7", "r2", b"state of 7"))
         .await
         .unwrap();
-    assert_eq!(answer.body().as_ref(), b"state of 7");
-    let arrivals = fleet.runners[2].arrivals();
+    assert_eq!(response.body().as_ref(), b"state of 7");
+    let arrivals = fleet.servers[2].arrivals();
     let [arrival] = arrivals.as_slice() else {
-        panic!("one arrival, not {}", arrivals.len());
+        panic!("expected one arrival, got {}", arrivals.len());
     };
     assert_eq!(arrival.headers["x-tenant"], "press");
-    let shows_key = |it: &comfreyramp_http::HeaderValue| it.as_bytes() == KEY.as_bytes();
-    assert!(!arrival.headers.values().any(shows_key));
-    let left: u64 = arrival.headers["x-deadline-ms"]
+    let has_key = |it: &comfreyramp_http::HeaderValue| it.as_bytes() == KEY.as_bytes();
+    assert!(!arrival.headers.values().any(has_key));
+    let remaining_ms: u64 = arrival.headers["x-deadline-ms"]
         .to_str()
         .unwrap()
         .parse()
         .unwrap();
     assert!(
-        (4_000..=5_000).contains(&left),
-        "what is left of the time: {left}"
+        (4_000..=5_000).contains(&remaining_ms),
+        "remaining time: {remaining_ms} ms"
     );
 }
 
@@ -58,94 +58,97 @@
 async fn what_no_route_or_key_allows_is_refused() {
     let fleet = Fleet::started().await;
     let unknown = fleet
-        .ask(0, Ask::post("/nowhere/1", "r3", b""))
+        .send(0, CallerRequest::post("/nowhere/1", "r3", b""))
         .await
         .unwrap();
     assert_eq!(unknown.status(), StatusCode::NOT_FOUND);
     let keyless = fleet
-        .ask(0, Ask::post("/drafts/1", "r4", b"").key("nobody's"))
+        .send(
+            0,
+            CallerRequest::post("/drafts/1", "r4", b"").key("nobody's"),
+        )
         .await
         .unwrap();
     assert_eq!(keyless.status(), StatusCode::UNAUTHORIZED);
-    assert!(fleet.runners.iter().all(|it| it.arrivals().is_empty()));
+    assert!(fleet.servers.iter().all(|it| it.arrivals().is_empty()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lot_is_accepted_run_and_read_from_any_daemon() {
     let fleet = Fleet::started().await;
     let status = fleet
-        .hand_in(0, "lot-a", &["one", "two", "impossible"])
+        .submit_lot(0, "lot-a", &["one", "two", "impossible"])
         .await
         .unwrap();
     assert_eq!(status, StatusCode::ACCEPTED);
-    let page = fleet.whole_lot(1, "lot-a").await;
+    let page = fleet.read_finished_lot(1, "lot-a").await;
     assert_eq!(page["total"], 3);
     for result in page["results"].as_array().unwrap() {
         match result["id"].as_str() {
             Some("lot-a-2") => assert_eq!(result["state"], "dead_letter"),
             _ => {
                 assert_eq!(result["state"], "done");
-                assert_eq!(result["output"], whole_output());
+                assert_eq!(result["output"], expected_output());
             }
         }
     }
     assert_eq!(
-        fleet.whole_lot(0, "lot-a").await,
+        fleet.read_finished_lot(0, "lot-a").await,
         page,
-        "positions don't change"
+        "both daemons return the same positions"
     );
     let repeat = fleet
-        .hand_in(1, "lot-a", &["one", "two", "impossible"])
+        .submit_lot(1, "lot-a", &["one", "two", "impossible"])
         .await
         .unwrap();
     assert_eq!(repeat, StatusCode::ACCEPTED);
-    let runs = fleet.runners.iter().flat_map(|it| it.arrivals());
+    let runs = fleet.servers.iter().flat_map(|it| it.arrivals());
     let runs = runs
         .filter(|it| it.request_id == "lot-a-0" && it.ran)
         .count();
-    assert_eq!(runs, 1, "a repeat doesn't run it again");
+    assert_eq!(runs, 1, "a repeated submission doesn't run an item again");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lot_that_was_ended_runs_no_further() {
     let fleet = Fleet::started().await;
     let bodies = ["item"; 60];
-    fleet.hand_in(0, "lot-b", &bodies).await.unwrap();
+    fleet.submit_lot(0, "lot-b", &bodies).await.unwrap();
     let body = fleet
-        .ask(1, Ask::get("/-/items/lot-b?id=lot-b-59"))
+        .send(1, CallerRequest::get("/-/items/lot-b?id=lot-b-59"))
         .await
         .unwrap();
     assert_eq!(body.body().as_ref(), b"item");
-    let mut end = Ask::get("/-/lots/lot-b");
+    let mut end = CallerRequest::get("/-/lots/lot-b");
     end.method = Method::DELETE;
-    assert_eq!(fleet.ask(1, end).await.unwrap().status(), StatusCode::OK);
+    assert_eq!(fleet.send(1, end).await.unwrap().status(), StatusCode::OK);
     tokio::time::sleep(std::time::Duration::from_millis(1_000)).await;
-    let count = || {
+    let arrival_count = || {
         fleet
-            .runners
+            .servers
             .iter()
             .map(|it| it.arrivals().len())
             .sum::<usize>()
     };
-    let before = count();
+    let arrivals_before = arrival_count();
     tokio::time::sleep(std::time::Duration::from_millis(1_000)).await;
     assert_eq!(
-        count(),
-        before,
-        "nothing is sent once the end was acknowledged"
+        arrival_count(),
+        arrivals_before,
+        "no item is sent after the end was acknowledged"
     );
     let missing = fleet
-        .ask(0, Ask::get("/-/lots/no-such-lot?after=0"))
+        .send(0, CallerRequest::get("/-/lots/no-such-lot?after=0"))
         .await
         .unwrap();
     assert_eq!(missing.status(), StatusCode::NOT_FOUND);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metrics_tell_what_was_served() {
+async fn metrics_count_what_was_served() {
     let fleet = Fleet::started().await;
     fleet
-        .ask(0, Ask::post("/drafts/1", "r5", b"verse"))
+        .send(0, CallerRequest::post("/drafts/1", "r5", b"verse"))
         .await
         .unwrap();
     let text = fleet.metrics(0).await;
@@ -156,24 +159,26 @@
     assert!(text.contains("comfreyramp_store_calls_total"));
 }
 
-/// A plain service answers within milliseconds. More callers than it has slots come
-/// at once, and all of them would be answered well within their objective: a daemon
-/// that takes each call for as long as a stream would refuse most of them.
+/// A plain service answers within milliseconds. More callers than it has slots arrive at
+/// once, and all of them can be answered well within their objective. A daemon that
+/// expected each call to take as long as a stream would refuse most of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_that_wait_for_moments_are_not_refused() {
     let fleet = Fleet::started().await;
     let work = b"takes 30";
     for number in 0..3 {
         let id = format!("first-{number}");
-        let answer = fleet.ask(0, Ask::post("/proofs/1", &id, work)).await;
-        assert_eq!(answer.unwrap().status(), StatusCode::OK);
+        let response = fleet
+            .send(0, CallerRequest::post("/proofs/1", &id, work))
+            .await;
+        assert_eq!(response.unwrap().status(), StatusCode::OK);
     }
     let ids: Vec<String> = (0..32).map(|it| format!("burst-{it}")).collect();
-    let asking = ids
+    let calls = ids
         .iter()
-        .map(|id| fleet.ask(0, Ask::post("/proofs/1", id, work)));
-    let answers = futures::future::join_all(asking).await;
-    let served = answers
+        .map(|id| fleet.send(0, CallerRequest::post("/proofs/1", id, work)));
+    let responses = futures::future::join_all(calls).await;
+    let served = responses
         .iter()
         .filter(|it| it.as_ref().is_ok_and(|it| it.status() == StatusCode::OK));
     assert_eq!(served.count(), ids.len());
--- a/crates/node/tests/fleet/mod.rs
+++ b/crates/node/tests/fleet/mod.rs
@@ -1,9 +1,10 @@
-//! A small fleet: the real program as processes, in front of stand-ins.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A small fleet for tests: processes of the real program with in-process stand-ins for the
+//! store and the backend servers.
+#![allow(dead_code, reason = "no test file uses all of this module")]
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
-    reason = "a test ends where its fleet can't start"
+    reason = "a test fails where its fleet can't start"
 )]
 
 use std::{
@@ -30,40 +31,38 @@
 pub(crate) const HOST: &str = "fleet.example";
 /// The key of the first customer.
 pub(crate) const KEY: &str = "key-of-press";
-/// A second key of the first customer.
+/// Another key of the first customer.
 pub(crate) const SPARE_KEY: &str = "spare-key-of-press";
-/// Nothing in a test may take longer.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How long one call may take.
-const CALL: Duration = Duration::from_secs(10);
-const ANSWER_LIMIT: usize = 16 << 20;
-/// The lines of each daemon's log that a failed test shows.
-const LAST_LINES: usize = 40;
-/// The folder into which a failed test puts the whole logs, if this is set.
-const LOG_FOLDER: &str = "FLEET_LOGS";
-
-/// A daemon's process. It is killed by its id when this is dropped.
-pub(crate) struct NodeProcess {
+/// The longest time for which a test waits for a state to be reached.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// The longest duration of one HTTP request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
+/// The number of lines that a failed test prints of the end of each daemon's log.
+const LOG_TAIL_LINES: usize = 40;
+/// The environment variable with the folder to which a failed test writes the whole logs.
+const LOG_FOLDER_VARIABLE: &str = "FLEET_LOGS";
+
+/// A daemon's process, which is killed when this is dropped.
+pub(crate) struct DaemonProcess {
     child: Child,
-    /// Where callers reach it.
-    pub(crate) callers: Option<SocketAddr>,
-    health: SocketAddr,
-    peers: SocketAddr,
-    metrics: SocketAddr,
-    /// Its own door to the store.
-    pub(crate) door: KvDoor,
-    settings: tempfile::TempDir,
+    /// The address at which callers reach it; none where it serves no callers.
+    pub(crate) caller_address: Option<SocketAddr>,
+    health_address: SocketAddr,
+    peer_address: SocketAddr,
+    metrics_address: SocketAddr,
+    /// The daemon's own endpoint of the store, with its own fault injection.
+    pub(crate) store_endpoint: KvDoor,
+    data_folder: tempfile::TempDir,
 }
 
-/// A small fleet.
+/// Daemons with their store and backend servers.
 pub(crate) struct Fleet {
-    /// The store.
     pub(crate) store: Arc<KvState>,
-    /// The program's processes.
-    pub(crate) nodes: Vec<NodeProcess>,
-    /// The servers.
-    pub(crate) runners: Vec<Arc<RunnerServer>>,
-    /// The links to servers, to the store and from callers, if there are any.
+    pub(crate) daemons: Vec<DaemonProcess>,
+    /// The backend servers: two engines and a plain service.
+    pub(crate) servers: Vec<Arc<RunnerServer>>,
+    /// The links to servers, to the store and from callers; empty in a fleet without links.
     pub(crate) links: Vec<FaultLink>,
     has_links: bool,
     version: u64,
@@ -71,28 +70,28 @@
     client: HttpClient,
 }
 
-/// Callers of a fleet. They ask also while something is done to it.
+/// Sends requests to a fleet's daemons, also while the fleet itself is borrowed mutably.
 #[derive(Clone)]
 pub(crate) struct Callers {
-    /// Where each daemon is reached that has callers.
-    doors: Vec<Option<SocketAddr>>,
+    /// The address of each daemon that serves callers.
+    addresses: Vec<Option<SocketAddr>>,
     client: HttpClient,
 }
 
 /// A request of a caller.
-pub(crate) struct Ask<'a> {
+pub(crate) struct CallerRequest<'a> {
     pub(crate) method: Method,
     pub(crate) path: &'a str,
     pub(crate) id: &'a str,
     pub(crate) key: &'a str,
-    /// How long a reader of a lot waits for results.
+    /// How long the daemon may hold a read of a lot open until results arrive.
     pub(crate) wait_ms: u64,
     pub(crate) body: &'a [u8],
 }
 
-impl<'a> Ask<'a> {
+impl<'a> CallerRequest<'a> {
     pub(crate) fn post(path: &'a str, id: &'a str, body: &'a [u8]) -> Self {
-        Ask {
+        CallerRequest {
             method: Method::POST,
             path,
             id,
@@ -103,7 +102,7 @@
     }
 
     pub(crate) fn get(path: &'a str) -> Self {
-        Ask {
+        CallerRequest {
             method: Method::GET,
             path,
             id: "read",
@@ -120,7 +119,7 @@
 }
 
 impl Fleet {
-    /// Starts two engines, a plain service, and no daemon yet.
+    /// Starts two engines and a plain service, but no daemon.
     pub(crate) async fn new() -> Fleet {
         let stop = CancellationToken::new();
         let store = Arc::new(KvState::default());
@@ -128,7 +127,7 @@
             events: 12,
             pause: Duration::from_millis(15),
         };
-        let mut runners = Vec::new();
+        let mut servers = Vec::new();
         for (id, service, zone, kind) in [
             ("engine-1", "drafts", "zone-1", engine),
             ("engine-2", "drafts", "zone-2", engine),
@@ -140,7 +139,7 @@
                 zone: zone.to_owned(),
                 kind,
             };
-            runners.push(
+            servers.push(
                 RunnerServer::start(options, &store, stop.clone())
                     .await
                     .unwrap(),
@@ -148,8 +147,8 @@
         }
         let mut fleet = Fleet {
             store,
-            nodes: Vec::new(),
-            runners,
+            daemons: Vec::new(),
+            servers,
             links: Vec::new(),
             has_links: false,
             version: 0,
@@ -160,61 +159,65 @@
         fleet
     }
 
-    /// A fleet with two daemons for callers and one for lots, all ready.
+    /// Starts a fleet with two entry daemons, which serve callers, and one daemon that runs
+    /// lots, and waits until the entry daemons are ready.
     pub(crate) async fn started() -> Fleet {
-        Fleet::new().await.with_nodes().await
+        Fleet::new().await.with_daemons().await
     }
 
-    /// The same with a link between any two parts, but for what daemons tell each
-    /// other.
-    pub(crate) async fn linked() -> Fleet {
+    /// Starts the same fleet with a link on each connection except those between daemons.
+    pub(crate) async fn with_links() -> Fleet {
         let mut fleet = Fleet::new().await;
         fleet.has_links = true;
-        for place in 0..fleet.runners.len() {
-            let shown = fleet.link_to(fleet.runners[place].address).await;
-            fleet.runners[place].show_at(shown, &fleet.store);
+        for index in 0..fleet.servers.len() {
+            let link_address = fleet
+                .address_through_link(fleet.servers[index].address)
+                .await;
+            fleet.servers[index].show_at(link_address, &fleet.store);
         }
-        fleet.with_nodes().await
+        fleet.with_daemons().await
     }
 
-    /// Where something is reached by way of a link, if this fleet has links.
-    async fn link_to(&mut self, address: SocketAddr) -> SocketAddr {
+    /// Returns the address at which a target is reached: that of a new link to it if this
+    /// fleet has links, else its own.
+    async fn address_through_link(&mut self, address: SocketAddr) -> SocketAddr {
         if !self.has_links {
             return address;
         }
         let link = FaultLink::open(address, self.stop.clone()).await.unwrap();
-        let shown = link.address;
+        let link_address = link.address;
         self.links.push(link);
-        shown
+        link_address
     }
 
-    async fn with_nodes(mut self) -> Fleet {
+    async fn with_daemons(mut self) -> Fleet {
         let fleet = &mut self;
-        fleet.add_node("entry-1", "zone-1", true).await;
-        fleet.add_node("entry-2", "zone-2", true).await;
-        fleet.add_node("lots-1", "zone-1", false).await;
+        fleet.add_daemon("entry-1", "zone-1", true).await;
+        fleet.add_daemon("entry-2", "zone-2", true).await;
+        fleet.add_daemon("lots-1", "zone-1", false).await;
         fleet.wait_ready().await;
         self
     }
 
-    /// Writes the operators' settings: the customer has these keys and this rate.
+    /// Writes operators' settings that give the customer these keys and this rate.
     pub(crate) fn put_settings(&mut self, keys: &[&str], rate: f64) {
-        self.put_settings_with(keys, rate, &json!(0));
+        self.put_settings_with_bound(keys, rate, &json!(0));
     }
 
-    /// Writes the operators' settings: so many tokens of the customer's lots may wait.
-    pub(crate) fn put_bound(&mut self, bound: &Value) {
-        self.put_settings_with(&[KEY, SPARE_KEY], 1_000.0, bound);
+    /// Writes operators' settings that limit the waiting tokens of the customer's lots to
+    /// `token_bound`.
+    pub(crate) fn put_token_bound(&mut self, token_bound: &Value) {
+        self.put_settings_with_bound(&[KEY, SPARE_KEY], 1_000.0, token_bound);
     }
 
-    fn put_settings_with(&mut self, keys: &[&str], rate: f64, bound: &Value) {
+    fn put_settings_with_bound(&mut self, keys: &[&str], rate: f64, token_bound: &Value) {
         self.version += 3;
         let route = |prefix: &str, kind: &str, service: &str, resumable: bool| {
             json!({
                 "name": prefix, "host": HOST, "prefix": prefix, "kind": kind, "service": service,
                 "timeout_ms": 5_000, "target_latency_ms": 500, "priority": 0, "attempts": 2,
                 "public": false, "sticky": false, "resumable": resumable, "gap_aim_ms": 300,
-                "completion_target_ms": 15_000, "retention_s": 60, "cap": bound,
+                "completion_target_ms": 15_000, "retention_s": 60, "cap": token_bound,
             })
         };
         let settings = json!({
@@ -235,15 +238,20 @@
         self.store.put("op/config", settings.to_string().as_bytes());
     }
 
-    /// Starts a daemon, for callers or for lots.
-    pub(crate) async fn add_node(&mut self, name: &str, zone: &str, has_callers: bool) {
-        let door = KvDoor::open(self.store.clone(), self.stop.clone())
+    /// Starts a daemon that serves callers, or else one that runs lots.
+    pub(crate) async fn add_daemon(&mut self, name: &str, zone: &str, has_callers: bool) {
+        let store_endpoint = KvDoor::open(self.store.clone(), self.stop.clone())
             .await
             .unwrap();
-        let [callers, health, peers, metrics] = own_addresses();
-        let store = self.link_to(door.address).await;
+        let [
+            listen_address,
+            health_address,
+            peer_address,
+            metrics_address,
+        ] = unique_addresses();
+        let store = self.address_through_link(store_endpoint.address).await;
         let mut settings = json!({
-            "name": name, "zone": zone, "peers": peers, "metrics": metrics,
+            "name": name, "zone": zone, "peers": peer_address, "metrics": metrics_address,
             "runs_lots": !has_callers,
             "store": {
                 "address": store, "value_bytes": 1_048_576, "shortest_lease_s": 1.0,
@@ -251,200 +259,215 @@
             "stop_grace_s": 8, "results_kept_s": 120,
         });
         if has_callers {
-            settings["callers"] = json!(callers);
-            settings["health"] = json!(health);
+            settings["callers"] = json!(listen_address);
+            settings["health"] = json!(health_address);
         }
         let folder = tempfile::tempdir().unwrap();
         std::fs::write(folder.path().join("settings"), settings.to_string()).unwrap();
         let child = start_process(&folder);
-        let shown_callers = match has_callers {
-            true => Some(self.link_to(callers).await),
+        let reachable_at = match has_callers {
+            true => Some(self.address_through_link(listen_address).await),
             false => None,
         };
-        self.nodes.push(NodeProcess {
+        self.daemons.push(DaemonProcess {
             child,
-            callers: shown_callers,
-            health,
-            peers,
-            metrics,
-            door,
-            settings: folder,
+            caller_address: reachable_at,
+            health_address,
+            peer_address,
+            metrics_address,
+            store_endpoint,
+            data_folder: folder,
         });
     }
 
-    /// Where other daemons reach a daemon.
-    pub(crate) fn peers_of(&self, node: usize) -> SocketAddr {
-        self.nodes[node].peers
+    /// Returns the address at which other daemons reach a daemon.
+    pub(crate) fn peer_address(&self, daemon: usize) -> SocketAddr {
+        self.daemons[daemon].peer_address
     }
 
-    /// Kills a daemon at once, as a loss of power would.
-    pub(crate) fn kill(&mut self, node: usize) {
-        self.nodes[node].child.kill().unwrap();
-        self.nodes[node].child.wait().unwrap();
+    /// Kills a daemon without any warning, as a power failure would.
+    pub(crate) fn kill(&mut self, daemon: usize) {
+        self.daemons[daemon].child.kill().unwrap();
+        self.daemons[daemon].child.wait().unwrap();
     }
 
     /// Starts a daemon again that was killed.
-    pub(crate) fn restart(&mut self, node: usize) {
-        let child = start_process(&self.nodes[node].settings);
-        self.nodes[node].child = child;
+    pub(crate) fn restart(&mut self, daemon: usize) {
+        let child = start_process(&self.daemons[daemon].data_folder);
+        self.daemons[daemon].child = child;
     }
 
-    /// Takes the port at which a daemon shows its metrics, while it isn't running.
-    pub(crate) fn take_metrics_port(&self, node: usize) -> std::net::TcpListener {
-        std::net::TcpListener::bind(self.nodes[node].metrics).unwrap()
+    /// Occupies the metrics port of a daemon that isn't running.
+    pub(crate) fn occupy_metrics_port(&self, daemon: usize) -> std::net::TcpListener {
+        std::net::TcpListener::bind(self.daemons[daemon].metrics_address).unwrap()
     }
 
-    /// Starts a daemon again whose log nobody reads.
-    pub(crate) fn restart_unread(&mut self, node: usize) {
-        self.kill(node);
-        let mut command = node_command(&self.nodes[node].settings);
-        self.nodes[node].child = command.stdout(Stdio::piped()).spawn().unwrap();
+    /// Restarts a daemon with its log written to a pipe that is never read.
+    pub(crate) fn restart_with_unread_log(&mut self, daemon: usize) {
+        self.kill(daemon);
+        let mut command = daemon_command(&self.daemons[daemon].data_folder);
+        self.daemons[daemon].child = command.stdout(Stdio::piped()).spawn().unwrap();
     }
 
-    /// What all daemons logged of a request, a lot or an item, as an operator would
-    /// find it by its id.
-    pub(crate) async fn logged(&self, id: &str) -> Vec<Value> {
-        // Lines are gathered before they are written.
+    /// Returns the lines that all daemons logged with the id of a request, a lot or an
+    /// item.
+    pub(crate) async fn log_lines_with_id(&self, id: &str) -> Vec<Value> {
+        // Daemons buffer log lines before they write them.
         tokio::time::sleep(Duration::from_millis(400)).await;
         let mut found = Vec::new();
-        for node in &self.nodes {
-            let log = std::fs::read_to_string(node.settings.path().join("log")).unwrap();
+        for daemon in &self.daemons {
+            let log = std::fs::read_to_string(daemon.data_folder.path().join("log")).unwrap();
             let lines = log
                 .lines()
                 .filter_map(|it| serde_json::from_str::<Value>(it).ok());
-            let named = |it: &Value| {
+            let has_id = |it: &Value| {
                 let fields = it["kvs"].as_object();
                 fields.is_some_and(|it| it.values().any(|value| value == id))
             };
-            found.extend(lines.filter(named));
+            found.extend(lines.filter(has_id));
         }
         found
     }
 
-    /// Asks a daemon to stop.
-    pub(crate) fn terminate(&self, node: usize) {
-        self.signal(node, Signal::TERM);
+    /// Sends a daemon SIGTERM, which requests a graceful shutdown.
+    pub(crate) fn terminate(&self, daemon: usize) {
+        self.signal(daemon, Signal::TERM);
     }
 
-    /// Lets a daemon stand still.
-    pub(crate) fn pause(&self, node: usize) {
-        self.signal(node, Signal::STOP);
+    /// Pauses a daemon's process.
+    pub(crate) fn pause(&self, daemon: usize) {
+        self.signal(daemon, Signal::STOP);
     }
 
-    /// Lets a daemon go on that stands still.
-    pub(crate) fn resume(&self, node: usize) {
-        self.signal(node, Signal::CONT);
+    /// Resumes a paused daemon.
+    pub(crate) fn resume(&self, daemon: usize) {
+        self.signal(daemon, Signal::CONT);
     }
 
-    /// Fills the queue of a daemon that stands still with datagrams that say nothing, so
-    /// that what others tell it from now on is lost.
-    pub(crate) fn fill_queue(&self, node: usize) {
+    /// Fills the receive queue of a paused daemon with invalid datagrams, so that its
+    /// peers' messages from now on are dropped.
+    pub(crate) fn fill_receive_queue(&self, daemon: usize) {
         let socket = std::net::UdpSocket::bind(("127.0.0.1", 0)).unwrap();
         for length in [50_000, 1_000, 1] {
             for _ in 0..1_000 {
                 socket
-                    .send_to(&vec![0xff; length], self.nodes[node].peers)
+                    .send_to(&vec![0xff; length], self.daemons[daemon].peer_address)
                     .unwrap();
             }
         }
     }
 
-    fn signal(&self, node: usize, signal: Signal) {
-        let pid = Pid::from_raw(self.nodes[node].child.id() as i32).unwrap();
+    fn signal(&self, daemon: usize, signal: Signal) {
+        let pid = Pid::from_raw(self.daemons[daemon].child.id() as i32).unwrap();
         kill_process(pid, signal).unwrap();
     }
 
-    /// Waits until a daemon has ended, and returns whether it ended well.
-    pub(crate) async fn ended(&mut self, node: usize) -> bool {
-        let until = Instant::now() + PATIENCE;
+    /// Waits until a daemon has exited, and returns whether it exited with success.
+    pub(crate) async fn exits_cleanly(&mut self, daemon: usize) -> bool {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(status) = self.nodes[node].child.try_wait().unwrap() {
+            if let Some(status) = self.daemons[daemon].child.try_wait().unwrap() {
                 return status.success();
             }
-            assert!(Instant::now() < until, "daemon {node} doesn't end");
+            assert!(Instant::now() < until, "daemon {daemon} doesn't exit");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Waits until all daemons for callers are ready.
+    /// Waits until all entry daemons are ready.
     pub(crate) async fn wait_ready(&self) {
-        for node in self.nodes.iter().filter(|it| it.callers.is_some()) {
-            let address = node.health;
+        for daemon in self.daemons.iter().filter(|it| it.caller_address.is_some()) {
+            let address = daemon.health_address;
             self.eventually("a daemon is ready", async || self.is_ready(address).await)
                 .await;
         }
     }
 
-    /// Whether a daemon says that it is ready.
-    pub(crate) async fn says_ready(&self, node: usize) -> bool {
-        self.is_ready(self.nodes[node].health).await
+    /// Returns whether a daemon's health endpoint reports it as ready.
+    pub(crate) async fn reports_ready(&self, daemon: usize) -> bool {
+        self.is_ready(self.daemons[daemon].health_address).await
     }
 
     async fn is_ready(&self, address: SocketAddr) -> bool {
         let request = Request::get(format!("http://{address}/-/readyz"));
         let request = request.body(MessageBody::empty()).unwrap();
-        let answer = self.client.exchange(request, CALL, ANSWER_LIMIT).await;
-        answer.is_ok_and(|it| it.status() == StatusCode::OK)
+        let response = self
+            .client
+            .exchange(request, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
+            .await;
+        response.is_ok_and(|it| it.status() == StatusCode::OK)
     }
 
-    /// What a daemon counts.
-    pub(crate) async fn metrics(&self, node: usize) -> String {
-        let request = Request::get(format!("http://{}/metrics", self.nodes[node].metrics));
+    /// Returns a daemon's metrics as text.
+    pub(crate) async fn metrics(&self, daemon: usize) -> String {
+        let request = Request::get(format!(
+            "http://{}/metrics",
+            self.daemons[daemon].metrics_address
+        ));
         let request = request.body(MessageBody::empty()).unwrap();
-        let answer = self
+        let response = self
             .client
-            .exchange(request, CALL, ANSWER_LIMIT)
+            .exchange(request, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
             .await
             .unwrap();
-        String::from_utf8_lossy(answer.body()).into_owned()
+        String::from_utf8_lossy(response.body()).into_owned()
     }
 
-    /// What a daemon shows another one of a lot, as all there is; nothing where it
-    /// can't speak for the lot.
-    pub(crate) async fn shown_to_peers(&self, node: usize, lot: &str) -> Option<Value> {
-        let address = self.nodes[node].peers;
+    /// Reads a lot as a peer does. Returns nothing where the daemon can't confirm that its
+    /// copy is complete.
+    pub(crate) async fn read_lot_as_peer(&self, daemon: usize, lot: &str) -> Option<Value> {
+        let address = self.daemons[daemon].peer_address;
         let request = Request::get(format!("http://{address}/lots/{lot}/0"));
         let request = request.body(MessageBody::empty()).unwrap();
-        let answer = self.client.exchange(request, CALL, ANSWER_LIMIT).await;
-        let answer = answer.unwrap();
-        (answer.status() == StatusCode::OK).then(|| serde_json::from_slice(answer.body()).unwrap())
+        let response = self
+            .client
+            .exchange(request, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
+            .await;
+        let response = response.unwrap();
+        (response.status() == StatusCode::OK)
+            .then(|| serde_json::from_slice(response.body()).unwrap())
     }
 
-    /// Callers of its daemons.
+    /// Returns a sender of requests to the daemons that have been added so far.
     pub(crate) fn callers(&self) -> Callers {
         Callers {
-            doors: self.nodes.iter().map(|it| it.callers).collect(),
+            addresses: self.daemons.iter().map(|it| it.caller_address).collect(),
             client: self.client.clone(),
         }
     }
 
     /// Asks a daemon and reads its whole answer; an error where it breaks off.
-    pub(crate) async fn ask(&self, node: usize, ask: Ask<'_>) -> Result<Response<Bytes>, String> {
-        self.callers().ask(node, ask).await
+    pub(crate) async fn send(
+        &self,
+        daemon: usize,
+        call: CallerRequest<'_>,
+    ) -> Result<Response<Bytes>, String> {
+        self.callers().send(daemon, call).await
     }
 
     /// Hands a lot in, and returns the status of the answer.
-    pub(crate) async fn hand_in(
+    pub(crate) async fn submit_lot(
         &self,
-        node: usize,
+        daemon: usize,
         lot: &str,
         bodies: &[&str],
     ) -> Result<StatusCode, String> {
-        self.callers().hand_in(node, lot, bodies).await
+        self.callers().submit_lot(daemon, lot, bodies).await
     }
 
-    /// Reads a lot's results from a position on.
-    pub(crate) async fn read_lot(&self, node: usize, lot: &str, after: usize) -> Option<Value> {
+    /// Reads a lot's results from a position on; nothing unless the status is 200.
+    pub(crate) async fn read_lot(&self, daemon: usize, lot: &str, after: usize) -> Option<Value> {
         let path = format!("/-/lots/{lot}?after={after}");
-        let answer = self.ask(node, Ask::get(&path)).await.ok()?;
-        (answer.status() == StatusCode::OK).then(|| serde_json::from_slice(answer.body()).unwrap())
+        let response = self.send(daemon, CallerRequest::get(&path)).await.ok()?;
+        (response.status() == StatusCode::OK)
+            .then(|| serde_json::from_slice(response.body()).unwrap())
     }
 
     /// Reads a lot until it has all its results.
-    pub(crate) async fn whole_lot(&self, node: usize, lot: &str) -> Value {
-        let until = Instant::now() + PATIENCE;
+    pub(crate) async fn read_finished_lot(&self, daemon: usize, lot: &str) -> Value {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let page = self.read_lot(node, lot, 0).await;
+            let page = self.read_lot(daemon, lot, 0).await;
             if let Some(page) = page.filter(|it| it["next"] == it["total"]) {
                 return page;
             }
@@ -453,11 +476,11 @@
         }
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds; `what` names it in the message of a failure.
     pub(crate) async fn eventually(&self, what: &str, mut holds: impl AsyncFnMut() -> bool) {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while !holds().await {
-            assert!(Instant::now() < until, "not in time: {what}");
+            assert!(Instant::now() < until, "timed out waiting until {what}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -465,26 +488,33 @@
 
 impl Callers {
     /// Asks a daemon and reads its whole answer; an error where it breaks off.
-    pub(crate) async fn ask(&self, node: usize, ask: Ask<'_>) -> Result<Response<Bytes>, String> {
-        let address = self.doors[node].unwrap();
+    pub(crate) async fn send(
+        &self,
+        daemon: usize,
+        call: CallerRequest<'_>,
+    ) -> Result<Response<Bytes>, String> {
+        let address = self.addresses[daemon].unwrap();
         let request = Request::builder()
-            .method(ask.method)
-            .uri(format!("http://{address}{}", ask.path))
+            .method(call.method)
+            .uri(format!("http://{address}{}", call.path))
             .header("host", HOST)
-            .header("x-request-id", ask.id)
+            .header("x-request-id", call.id)
             .header("x-deadline-ms", "5000")
-            .header("x-wait-ms", ask.wait_ms)
-            .header("api-key", ask.key)
-            .body(MessageBody::from(ask.body.to_vec()))
+            .header("x-wait-ms", call.wait_ms)
+            .header("api-key", call.key)
+            .body(MessageBody::from(call.body.to_vec()))
             .unwrap();
-        let answer = self.client.exchange(request, CALL, ANSWER_LIMIT).await;
-        answer.map_err(|error| error.to_string())
+        let response = self
+            .client
+            .exchange(request, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
+            .await;
+        response.map_err(|error| error.to_string())
     }
 
     /// Hands a lot in, and returns the status of the answer.
-    pub(crate) async fn hand_in(
+    pub(crate) async fn submit_lot(
         &self,
-        node: usize,
+        daemon: usize,
         lot: &str,
         bodies: &[&str],
     ) -> Result<StatusCode, String> {
@@ -495,14 +525,14 @@
             .collect();
         let body = json!({"items": items}).to_string();
         let path = format!("/lots/{lot}");
-        let answer = self
-            .ask(node, Ask::post(&path, lot, body.as_bytes()))
+        let response = self
+            .send(daemon, CallerRequest::post(&path, lot, body.as_bytes()))
             .await?;
-        Ok(answer.status())
+        Ok(response.status())
     }
 }
 
-/// An item of a lot, as it is handed in.
+/// Returns an item of a lot as it is submitted.
 pub(crate) fn item(lot: &str, number: usize, body: &str) -> Value {
     use base64::Engine as _;
     let body = base64::engine::general_purpose::STANDARD.encode(body);
@@ -512,40 +542,40 @@
     })
 }
 
-/// What a whole stream looks like.
-pub(crate) fn whole_stream() -> String {
+/// Returns the complete stream of an engine.
+pub(crate) fn expected_stream() -> String {
     (1..=12)
         .map(|id| format!("id: {id}\ndata: word {id}\n\n"))
         .collect()
 }
 
-/// What the output of an item looks like.
-pub(crate) fn whole_output() -> String {
+/// Returns the output of an item that was run to its end.
+pub(crate) fn expected_output() -> String {
     let words: Vec<String> = (1..=12).map(|id| format!("word {id}")).collect();
     words.join("\n")
 }
 
-impl Drop for NodeProcess {
+impl Drop for DaemonProcess {
     fn drop(&mut self) {
-        // One that has ended already needs no kill.
+        // A process that has exited already can't be killed.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl Drop for Fleet {
-    /// Where a test failed, what the daemons logged last tells why.
+    /// On a failed test, prints the end of each daemon's log.
     fn drop(&mut self) {
         if std::thread::panicking() {
-            for node in &self.nodes {
-                let path = node.settings.path().join("log");
+            for daemon in &self.daemons {
+                let path = daemon.data_folder.path().join("log");
                 let log = std::fs::read_to_string(path).unwrap_or_default();
                 let lines: Vec<&str> = log.lines().collect();
-                let last = &lines[lines.len().saturating_sub(LAST_LINES)..];
-                eprintln!("{}:\n{}", node.peers, last.join("\n"));
-                if let Ok(folder) = std::env::var(LOG_FOLDER) {
-                    let name = format!("{}-{}.log", std::process::id(), node.peers.ip());
-                    // The lines above stand in any case.
+                let last = &lines[lines.len().saturating_sub(LOG_TAIL_LINES)..];
+                eprintln!("{}:\n{}", daemon.peer_address, last.join("\n"));
+                if let Ok(folder) = std::env::var(LOG_FOLDER_VARIABLE) {
+                    let name = format!("{}-{}.log", std::process::id(), daemon.peer_address.ip());
+                    // Not essential: the end of the log was printed above.
                     let _ = std::fs::write(std::path::Path::new(&folder).join(name), &log);
                 }
             }
@@ -561,10 +591,10 @@
         .append(true)
         .open(folder.path().join("log"))
         .unwrap();
-    node_command(folder).stdout(log).spawn().unwrap()
+    daemon_command(folder).stdout(log).spawn().unwrap()
 }
 
-fn node_command(folder: &tempfile::TempDir) -> Command {
+fn daemon_command(folder: &tempfile::TempDir) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_comfreyramp-node"));
     command
         .arg("serve")
@@ -575,10 +605,10 @@
     command
 }
 
-/// Addresses of a daemon's own, of the loopback range. With one address for all,
-/// a port that was free a moment ago may be in use for some connection by the
-/// time that the daemon listens at it.
-fn own_addresses() -> [SocketAddr; 4] {
+/// Returns addresses in the loopback range that belong to one daemon alone. If all daemons
+/// shared one address, a port that was free a moment ago could be taken by a connection
+/// before the daemon listens on it.
+fn unique_addresses() -> [SocketAddr; 4] {
     static DAEMONS: AtomicU8 = AtomicU8::new(1);
     let daemon = DAEMONS.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
--- a/crates/node/tests/lot_bound.rs
+++ b/crates/node/tests/lot_bound.rs
@@ -1,9 +1,10 @@
-//! The bound on the tokens of a customer's lots that wait, over all daemons.
+//! The bound on the waiting tokens of a customer's lots, which holds over all daemons
+//! together.
 
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
-    reason = "tests end where something is missing"
+    reason = "a test fails where something is missing"
 )]
 
 mod fleet;
@@ -11,34 +12,34 @@
 use std::time::Duration;
 
 use comfreyramp_http::StatusCode;
-use fleet::{Ask, Fleet, item};
+use fleet::{CallerRequest, Fleet, item};
 use futures::future::join_all;
 use serde_json::{Value, json};
 
-/// The place of the only daemon that runs lots.
-const LOTS: usize = 2;
-/// The tokens of an item of the test fleet.
+/// The index of the only daemon that runs lots.
+const LOT_DAEMON: usize = 2;
+/// The tokens of each item that the fleet's callers submit.
 const ITEM_TOKENS: usize = 10;
 const BOUND: usize = 100;
-/// Three items: three lots of them fit, and a part of a fourth one.
-const BODIES: [&str; 3] = ["one", "two", "three"];
-/// Settings are in force everywhere within this time.
-const SETTLED: Duration = Duration::from_millis(1_500);
+/// The three items of a lot. The bound admits three such lots and a part of a fourth.
+const LOT_BODIES: [&str; 3] = ["one", "two", "three"];
+/// Changed settings are in force at every daemon within this time.
+const SETTINGS_DELAY: Duration = Duration::from_millis(1_500);
 
-/// A fleet with the bound, of which nobody runs lots.
+/// Starts a fleet with the bound and without a daemon that runs lots.
 async fn bounded_fleet() -> Fleet {
     let mut fleet = Fleet::started().await;
-    fleet.kill(LOTS);
-    set_bound(&mut fleet, BOUND).await;
+    fleet.kill(LOT_DAEMON);
+    set_token_bound(&mut fleet, BOUND).await;
     fleet
 }
 
-async fn set_bound(fleet: &mut Fleet, bound: usize) {
-    fleet.put_bound(&json!(bound));
-    tokio::time::sleep(SETTLED).await;
+async fn set_token_bound(fleet: &mut Fleet, bound: usize) {
+    fleet.put_token_bound(&json!(bound));
+    tokio::time::sleep(SETTINGS_DELAY).await;
 }
 
-/// The tokens of all lots that the store holds.
+/// Returns the tokens of all lots in the store.
 fn accepted_tokens(fleet: &Fleet) -> usize {
     let keys = fleet.store.keys("lots/data/");
     let heads = keys.iter().filter(|it| it.key.ends_with("/head"));
@@ -49,17 +50,19 @@
     totals.sum::<usize>() * ITEM_TOKENS
 }
 
-async fn hand_in(fleet: &Fleet, node: usize, lot: &str) -> StatusCode {
-    fleet.hand_in(node, lot, &BODIES).await.unwrap()
+async fn submit_lot(fleet: &Fleet, daemon: usize, lot: &str) -> StatusCode {
+    fleet.submit_lot(daemon, lot, &LOT_BODIES).await.unwrap()
 }
 
-/// Two daemons each count a customer's tokens, find room, and both use it.
+/// Guards against two daemons that each count a customer's tokens, both find the same
+/// capacity, and both use it.
 #[tokio::test(flavor = "multi_thread")]
 async fn daemons_that_accept_at_once_keep_the_bound_together() {
     let mut fleet = bounded_fleet().await;
     let lots: Vec<String> = (0..12).map(|it| format!("lot-{it}")).collect();
-    let asks = lots.iter().enumerate();
-    let statuses = join_all(asks.map(|(place, lot)| hand_in(&fleet, place % 2, lot))).await;
+    let submissions = lots.iter().enumerate();
+    let statuses =
+        join_all(submissions.map(|(index, lot)| submit_lot(&fleet, index % 2, lot))).await;
     let accepted = statuses
         .iter()
         .filter(|it| **it == StatusCode::ACCEPTED)
@@ -72,186 +75,214 @@
     assert_eq!(accepted_tokens(&fleet), 90);
 
     for (lot, status) in lots.iter().zip(&statuses) {
-        let repeat = hand_in(&fleet, 1, lot).await;
-        assert_eq!(repeat, *status, "a repeat of {lot}");
+        let repeat = submit_lot(&fleet, 1, lot).await;
+        assert_eq!(repeat, *status, "repeated submission of {lot}");
     }
-    assert_eq!(accepted_tokens(&fleet), 90, "a repeat is counted once");
+    assert_eq!(
+        accepted_tokens(&fleet),
+        90,
+        "a repeated submission isn't counted again"
+    );
 
-    fleet.restart(LOTS);
+    fleet.restart(LOT_DAEMON);
     for (lot, _) in lots.iter().zip(&statuses).filter(|it| it.1.is_success()) {
-        fleet.whole_lot(0, lot).await;
+        fleet.read_finished_lot(0, lot).await;
     }
     let refused = lots.iter().zip(&statuses).find(|it| !it.1.is_success());
     let (lot, _) = refused.unwrap();
     fleet
-        .eventually("there is room again", async || {
-            hand_in(&fleet, 0, lot).await == StatusCode::ACCEPTED
+        .eventually("the bound admits a lot again", async || {
+            submit_lot(&fleet, 0, lot).await == StatusCode::ACCEPTED
         })
         .await;
 }
 
-/// The store does a write only after its daemon gave up, and other lots took the room
-/// meanwhile.
+/// Guards against a write that takes effect only after its daemon gave it up, when other
+/// lots have used its capacity.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_write_takes_no_room_twice() {
+async fn a_late_write_does_not_use_capacity_twice() {
     let fleet = bounded_fleet().await;
-    assert_eq!(hand_in(&fleet, 0, "lot-a").await, StatusCode::ACCEPTED);
-    assert_eq!(hand_in(&fleet, 0, "lot-b").await, StatusCode::ACCEPTED);
-    let late = Duration::from_millis(1_500);
-    for node in &fleet.nodes[..LOTS] {
-        node.door.faults.delay_writes(1_000, late);
+    assert_eq!(submit_lot(&fleet, 0, "lot-a").await, StatusCode::ACCEPTED);
+    assert_eq!(submit_lot(&fleet, 0, "lot-b").await, StatusCode::ACCEPTED);
+    let write_delay = Duration::from_millis(1_500);
+    for daemon in &fleet.daemons[..LOT_DAEMON] {
+        daemon
+            .store_endpoint
+            .faults
+            .delay_writes(1_000, write_delay);
     }
-    let (first, second) = tokio::join!(hand_in(&fleet, 0, "lot-c"), async {
+    let (first, second) = tokio::join!(submit_lot(&fleet, 0, "lot-c"), async {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        fleet.nodes[1].door.faults.delay_writes(0, late);
-        hand_in(&fleet, 1, "lot-d").await
+        fleet.daemons[1]
+            .store_endpoint
+            .faults
+            .delay_writes(0, write_delay);
+        submit_lot(&fleet, 1, "lot-d").await
     });
-    tokio::time::sleep(2 * late).await;
+    tokio::time::sleep(2 * write_delay).await;
     assert_eq!(accepted_tokens(&fleet), 90, "{first} and {second}");
     for (lot, status) in [("lot-c", first), ("lot-d", second)] {
-        let is_kept = !fleet
+        let is_stored = !fleet
             .store
             .keys(&format!("lots/data/{lot}/head"))
             .is_empty();
         match status {
-            StatusCode::ACCEPTED => assert!(is_kept, "{lot}"),
+            StatusCode::ACCEPTED => assert!(is_stored, "{lot}"),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                assert!(!is_kept, "{lot}");
+                assert!(!is_stored, "{lot}");
             }
             _ => {}
         }
     }
-    fleet.nodes[0].door.faults.delay_writes(0, late);
-    let status = hand_in(&fleet, 0, "lot-e").await;
+    fleet.daemons[0]
+        .store_endpoint
+        .faults
+        .delay_writes(0, write_delay);
+    let status = submit_lot(&fleet, 0, "lot-e").await;
     assert_eq!(status, StatusCode::TOO_MANY_REQUESTS);
 }
 
-/// A lot is kept though the answer of the store was lost, and its caller sends it again.
+/// A lot is stored although the store's answer was lost, and its caller submits it again.
+/// It must be counted once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lot_whose_answer_was_lost_is_counted_once() {
     let fleet = bounded_fleet().await;
-    fleet.nodes[0].door.faults.lose_answers(2);
-    assert_eq!(hand_in(&fleet, 0, "lot-a").await, StatusCode::ACCEPTED);
+    fleet.daemons[0].store_endpoint.faults.lose_answers(2);
+    assert_eq!(submit_lot(&fleet, 0, "lot-a").await, StatusCode::ACCEPTED);
     for lot in ["lot-a", "lot-b", "lot-c"] {
-        assert_eq!(hand_in(&fleet, 1, lot).await, StatusCode::ACCEPTED, "{lot}");
+        assert_eq!(
+            submit_lot(&fleet, 1, lot).await,
+            StatusCode::ACCEPTED,
+            "{lot}"
+        );
     }
-    let status = hand_in(&fleet, 0, "lot-d").await;
+    let status = submit_lot(&fleet, 0, "lot-d").await;
     assert_eq!(status, StatusCode::TOO_MANY_REQUESTS);
 }
 
-/// The tokens of lots that were ended never come back.
+/// Guards against tokens of ended lots that are never returned.
 #[tokio::test(flavor = "multi_thread")]
 async fn tokens_of_ended_lots_come_back() {
     let fleet = bounded_fleet().await;
     for lot in ["lot-a", "lot-b", "lot-c"] {
-        assert_eq!(hand_in(&fleet, 0, lot).await, StatusCode::ACCEPTED);
+        assert_eq!(submit_lot(&fleet, 0, lot).await, StatusCode::ACCEPTED);
     }
-    let end = Ask {
+    let end = CallerRequest {
         method: comfreyramp_http::Method::DELETE,
-        ..Ask::get("/-/lots/lot-b")
+        ..CallerRequest::get("/-/lots/lot-b")
     };
-    assert_eq!(fleet.ask(1, end).await.unwrap().status(), StatusCode::OK);
+    assert_eq!(fleet.send(1, end).await.unwrap().status(), StatusCode::OK);
     fleet
-        .eventually("there is room for one more", async || {
-            hand_in(&fleet, 0, "lot-d").await == StatusCode::ACCEPTED
+        .eventually("the bound admits one more lot", async || {
+            submit_lot(&fleet, 0, "lot-d").await == StatusCode::ACCEPTED
         })
         .await;
-    let status = hand_in(&fleet, 1, "lot-e").await;
+    let status = submit_lot(&fleet, 1, "lot-e").await;
     assert_eq!(status, StatusCode::TOO_MANY_REQUESTS);
 }
 
-/// A bound that is set while lots wait forgets those that were accepted without it.
+/// A bound that is set while lots wait must also count those that were accepted without
+/// one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_bound_counts_what_waits_already() {
     let mut fleet = Fleet::started().await;
-    fleet.kill(LOTS);
+    fleet.kill(LOT_DAEMON);
     for lot in ["lot-a", "lot-b", "lot-c", "lot-d"] {
-        assert_eq!(hand_in(&fleet, 0, lot).await, StatusCode::ACCEPTED);
+        assert_eq!(submit_lot(&fleet, 0, lot).await, StatusCode::ACCEPTED);
     }
-    set_bound(&mut fleet, BOUND).await;
-    for node in [0, 1] {
-        let status = hand_in(&fleet, node, "lot-e").await;
+    set_token_bound(&mut fleet, BOUND).await;
+    for daemon in [0, 1] {
+        let status = submit_lot(&fleet, daemon, "lot-e").await;
         assert_eq!(status, StatusCode::TOO_MANY_REQUESTS);
     }
-    set_bound(&mut fleet, 2 * BOUND).await;
-    assert_eq!(hand_in(&fleet, 1, "lot-e").await, StatusCode::ACCEPTED);
-    set_bound(&mut fleet, BOUND / 2).await;
-    let status = hand_in(&fleet, 0, "lot-f").await;
+    set_token_bound(&mut fleet, 2 * BOUND).await;
+    assert_eq!(submit_lot(&fleet, 1, "lot-e").await, StatusCode::ACCEPTED);
+    set_token_bound(&mut fleet, BOUND / 2).await;
+    let status = submit_lot(&fleet, 0, "lot-f").await;
     assert_eq!(status, StatusCode::TOO_MANY_REQUESTS);
 }
 
-/// A customer is refused for ever because of a count of lots that are gone, or that
-/// can't be read.
+/// Guards against a customer that is refused for ever because of a count that can't be read
+/// or that includes lots which are gone.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_wrong_ledger_heals() {
+async fn a_wrong_ledger_is_repaired() {
     let fleet = bounded_fleet().await;
-    assert_eq!(hand_in(&fleet, 0, "lot-a").await, StatusCode::ACCEPTED);
+    assert_eq!(submit_lot(&fleet, 0, "lot-a").await, StatusCode::ACCEPTED);
     let ledger = fleet.store.keys("lots/waiting/").remove(0).key;
-    let leaked = json!({"bound": BOUND, "lots": [{"lot": "lot-x", "tokens": BOUND}]});
-    for (place, value) in [leaked.to_string(), "damaged".to_owned()]
+    let outdated = json!({"bound": BOUND, "lots": [{"lot": "lot-x", "tokens": BOUND}]});
+    for (index, value) in [outdated.to_string(), "damaged".to_owned()]
         .iter()
         .enumerate()
     {
         fleet.store.put(&ledger, value.as_bytes());
-        let lot = format!("lot-b{place}");
-        assert_eq!(hand_in(&fleet, place, &lot).await, StatusCode::ACCEPTED);
+        let lot = format!("lot-b{index}");
+        assert_eq!(submit_lot(&fleet, index, &lot).await, StatusCode::ACCEPTED);
     }
-    let status = hand_in(&fleet, 0, "lot-c").await;
+    let status = submit_lot(&fleet, 0, "lot-c").await;
     assert_eq!(
         status,
         StatusCode::TOO_MANY_REQUESTS,
-        "lot-a is counted still"
+        "lot-a is still counted"
     );
 }
 
-/// A lot is refused without a word of when to come back, or with one though it never fits.
+/// A refused lot must be answered with the time of a retry, but without one if it can never
+/// fit.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_tells_when_there_is_room() {
+async fn a_refusal_says_when_to_retry() {
     let fleet = bounded_fleet().await;
-    let ask = async |lot: &str, items: usize| {
+    let submit = async |lot: &str, items: usize| {
         let items: Vec<Value> = (0..items).map(|it| item(lot, it, "body")).collect();
         let body = json!({"items": items}).to_string();
         let path = format!("/lots/{lot}");
-        let asked = fleet.ask(0, Ask::post(&path, lot, body.as_bytes())).await;
-        asked.unwrap()
+        let response = fleet
+            .send(0, CallerRequest::post(&path, lot, body.as_bytes()))
+            .await;
+        response.unwrap()
     };
-    assert_eq!(ask("lot-a", 10).await.status(), StatusCode::ACCEPTED);
-    let full = ask("lot-b", 1).await;
+    assert_eq!(submit("lot-a", 10).await.status(), StatusCode::ACCEPTED);
+    let full = submit("lot-b", 1).await;
     assert_eq!(full.status(), StatusCode::TOO_MANY_REQUESTS);
-    let retry: f64 = full.headers()["retry-after"]
+    let retry_after: f64 = full.headers()["retry-after"]
         .to_str()
         .unwrap()
         .parse()
         .unwrap();
-    assert!((0.5..=15.0).contains(&retry), "{retry}");
-    let too_large = ask("lot-c", 11).await;
+    assert!((0.5..=15.0).contains(&retry_after), "{retry_after}");
+    let too_large = submit("lot-c", 11).await;
     assert_eq!(too_large.status(), StatusCode::TOO_MANY_REQUESTS);
     assert!(!too_large.headers().contains_key("retry-after"));
 }
 
-/// Counts that are no counts end a daemon, or leave a lot uncounted.
+/// Guards against invalid counts that crash a daemon or leave a lot uncounted.
 #[tokio::test(flavor = "multi_thread")]
 async fn unusable_counts_are_refused() {
     let mut fleet = bounded_fleet().await;
     let cases = [json!(-1), json!("many"), json!(1.5), json!(u64::MAX)];
-    for (place, tokens) in cases.iter().enumerate() {
-        let lot = format!("lot-{place}");
+    for (index, tokens) in cases.iter().enumerate() {
+        let lot = format!("lot-{index}");
         let mut items = vec![item(&lot, 0, "body"), item(&lot, 1, "body")];
         items[1]["tokens"] = tokens.clone();
         let body = json!({"items": items}).to_string();
         let path = format!("/lots/{lot}");
-        let asked = fleet.ask(0, Ask::post(&path, &lot, body.as_bytes())).await;
-        assert_eq!(asked.unwrap().status(), StatusCode::BAD_REQUEST, "{tokens}");
+        let response = fleet
+            .send(0, CallerRequest::post(&path, &lot, body.as_bytes()))
+            .await;
+        assert_eq!(
+            response.unwrap().status(),
+            StatusCode::BAD_REQUEST,
+            "{tokens}"
+        );
     }
-    fleet.put_bound(&json!("much"));
-    tokio::time::sleep(SETTLED).await;
+    fleet.put_token_bound(&json!("much"));
+    tokio::time::sleep(SETTINGS_DELAY).await;
     for lot in ["lot-a", "lot-b", "lot-c"] {
-        assert_eq!(hand_in(&fleet, 0, lot).await, StatusCode::ACCEPTED);
+        assert_eq!(submit_lot(&fleet, 0, lot).await, StatusCode::ACCEPTED);
     }
-    let status = hand_in(&fleet, 0, "lot-d").await;
+    let status = submit_lot(&fleet, 0, "lot-d").await;
     assert_eq!(
         status,
         StatusCode::TOO_MANY_REQUESTS,
-        "the former bound is kept"
+        "the previous bound stays in force"
     );
 }
--- a/crates/node/tests/soak/checks.rs
+++ b/crates/node/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold once faults are over.
+//! Guarantees that must hold once all faults are over.
 
 use std::time::{Duration, Instant};
 
@@ -7,55 +7,55 @@
 use serde_json::Value;
 
 use crate::{
-    DAEMONS, ENTRIES, Stage,
+    DAEMONS, ENTRY_DAEMONS, SoakContext,
     fault_plan::STORE_LINKS,
     fleet::Fleet,
-    harm_log::{Harm, HarmLog},
+    harm_log::{ActiveFault, FaultLog},
     readers::read_page,
-    traffic::Told,
+    traffic::OnceRequest,
 };
 
-/// After so long without faults every accepted lot must be finished.
-const CALM: Duration = Duration::from_secs(15);
-/// An ended lot is left alone after so long.
-const END_SPAN: Duration = Duration::from_millis(3_000);
+/// Every accepted lot must be finished within this time after the last fault.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(15);
+/// No item of an ended lot may start later than this after the acknowledgement of the end.
+const MAX_END_DELAY: Duration = Duration::from_millis(3_000);
 
-/// What may run once ran once at most, and never where its caller was told that
-/// it hadn't.
-pub(crate) fn check_runs(fleet: &Fleet, told: &[Told], seed: u64) {
-    let arrivals: Vec<_> = fleet.runners.iter().flat_map(|it| it.arrivals()).collect();
-    for told in told {
+/// Checks that each request which may run once ran at most once, and not at all if its
+/// caller was told that it hadn't run.
+pub(crate) fn check_runs(fleet: &Fleet, requests: &[OnceRequest], seed: u64) {
+    let arrivals: Vec<_> = fleet.servers.iter().flat_map(|it| it.arrivals()).collect();
+    for request in requests {
         let runs = arrivals
             .iter()
-            .filter(|it| it.ran && it.request_id == told.id);
-        let most = if told.was_refused { 0 } else { 1 };
+            .filter(|it| it.ran && it.request_id == request.id);
+        let max_runs = if request.was_refused { 0 } else { 1 };
         let runs = runs.count();
         assert!(
-            runs <= most,
+            runs <= max_runs,
             "seed {seed}: {} ran {runs} times, refused: {}",
-            told.id,
-            told.was_refused
+            request.id,
+            request.was_refused
         );
     }
 }
 
-/// Every lot that was accepted is finished, unless it was ended, and all that was
-/// ever shown of it is there at each daemon.
-pub(crate) async fn check_lots(stage: &Stage) {
-    let until = Instant::now() + CALM;
+/// Checks that every accepted lot is finished unless it was ended, and that each daemon
+/// returns all results that readers have ever received of it.
+pub(crate) async fn check_lots(context: &SoakContext) {
+    let deadline = Instant::now() + FINISH_TIMEOUT;
     let lots: Vec<(String, bool)> = {
-        let ledger = stage.ledger();
+        let ledger = context.ledger();
         let lots = ledger.lots.iter();
-        lots.map(|it| (it.id.clone(), it.end_asked.is_some()))
+        lots.map(|it| (it.id.clone(), it.end_requested_at.is_some()))
             .collect()
     };
     for (lot, is_ended) in lots {
-        for node in 0..ENTRIES {
-            while !is_whole(stage, node, &lot, is_ended).await {
+        for daemon in 0..ENTRY_DAEMONS {
+            while !has_all_results(context, daemon, &lot, is_ended).await {
                 assert!(
-                    Instant::now() < until,
-                    "seed {}: {lot} isn't finished at daemon {node}",
-                    stage.seed
+                    Instant::now() < deadline,
+                    "seed {}: {lot} isn't finished at daemon {daemon}",
+                    context.seed
                 );
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
@@ -63,73 +63,75 @@
     }
 }
 
-/// Whether a daemon shows all results of a lot, or all that were shown of one that was
-/// ended. The ledger holds them against what others showed.
-async fn is_whole(stage: &Stage, node: usize, lot: &str, is_ended: bool) -> bool {
-    let Some(answer) = read_page(stage, node, lot, 0).await else {
+/// Returns whether a daemon returns all results of a lot, or, of an ended lot, all that
+/// readers have received. The ledger compares them with those that others received.
+async fn has_all_results(context: &SoakContext, daemon: usize, lot: &str, is_ended: bool) -> bool {
+    let Some(response) = read_page(context, daemon, lot, 0).await else {
         return false;
     };
-    if answer.status() != StatusCode::OK {
+    if response.status() != StatusCode::OK {
         return false;
     }
-    let page: Value = serde_json::from_slice(answer.body()).unwrap();
-    let known = stage.ledger().lot(lot).known();
-    page["next"] == page["total"] || is_ended && page["next"] == known
+    let page: Value = serde_json::from_slice(response.body()).unwrap();
+    let observed = context.ledger().lot(lot).observed_count();
+    page["next"] == page["total"] || is_ended && page["next"] == observed
 }
 
-/// No item of a lot reaches a server later than a moment after the lot's end was
-/// acknowledged.
-pub(crate) fn check_ends(fleet: &Fleet, stage: &Stage) {
-    let harms = stage.harms();
-    for (place, runner) in fleet.runners.iter().enumerate() {
-        for arrival in runner.arrivals() {
-            let late = late_arrival(stage, &arrival);
-            if let Some(late) = late.filter(|_| !is_excused(&harms, place, arrival.at)) {
+/// Checks that no item of a lot reaches a server long after the lot's end was acknowledged.
+pub(crate) fn check_ends(fleet: &Fleet, context: &SoakContext) {
+    let fault_log = context.fault_log();
+    for (index, server) in fleet.servers.iter().enumerate() {
+        for arrival in server.arrivals() {
+            let late = late_arrival(context, &arrival);
+            if let Some(late) = late.filter(|_| !is_excused(&fault_log, index, arrival.at)) {
                 let text = format!(
-                    "{} arrives {late:?} after its lot's end",
+                    "{} arrives {late:?} after the end of its lot",
                     arrival.request_id
                 );
-                stage.ledger().broken.push(text);
+                context.ledger().violations.push(text);
             }
         }
     }
 }
 
-/// Nothing runs of a lot that was refused whenever it was handed in.
-pub(crate) fn check_refused(fleet: &Fleet, stage: &Stage) {
-    let mut ledger = stage.ledger();
+/// Checks that nothing runs of a lot that was refused at each submission.
+pub(crate) fn check_refused(fleet: &Fleet, context: &SoakContext) {
+    let mut ledger = context.ledger();
     let refused = std::mem::take(&mut ledger.refused);
-    for arrival in fleet.runners.iter().flat_map(|it| it.arrivals()) {
+    for arrival in fleet.servers.iter().flat_map(|it| it.arrivals()) {
         let lot = arrival.request_id.rsplit_once('-').map(|it| it.0);
         if arrival.ran && refused.iter().any(|it| Some(it.as_str()) == lot) {
-            let text = format!("{} runs, of a refused lot", arrival.request_id);
-            ledger.broken.push(text);
+            let text = format!("{} ran although its lot was refused", arrival.request_id);
+            ledger.violations.push(text);
         }
     }
 }
 
-/// How long after the acknowledged end of its lot an item began to run, if that is
-/// too late.
-fn late_arrival(stage: &Stage, arrival: &RunnerArrival) -> Option<Duration> {
+/// Returns how long after the acknowledged end of its lot an item started, if that is too
+/// late.
+fn late_arrival(context: &SoakContext, arrival: &RunnerArrival) -> Option<Duration> {
     let (lot, _) = arrival.request_id.rsplit_once('-')?;
-    let ledger = stage.ledger();
+    let ledger = context.ledger();
     let record = ledger.lots.iter().find(|it| it.id == lot)?;
-    let late = arrival.at.checked_duration_since(record.end_told?)?;
-    (arrival.ran && late > END_SPAN).then_some(late)
+    let late = arrival
+        .at
+        .checked_duration_since(record.end_acknowledged_at?)?;
+    (arrival.ran && late > MAX_END_DELAY).then_some(late)
 }
 
-/// Whether the item was sent by a daemon that may not have heard of the end, because
-/// it stood still or the store was out of its reach, or was held up on its way. Which
-/// daemon sent it isn't known, so that any of those that run lots will do.
-fn is_excused(harms: &HarmLog, server: usize, at: Instant) -> bool {
+/// Returns whether the item may have been sent by a daemon that didn't know of the end,
+/// because it was paused or couldn't reach the store, or whether the item was delayed on
+/// its way. Which daemon sent it isn't known, so a fault of any daemon that runs lots
+/// counts.
+fn is_excused(fault_log: &FaultLog, server: usize, at: Instant) -> bool {
     let of_daemon = |it: usize| {
         [
-            Harm::Paused(it),
-            Harm::TurnedAway(it),
-            Harm::Cut(STORE_LINKS[it]),
+            ActiveFault::Paused(it),
+            ActiveFault::StoreRejects(it),
+            ActiveFault::LinkCut(STORE_LINKS[it]),
         ]
     };
-    let mut harmed = (ENTRIES..DAEMONS).flat_map(of_daemon);
-    let was_harmed = |it: Harm| harms.was_harmed(it, at - END_SPAN, at);
-    harmed.any(was_harmed) || was_harmed(Harm::Cut(server))
+    let mut faults = (ENTRY_DAEMONS..DAEMONS).flat_map(of_daemon);
+    let was_active = |it: ActiveFault| fault_log.was_active(it, at - MAX_END_DELAY, at);
+    faults.any(was_active) || was_active(ActiveFault::LinkCut(server))
 }
--- a/crates/node/tests/soak/fault_driver.rs
+++ b/crates/node/tests/soak/fault_driver.rs
@@ -1,4 +1,4 @@
-//! Does to the fleet what is planned.
+//! Applies planned faults to the fleet.
 
 use std::{
     collections::VecDeque,
@@ -9,208 +9,230 @@
 use comfreyramp_standins::link::LinkMode;
 
 use crate::{
-    DAEMONS, Stage,
+    DAEMONS, SoakContext,
     fault_plan::{Fault, LINKS, PlannedFault, WriteFault},
     fleet::{Fleet, KEY},
-    harm_log::Harm,
-    settings_changes::key_of,
+    harm_log::ActiveFault,
+    settings_changes::key_of_change,
 };
 
-/// How often it is looked for what is due.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
-/// A daemon that writes nothing of a lot in this span gets around its fault.
-const WRITE_PATIENCE: Duration = Duration::from_millis(2_500);
-/// A daemon that stood still has the answer to its write so much later.
+/// How often the driver looks for faults that are due.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// An armed fault is dropped if its daemon writes nothing of a lot within this time.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// A daemon that was paused at a write receives the store's answer this long after it
+/// resumes.
 const ANSWER_DELAY: Duration = Duration::from_millis(1_000);
-/// What is kept of lots: the lots themselves, their results and ends.
+/// The prefix of the keys of lots, their results and their ends.
 const LOT_DATA: &str = "lots/data/";
 
-/// A daemon to which something happens at its next write.
+/// A fault that is applied to a daemon at its next write.
 struct ArmedFault {
-    node: usize,
+    daemon: usize,
     fault: WriteFault,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// Does to the fleet what is planned, and writes down when.
+/// Applies planned faults to a fleet and records when each was active.
 pub(crate) struct FaultDriver {
     fleet: Fleet,
-    stage: Arc<Stage>,
-    begin: Instant,
-    due: VecDeque<PlannedFault>,
+    context: Arc<SoakContext>,
+    start: Instant,
+    planned: VecDeque<PlannedFault>,
     armed: Vec<ArmedFault>,
     is_up: [bool; DAEMONS],
 }
 
 impl FaultDriver {
-    pub(crate) fn new(fleet: Fleet, stage: &Arc<Stage>, faults: Vec<PlannedFault>) -> Self {
+    pub(crate) fn new(fleet: Fleet, context: &Arc<SoakContext>, faults: Vec<PlannedFault>) -> Self {
         FaultDriver {
             fleet,
-            stage: stage.clone(),
-            begin: Instant::now(),
-            due: faults.into(),
+            context: context.clone(),
+            start: Instant::now(),
+            planned: faults.into(),
             armed: Vec::new(),
             is_up: [true; DAEMONS],
         }
     }
 
-    /// Does what is planned, at its time, and ends all faults at last.
-    pub(crate) async fn run(mut self, span: Duration) -> Fleet {
-        self.begin = Instant::now();
-        while self.begin.elapsed() < span || !self.due.is_empty() || !self.armed.is_empty() {
-            let since = self.begin.elapsed();
-            while self.due.front().is_some_and(|it| it.0 <= since) {
-                if let Some((_, fault)) = self.due.pop_front() {
+    /// Applies each planned fault at its time, and finally ends all faults.
+    pub(crate) async fn run(mut self, duration: Duration) -> Fleet {
+        self.start = Instant::now();
+        while self.start.elapsed() < duration || !self.planned.is_empty() || !self.armed.is_empty()
+        {
+            let elapsed = self.start.elapsed();
+            while self.planned.front().is_some_and(|it| it.0 <= elapsed) {
+                if let Some((_, fault)) = self.planned.pop_front() {
                     self.apply(fault);
                 }
             }
-            self.strike_at_writes();
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            self.apply_armed_faults();
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        for node in 0..DAEMONS {
-            self.apply(Fault::Resume(node));
-            self.apply(Fault::Restart(node));
+        for daemon in 0..DAEMONS {
+            self.apply(Fault::Resume(daemon));
+            self.apply(Fault::Restart(daemon));
         }
         self.fleet
     }
 
     fn apply(&mut self, fault: Fault) {
         match fault {
-            Fault::TurnAway(node) => self.turn_away(node, true),
-            Fault::Serve(node) => self.turn_away(node, false),
-            Fault::LoseAnswers(node) => self.fleet.nodes[node].door.faults.lose_answers(2),
-            Fault::Pause(node) => self.pause(node),
-            Fault::Resume(node) => self.resume(node),
-            Fault::Kill(node) => self.kill(node),
-            Fault::Restart(node) => self.restart(node),
-            Fault::AtWrite(node, fault) => self.arm(node, fault),
-            Fault::AnswerWrites(node) => self.hold_answers(node, false),
-            Fault::BreakServer(server) => self.fleet.runners[server].break_next(3),
-            Fault::FillServer(server) => self.fleet.runners[server].set_full(true),
-            Fault::EmptyServer(server) => self.fleet.runners[server].set_full(false),
+            Fault::RejectStoreCalls(daemon) => self.set_store_rejecting(daemon, true),
+            Fault::AcceptStoreCalls(daemon) => self.set_store_rejecting(daemon, false),
+            Fault::LoseAnswers(daemon) => self.fleet.daemons[daemon]
+                .store_endpoint
+                .faults
+                .lose_answers(2),
+            Fault::Pause(daemon) => self.pause(daemon),
+            Fault::Resume(daemon) => self.resume(daemon),
+            Fault::Kill(daemon) => self.kill(daemon),
+            Fault::Restart(daemon) => self.restart(daemon),
+            Fault::AtWrite(daemon, fault) => self.arm(daemon, fault),
+            Fault::ReleaseAnswers(daemon) => self.hold_answers(daemon, false),
+            Fault::BreakServer(server) => self.fleet.servers[server].break_next(3),
+            Fault::SetServerFull(server) => self.fleet.servers[server].set_full(true),
+            Fault::SetServerFree(server) => self.fleet.servers[server].set_full(false),
             Fault::ForgetHistory => self.fleet.store.forget_history(),
             Fault::ChangeSettings => self.change_settings(),
-            Fault::SilenceStore => self.silence(true),
-            Fault::AnswerAgain => self.silence(false),
-            Fault::HarmLink(link, mode) => self.harm_link(link, mode),
+            Fault::SilenceStore => self.set_store_silent(true),
+            Fault::RestoreStore => self.set_store_silent(false),
+            Fault::ImpairLink(link, mode) => self.set_link_mode(link, mode),
             Fault::ResetLink(link) => self.fleet.links[link].faults.reset(),
-            Fault::HealLink(link) => self.harm_link(link, LinkMode::Open),
+            Fault::RestoreLink(link) => self.set_link_mode(link, LinkMode::Open),
         }
     }
 
-    fn turn_away(&self, node: usize, is_on: bool) {
-        self.fleet.nodes[node].door.faults.turn_away(is_on);
-        self.note(Harm::TurnedAway(node), is_on);
+    fn set_store_rejecting(&self, daemon: usize, is_on: bool) {
+        self.fleet.daemons[daemon]
+            .store_endpoint
+            .faults
+            .turn_away(is_on);
+        self.record(ActiveFault::StoreRejects(daemon), is_on);
     }
 
-    /// Takes away the key of the change before, and gives out another one.
+    /// Withdraws the key of the previous change, and adds another one.
     fn change_settings(&mut self) {
-        let change = self.stage.changes().len();
-        let key = key_of(change);
+        let change = self.context.change_times().len();
+        let key = key_of_change(change);
         self.fleet.put_settings(&[KEY, &key], 1_000.0);
-        self.stage.changes().push(Instant::now());
+        self.context.change_times().push(Instant::now());
     }
 
-    fn silence(&self, is_on: bool) {
-        for node in &self.fleet.nodes {
-            node.door.faults.fall_silent(is_on);
+    fn set_store_silent(&self, is_on: bool) {
+        for daemon in &self.fleet.daemons {
+            daemon.store_endpoint.faults.fall_silent(is_on);
         }
-        self.note(Harm::Silent, is_on);
+        self.record(ActiveFault::StoreSilent, is_on);
     }
 
-    fn pause(&self, node: usize) {
-        if self.is_up[node] {
-            self.note(Harm::Paused(node), true);
-            self.fleet.pause(node);
+    fn pause(&self, daemon: usize) {
+        if self.is_up[daemon] {
+            self.record(ActiveFault::Paused(daemon), true);
+            self.fleet.pause(daemon);
         }
     }
 
-    fn resume(&self, node: usize) {
-        if self.is_up[node] {
-            self.fleet.resume(node);
-            self.note(Harm::Paused(node), false);
+    fn resume(&self, daemon: usize) {
+        if self.is_up[daemon] {
+            self.fleet.resume(daemon);
+            self.record(ActiveFault::Paused(daemon), false);
         }
     }
 
-    fn kill(&mut self, node: usize) {
-        if self.is_up[node] {
-            self.resume(node);
-            self.fleet.kill(node);
-            self.is_up[node] = false;
-            self.note(Harm::Down(node), true);
+    fn kill(&mut self, daemon: usize) {
+        if self.is_up[daemon] {
+            self.resume(daemon);
+            self.fleet.kill(daemon);
+            self.is_up[daemon] = false;
+            self.record(ActiveFault::Down(daemon), true);
         }
     }
 
-    fn restart(&mut self, node: usize) {
-        if !self.is_up[node] {
-            self.fleet.restart(node);
-            self.is_up[node] = true;
-            self.note(Harm::Down(node), false);
+    fn restart(&mut self, daemon: usize) {
+        if !self.is_up[daemon] {
+            self.fleet.restart(daemon);
+            self.is_up[daemon] = true;
+            self.record(ActiveFault::Down(daemon), false);
         }
     }
 
-    fn harm_link(&self, link: usize, mode: LinkMode) {
+    fn set_link_mode(&self, link: usize, mode: LinkMode) {
         debug_assert!(link < LINKS);
         self.fleet.links[link].faults.set_mode(mode);
-        // What passes late passes.
+        // A delayed link still delivers everything.
         let is_cut = !matches!(mode, LinkMode::Open | LinkMode::Delayed(_));
-        self.note(Harm::Cut(link), is_cut);
+        self.record(ActiveFault::LinkCut(link), is_cut);
     }
 
-    fn note(&self, harm: Harm, is_on: bool) {
+    fn record(&self, fault: ActiveFault, is_on: bool) {
         let now = Instant::now();
         match is_on {
-            true => self.stage.harms().begin(harm, now),
-            false => self.stage.harms().end(harm, now),
+            true => self.context.fault_log().begin(fault, now),
+            false => self.context.fault_log().end(fault, now),
         }
     }
 
-    fn hold_answers(&self, node: usize, is_on: bool) {
-        self.fleet.nodes[node].door.faults.hold_answers(is_on);
+    fn hold_answers(&self, daemon: usize, is_on: bool) {
+        self.fleet.daemons[daemon]
+            .store_endpoint
+            .faults
+            .hold_answers(is_on);
     }
 
-    fn arm(&mut self, node: usize, fault: WriteFault) {
-        if self.is_up[node] && !self.armed.iter().any(|it| it.node == node) {
-            self.hold_answers(node, true);
-            let until = Instant::now() + WRITE_PATIENCE;
-            self.armed.push(ArmedFault { node, fault, until });
+    fn arm(&mut self, daemon: usize, fault: WriteFault) {
+        if self.is_up[daemon] && !self.armed.iter().any(|it| it.daemon == daemon) {
+            self.hold_answers(daemon, true);
+            let deadline = Instant::now() + WRITE_TIMEOUT;
+            self.armed.push(ArmedFault {
+                daemon,
+                fault,
+                deadline,
+            });
         }
     }
 
-    /// Strikes daemons whose writes took effect and who don't know it yet.
-    fn strike_at_writes(&mut self) {
+    /// Applies armed faults to daemons whose writes took effect, but whose answers are
+    /// still held.
+    fn apply_armed_faults(&mut self) {
         for armed in std::mem::take(&mut self.armed) {
-            let written = self.fleet.nodes[armed.node].door.faults.held_writes();
-            if written.iter().any(|it| it.starts_with(LOT_DATA)) {
-                eprintln!("soak: {:?}: {:?} at {written:?}", armed.node, armed.fault);
-                self.strike(armed.node, armed.fault);
-            } else if Instant::now() < armed.until {
+            let written_keys = self.fleet.daemons[armed.daemon]
+                .store_endpoint
+                .faults
+                .held_writes();
+            if written_keys.iter().any(|it| it.starts_with(LOT_DATA)) {
+                eprintln!(
+                    "soak: {:?}: {:?} at {written_keys:?}",
+                    armed.daemon, armed.fault
+                );
+                self.apply_at_write(armed.daemon, armed.fault);
+            } else if Instant::now() < armed.deadline {
                 self.armed.push(armed);
             } else {
-                self.hold_answers(armed.node, false);
+                self.hold_answers(armed.daemon, false);
             }
         }
     }
 
-    fn strike(&mut self, node: usize, fault: WriteFault) {
+    fn apply_at_write(&mut self, daemon: usize, fault: WriteFault) {
         match fault {
-            WriteFault::Lost(back) => {
-                self.kill(node);
-                self.hold_answers(node, false);
-                self.plan(back, Fault::Restart(node));
+            WriteFault::Killed(downtime) => {
+                self.kill(daemon);
+                self.hold_answers(daemon, false);
+                self.plan(downtime, Fault::Restart(daemon));
             }
-            WriteFault::Paused(span) => {
-                self.pause(node);
-                self.plan(span, Fault::Resume(node));
-                self.plan(span + ANSWER_DELAY, Fault::AnswerWrites(node));
+            WriteFault::Paused(pause) => {
+                self.pause(daemon);
+                self.plan(pause, Fault::Resume(daemon));
+                self.plan(pause + ANSWER_DELAY, Fault::ReleaseAnswers(daemon));
             }
         }
     }
 
-    /// Plans a fault for a while from now.
-    fn plan(&mut self, span: Duration, fault: Fault) {
-        let at = self.begin.elapsed() + span;
-        let place = self.due.partition_point(|it| it.0 <= at);
-        self.due.insert(place, (at, fault));
+    /// Plans a fault for some time from now.
+    fn plan(&mut self, delay: Duration, fault: Fault) {
+        let at = self.start.elapsed() + delay;
+        let index = self.planned.partition_point(|it| it.0 <= at);
+        self.planned.insert(index, (at, fault));
     }
 }
--- a/crates/node/tests/soak/harm_log.rs
+++ b/crates/node/tests/soak/harm_log.rs
@@ -1,57 +1,59 @@
-//! What was done to which part, and when.
+//! Records which faults were active at which time.
 
 use std::time::Instant;
 
-/// A part under a fault.
+/// A component under a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Harm {
-    /// This daemon stands still.
+pub(crate) enum ActiveFault {
+    /// This daemon is paused.
     Paused(usize),
-    /// This daemon is gone.
+    /// This daemon isn't running.
     Down(usize),
-    /// The store turns this daemon away.
-    TurnedAway(usize),
-    /// Not everything passes this link.
-    Cut(usize),
-    /// The store answers nobody.
-    Silent,
+    /// The store rejects this daemon's requests.
+    StoreRejects(usize),
+    /// This link doesn't deliver everything.
+    LinkCut(usize),
+    /// The store answers no request.
+    StoreSilent,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HarmSpan {
-    harm: Harm,
+struct FaultPeriod {
+    fault: ActiveFault,
     begin: Instant,
     end: Option<Instant>,
 }
 
-/// What was done to which part, and when.
+/// The periods in which faults were active.
 #[derive(Debug, Default)]
-pub(crate) struct HarmLog {
-    spans: Vec<HarmSpan>,
+pub(crate) struct FaultLog {
+    periods: Vec<FaultPeriod>,
 }
 
-impl HarmLog {
-    pub(crate) fn begin(&mut self, harm: Harm, now: Instant) {
-        let is_open = |it: &HarmSpan| it.harm == harm && it.end.is_none();
-        if !self.spans.iter().any(is_open) {
-            self.spans.push(HarmSpan {
-                harm,
+impl FaultLog {
+    pub(crate) fn begin(&mut self, fault: ActiveFault, now: Instant) {
+        let is_open = |it: &FaultPeriod| it.fault == fault && it.end.is_none();
+        if !self.periods.iter().any(is_open) {
+            self.periods.push(FaultPeriod {
+                fault,
                 begin: now,
                 end: None,
             });
         }
     }
 
-    pub(crate) fn end(&mut self, harm: Harm, now: Instant) {
-        let mut spans = self.spans.iter_mut();
-        if let Some(span) = spans.find(|it| it.harm == harm && it.end.is_none()) {
-            span.end = Some(now);
+    pub(crate) fn end(&mut self, fault: ActiveFault, now: Instant) {
+        let mut periods = self.periods.iter_mut();
+        if let Some(period) = periods.find(|it| it.fault == fault && it.end.is_none()) {
+            period.end = Some(now);
         }
     }
 
-    /// Whether a part was harmed at any moment of a span.
-    pub(crate) fn was_harmed(&self, harm: Harm, from: Instant, until: Instant) -> bool {
-        let overlaps = |it: &HarmSpan| it.begin <= until && it.end.is_none_or(|end| end >= from);
-        self.spans.iter().any(|it| it.harm == harm && overlaps(it))
+    /// Returns whether a fault was active at any time between `from` and `until`.
+    pub(crate) fn was_active(&self, fault: ActiveFault, from: Instant, until: Instant) -> bool {
+        let overlaps = |it: &FaultPeriod| it.begin <= until && it.end.is_none_or(|end| end >= from);
+        self.periods
+            .iter()
+            .any(|it| it.fault == fault && overlaps(it))
     }
 }
--- a/crates/node/tests/soak/lot_ledger.rs
+++ b/crates/node/tests/soak/lot_ledger.rs
@@ -1,4 +1,5 @@
-//! What was shown of each lot, and whether what is shown next agrees with it.
+//! Records what readers received of each lot, and checks that later responses agree with
+//! it.
 
 use std::time::{Duration, Instant};
 
@@ -6,66 +7,67 @@
 use serde_json::Value;
 
 use crate::{
-    ENTRIES,
-    fleet::whole_output,
-    harm_log::{Harm, HarmLog},
+    ENTRY_DAEMONS,
+    fleet::expected_output,
+    harm_log::{ActiveFault, FaultLog},
 };
 
-/// What one caller was told, each later one is told after so long, at any daemon. A
-/// daemon that can't be sure has them come back. It owes no more for having just been
-/// lost, started or cut off, so that there is no exception for these.
-pub(crate) const SETTLE: Duration = Duration::from_millis(1_000);
-/// A result that somebody was shown.
+/// What one caller has received, every later caller receives after this time, at any
+/// daemon. A daemon that can't be sure tells its callers to retry. There is no exception
+/// for a daemon that was just lost, started or cut off, since it may tell its callers to
+/// retry as well.
+pub(crate) const MAX_PROPAGATION_DELAY: Duration = Duration::from_millis(1_000);
+/// A result that a reader has received.
 #[derive(Debug)]
-struct ShownResult {
+struct ObservedResult {
     result: Value,
-    first: Instant,
-    /// When each daemon first showed it.
-    by: [Option<Instant>; ENTRIES],
+    first_at: Instant,
+    /// When each daemon first returned it.
+    first_by_daemon: [Option<Instant>; ENTRY_DAEMONS],
 }
 
 /// A lot that was accepted.
 #[derive(Debug)]
 pub(crate) struct LotRecord {
     pub(crate) id: String,
-    /// What its items have as bodies.
+    /// The bodies of its items.
     pub(crate) bodies: Vec<String>,
-    accepted: Instant,
-    /// When its customer first asked for its end.
-    pub(crate) end_asked: Option<Instant>,
-    /// When its end was acknowledged.
-    pub(crate) end_told: Option<Instant>,
-    shown: Vec<Option<ShownResult>>,
+    accepted_at: Instant,
+    /// When its customer first requested its end.
+    pub(crate) end_requested_at: Option<Instant>,
+    /// When a daemon acknowledged its end.
+    pub(crate) end_acknowledged_at: Option<Instant>,
+    observed: Vec<Option<ObservedResult>>,
 }
 
 /// A read of a lot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LotRead<'a> {
     pub(crate) lot: &'a str,
-    pub(crate) node: usize,
+    pub(crate) daemon: usize,
     pub(crate) after: usize,
-    /// What was true a while before this must be in the answer.
-    pub(crate) sent: Instant,
-    pub(crate) answered: Instant,
+    /// What was true [`MAX_PROPAGATION_DELAY`] before this time must be in the response.
+    pub(crate) sent_at: Instant,
+    pub(crate) answered_at: Instant,
 }
 
-/// What was shown of each lot, and where that broke a promise.
+/// What readers received of each lot, and which responses violated a guarantee.
 #[derive(Debug, Default)]
 pub(crate) struct LotLedger {
     pub(crate) lots: Vec<LotRecord>,
-    /// Lots that were refused at each try.
+    /// Lots that were refused at each attempt.
     pub(crate) refused: Vec<String>,
-    pub(crate) broken: Vec<String>,
-    /// How many answers there were, for the test's output.
-    pub(crate) counts: AnswerCounts,
+    pub(crate) violations: Vec<String>,
+    /// How many responses there were, for the test's output.
+    pub(crate) counts: ResponseCounts,
 }
 
-/// How many answers readers had.
+/// How many responses readers received, by kind.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct AnswerCounts {
+pub(crate) struct ResponseCounts {
     pages: usize,
     empty_pages: usize,
-    come_back: usize,
+    retry_later: usize,
     pub(crate) bodies: usize,
 }
 
@@ -74,10 +76,10 @@
         self.lots.push(LotRecord {
             id: id.to_owned(),
             bodies: bodies.to_vec(),
-            accepted: now,
-            end_asked: None,
-            end_told: None,
-            shown: bodies.iter().map(|_| None).collect(),
+            accepted_at: now,
+            end_requested_at: None,
+            end_acknowledged_at: None,
+            observed: bodies.iter().map(|_| None).collect(),
         });
     }
 
@@ -85,54 +87,60 @@
         self.lots.iter_mut().find(|it| it.id == id).unwrap()
     }
 
-    /// Holds an answer against all that was shown before.
-    pub(crate) fn take(&mut self, read: LotRead<'_>, answer: &Response<Bytes>, harms: &HarmLog) {
+    /// Checks a response against everything that readers received before.
+    pub(crate) fn check_response(
+        &mut self,
+        read: LotRead<'_>,
+        response: &Response<Bytes>,
+        fault_log: &FaultLog,
+    ) {
         let record = self.lot(read.lot);
-        let broken = match answer.status() {
-            StatusCode::OK => record.take_page(read, answer.body(), harms),
-            StatusCode::NOT_FOUND => record.denied(read.sent),
-            // Come back later.
+        let outcome = match response.status() {
+            StatusCode::OK => record.check_page(read, response.body(), fault_log),
+            StatusCode::NOT_FOUND => record.check_not_found(read.sent_at),
+            // The daemon tells its caller to retry.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Ok(0),
-            status => Err(format!("answers {status}")),
+            status => Err(format!("unexpected status {status}")),
         };
-        self.counts.note(answer.status(), &broken);
-        if let Err(text) = broken {
-            self.break_promise(read, &text);
+        self.counts.count(response.status(), &outcome);
+        if let Err(text) = outcome {
+            self.report_violation(read, &text);
         }
     }
 
-    pub(crate) fn break_promise(&mut self, read: LotRead<'_>, text: &str) {
+    pub(crate) fn report_violation(&mut self, read: LotRead<'_>, text: &str) {
         let text = format!("{read:?}: {text}");
-        eprintln!("soak: broken: {text}");
-        self.broken.push(text);
+        eprintln!("soak: violation: {text}");
+        self.violations.push(text);
     }
 }
 
-impl AnswerCounts {
-    fn note(&mut self, status: StatusCode, taken: &Result<usize, String>) {
-        match (status, taken) {
+impl ResponseCounts {
+    fn count(&mut self, status: StatusCode, outcome: &Result<usize, String>) {
+        match (status, outcome) {
             (StatusCode::OK, Ok(0)) => self.empty_pages += 1,
             (StatusCode::OK, _) => self.pages += 1,
-            _ => self.come_back += 1,
+            _ => self.retry_later += 1,
         }
     }
 }
 
 impl LotRecord {
-    /// How many positions were shown to anybody.
-    pub(crate) fn known(&self) -> usize {
-        self.shown.iter().filter(|it| it.is_some()).count()
+    /// Returns how many positions readers have received.
+    pub(crate) fn observed_count(&self) -> usize {
+        self.observed.iter().filter(|it| it.is_some()).count()
     }
 
-    /// Whether anybody was shown the result of an item.
+    /// Returns whether any reader has received the result of an item.
     pub(crate) fn is_listed(&self, item: &str) -> bool {
-        let shown = self.shown.iter().flatten();
-        shown.into_iter().any(|it| it.result["id"] == item)
+        let observed = self.observed.iter().flatten();
+        observed.into_iter().any(|it| it.result["id"] == item)
     }
 
-    /// Whether the lot must be known by a request of this moment.
-    pub(crate) fn is_settled(&self, sent: Instant) -> bool {
-        sent >= self.accepted + SETTLE
+    /// Returns whether every daemon must know the lot when it receives a request sent at
+    /// this time.
+    pub(crate) fn is_settled(&self, sent_at: Instant) -> bool {
+        sent_at >= self.accepted_at + MAX_PROPAGATION_DELAY
     }
 
     fn has_item(&self, item: &str) -> bool {
@@ -143,90 +151,95 @@
         number.is_some_and(|it| it < self.bodies.len())
     }
 
-    /// No such lot, says a daemon.
-    fn denied(&self, sent: Instant) -> Result<usize, String> {
-        match self.is_settled(sent) {
-            true => Err("an accepted lot is denied".to_owned()),
+    /// Checks a daemon's response that the lot doesn't exist.
+    fn check_not_found(&self, sent_at: Instant) -> Result<usize, String> {
+        match self.is_settled(sent_at) {
+            true => Err("an accepted lot is unknown".to_owned()),
             false => Ok(0),
         }
     }
 
-    /// Takes a page in and returns how many results it has.
-    fn take_page(
+    /// Checks and records a page, and returns how many results it has.
+    fn check_page(
         &mut self,
         read: LotRead<'_>,
         body: &[u8],
-        harms: &HarmLog,
+        fault_log: &FaultLog,
     ) -> Result<usize, String> {
         let page: Value = serde_json::from_slice(body).map_err(|it| it.to_string())?;
-        let results = page["results"].as_array().ok_or("no results")?;
-        let is_sound = page["total"] == self.bodies.len()
+        let results = page["results"]
+            .as_array()
+            .ok_or("a page without a list of results")?;
+        let is_consistent = page["total"] == self.bodies.len()
             && page["next"] == read.after + results.len()
             && read.after + results.len() <= self.bodies.len();
-        if !is_sound {
-            return Err(format!("a wrong page: {page}"));
+        if !is_consistent {
+            return Err(format!("an inconsistent page: {page}"));
         }
         if results.is_empty() {
-            self.check_nothing_there(read, harms)?;
+            self.check_empty_page(read, fault_log)?;
         }
-        for (place, result) in results.iter().enumerate() {
-            self.take_result(read, read.after + place, result)?;
+        for (position, result) in results.iter().enumerate() {
+            self.check_result(read, read.after + position, result)?;
         }
         Ok(results.len())
     }
 
-    /// There is nothing at a position. That is wrong where it was shown before: by
-    /// anybody a while ago, or by this daemon at any time in the same life.
-    fn check_nothing_there(&self, read: LotRead<'_>, harms: &HarmLog) -> Result<(), String> {
-        let Some(shown) = self.shown.get(read.after).and_then(Option::as_ref) else {
+    /// Checks a page without results. It is wrong if a reader has received a result at its
+    /// position from any daemon [`MAX_PROPAGATION_DELAY`] ago, or from this daemon at any
+    /// time in the same incarnation.
+    fn check_empty_page(&self, read: LotRead<'_>, fault_log: &FaultLog) -> Result<(), String> {
+        let Some(observed) = self.observed.get(read.after).and_then(Option::as_ref) else {
             return Ok(());
         };
-        let ago = read.sent.saturating_duration_since(shown.first);
-        if ago >= SETTLE {
+        let age = read.sent_at.saturating_duration_since(observed.first_at);
+        if age >= MAX_PROPAGATION_DELAY {
             return Err(format!(
-                "a result is missing that was shown {ago:?} before: {shown:?}"
+                "a result is missing that was returned {age:?} before: {observed:?}"
             ));
         }
-        let own = shown.by[read.node].filter(|it| *it < read.sent);
-        if own.is_some_and(|it| !harms.was_harmed(Harm::Down(read.node), it, read.answered)) {
+        let own = observed.first_by_daemon[read.daemon].filter(|it| *it < read.sent_at);
+        if own.is_some_and(|it| {
+            !fault_log.was_active(ActiveFault::Down(read.daemon), it, read.answered_at)
+        }) {
             return Err(format!(
-                "a daemon goes back behind what it showed: {shown:?}"
+                "a daemon lacks a result that it returned before: {observed:?}"
             ));
         }
         Ok(())
     }
 
-    fn take_result(
+    fn check_result(
         &mut self,
         read: LotRead<'_>,
-        place: usize,
+        position: usize,
         result: &Value,
     ) -> Result<(), String> {
         let id = result["id"].as_str().unwrap_or_default();
-        let is_whole = result["state"] == "done" && result["output"] == whole_output();
-        let is_given_up = result["state"] == "dead_letter" && self.end_asked.is_some();
+        let is_whole = result["state"] == "done" && result["output"] == expected_output();
+        let is_given_up = result["state"] == "dead_letter" && self.end_requested_at.is_some();
         if !self.has_item(id) || !(is_whole || is_given_up) {
-            return Err(format!("a wrong result at {place}: {result}"));
+            return Err(format!("a wrong result at {position}: {result}"));
         }
-        let others = self.shown.iter().enumerate();
+        let others = self.observed.iter().enumerate();
         let mut others = others
-            .filter(|it| it.0 != place)
+            .filter(|it| it.0 != position)
             .filter_map(|it| it.1.as_ref());
         if others.any(|it| it.result["id"] == result["id"]) {
-            return Err(format!("a second result of {id} at {place}"));
+            return Err(format!("a second result of {id} at {position}"));
         }
-        let shown = self.shown[place].get_or_insert_with(|| ShownResult {
+        let observed = self.observed[position].get_or_insert_with(|| ObservedResult {
             result: result.clone(),
-            first: read.answered,
-            by: [None; ENTRIES],
+            first_at: read.answered_at,
+            first_by_daemon: [None; ENTRY_DAEMONS],
         });
-        if shown.result != *result {
+        if observed.result != *result {
             return Err(format!(
-                "another result at {place}: {result}, was {shown:?}"
+                "a different result at {position}: {result}, was {observed:?}"
             ));
         }
-        shown.first = shown.first.min(read.answered);
-        shown.by[read.node].get_or_insert(read.answered);
+        observed.first_at = observed.first_at.min(read.answered_at);
+        observed.first_by_daemon[read.daemon].get_or_insert(read.answered_at);
         Ok(())
     }
 }
--- a/crates/node/tests/soak/readers.rs
+++ b/crates/node/tests/soak/readers.rs
@@ -1,4 +1,5 @@
-//! Callers that read lots all the while, at every daemon and from several positions.
+//! Callers that read lots during the whole soak, at every daemon and from several
+//! positions.
 
 use std::{
     sync::Arc,
@@ -9,124 +10,132 @@
 use rand::{Rng, rngs::StdRng};
 use serde_json::Value;
 
-use crate::{Stage, fleet::Ask, lot_ledger::LotRead};
+use crate::{SoakContext, fleet::CallerRequest, lot_ledger::LotRead};
 
-/// Callers give a read up after this.
-const READ_PATIENCE: Duration = Duration::from_millis(3_000);
-/// How often a daemon is asked whether it lists an item whose body it denied, longer
-/// than any fault lasts.
-const LIST_TRIES: usize = 100;
+/// The time after which a caller abandons a read.
+const READ_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// How often a daemon is asked whether it lists an item whose body it reported as unknown.
+/// With the delay between them, these attempts take longer than any fault lasts.
+const LIST_ATTEMPTS: usize = 100;
 
-/// Reads a lot at one daemon until the soak ends. It begins some time after the lot
-/// was accepted, and has breaks: others have read it elsewhere by then, and what the
-/// daemon knows of it is old or new.
-pub(crate) async fn follow_lot(stage: Arc<Stage>, node: usize, lot: String, mut random: StdRng) {
-    pause(&stage, &mut random, 0..2_500).await;
-    while !stage.stop.is_cancelled() {
+/// Reads a lot at one daemon until the soak ends. It starts some time after the lot was
+/// accepted, and pauses now and then: others have read the lot elsewhere by then, and the
+/// daemon's copy may be old or new.
+pub(crate) async fn follow_lot(
+    context: Arc<SoakContext>,
+    daemon: usize,
+    lot: String,
+    mut random: StdRng,
+) {
+    sleep_randomly(&context, &mut random, 0..2_500).await;
+    while !context.stop.is_cancelled() {
         match random.random_bool(0.15) {
-            true => read_body(&stage, node, &lot, &mut random).await,
-            false => read_results(&stage, node, &lot, &mut random).await,
+            true => read_body(&context, daemon, &lot, &mut random).await,
+            false => read_results(&context, daemon, &lot, &mut random).await,
         }
         match random.random_bool(0.1) {
-            true => pause(&stage, &mut random, 1_000..3_000).await,
-            false => pause(&stage, &mut random, 100..400).await,
+            true => sleep_randomly(&context, &mut random, 1_000..3_000).await,
+            false => sleep_randomly(&context, &mut random, 100..400).await,
         }
     }
 }
 
-async fn pause(stage: &Stage, random: &mut StdRng, millis: std::ops::Range<u64>) {
-    let span = Duration::from_millis(random.random_range(millis));
-    // The end of the soak ends the pause too.
-    let _ = tokio::time::timeout(span, stage.stop.cancelled()).await;
+async fn sleep_randomly(context: &SoakContext, random: &mut StdRng, millis: std::ops::Range<u64>) {
+    let duration = Duration::from_millis(random.random_range(millis));
+    // The end of the soak also ends the pause.
+    let _ = tokio::time::timeout(duration, context.stop.cancelled()).await;
 }
 
-async fn read_results(stage: &Stage, node: usize, lot: &str, random: &mut StdRng) {
-    let known = stage.ledger().lot(lot).known();
+async fn read_results(context: &SoakContext, daemon: usize, lot: &str, random: &mut StdRng) {
+    let observed = context.ledger().lot(lot).observed_count();
     let after = match random.random_range(0..4) {
         0 => 0,
-        // The newest that anybody was shown, and what comes next.
-        1 | 2 => known.saturating_sub(random.random_range(0..2)),
-        _ => random.random_range(0..=known),
+        // The last position that any reader has received, or the one after it.
+        1 | 2 => observed.saturating_sub(random.random_range(0..2)),
+        _ => random.random_range(0..=observed),
     };
-    read_page(stage, node, lot, after).await;
+    read_page(context, daemon, lot, after).await;
 }
 
-/// Reads a lot from a position on, and holds the answer against what was shown.
-/// Returns it where there was one.
+/// Reads a lot from a position on, and checks the response against what readers received
+/// before. Returns the response if there was one.
 pub(crate) async fn read_page(
-    stage: &Stage,
-    node: usize,
+    context: &SoakContext,
+    daemon: usize,
     lot: &str,
     after: usize,
 ) -> Option<Response<Bytes>> {
     let path = format!("/-/lots/{lot}?after={after}");
-    let sent = Instant::now();
-    let answer = patient(stage.callers.ask(node, Ask::get(&path))).await?;
+    let sent_at = Instant::now();
+    let response = with_timeout(context.callers.send(daemon, CallerRequest::get(&path))).await?;
     let read = LotRead {
         lot,
-        node,
+        daemon,
         after,
-        sent,
-        answered: Instant::now(),
+        sent_at,
+        answered_at: Instant::now(),
     };
-    let harms = stage.harms();
-    stage.ledger().take(read, &answer, &harms);
-    Some(answer)
+    let fault_log = context.fault_log();
+    context.ledger().check_response(read, &response, &fault_log);
+    Some(response)
 }
 
-/// Reads the body of an item that isn't listed, as far as anybody knows.
-async fn read_body(stage: &Stage, node: usize, lot: &str, random: &mut StdRng) {
+/// Reads the body of an item of which no reader has received a result.
+async fn read_body(context: &SoakContext, daemon: usize, lot: &str, random: &mut StdRng) {
     let (item, body) = {
-        let mut ledger = stage.ledger();
+        let mut ledger = context.ledger();
         let record = ledger.lot(lot);
         let number = random.random_range(0..record.bodies.len());
         (format!("{lot}-{number}"), record.bodies[number].clone())
     };
-    if stage.ledger().lot(lot).is_listed(&item) {
+    if context.ledger().lot(lot).is_listed(&item) {
         return;
     }
     let path = format!("/-/items/{lot}?id={item}");
-    let sent = Instant::now();
-    let Some(answer) = patient(stage.callers.ask(node, Ask::get(&path))).await else {
+    let sent_at = Instant::now();
+    let Some(response) =
+        with_timeout(context.callers.send(daemon, CallerRequest::get(&path))).await
+    else {
         return;
     };
     let read = LotRead {
         lot,
-        node,
+        daemon,
         after: 0,
-        sent,
-        answered: Instant::now(),
+        sent_at,
+        answered_at: Instant::now(),
     };
-    let broken = match answer.status() {
+    let is_violation = match response.status() {
         StatusCode::OK => {
-            stage.ledger().counts.bodies += 1;
-            answer.body() != body.as_bytes()
+            context.ledger().counts.bodies += 1;
+            response.body() != body.as_bytes()
         }
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => false,
-        StatusCode::NOT_FOUND => is_body_due(stage, read, &item).await,
+        StatusCode::NOT_FOUND => is_body_required(context, read, &item).await,
         _ => true,
     };
-    if broken {
-        let text = format!("the body of {item}: {answer:?}");
-        stage.ledger().break_promise(read, &text);
+    if is_violation {
+        let text = format!("the body of {item}: {response:?}");
+        context.ledger().report_violation(read, &text);
     }
 }
 
-/// Whether the body of an item has to be shown: its lot is settled and wasn't ended,
-/// and the item isn't listed right after.
-async fn is_body_due(stage: &Stage, read: LotRead<'_>, item: &str) -> bool {
-    let is_due = {
-        let mut ledger = stage.ledger();
+/// Returns whether the daemon must return the body of an item: the lot must be known
+/// everywhere and wasn't ended, and the daemon doesn't list a result of the item right
+/// after.
+async fn is_body_required(context: &SoakContext, read: LotRead<'_>, item: &str) -> bool {
+    let is_required = {
+        let mut ledger = context.ledger();
         let record = ledger.lot(read.lot);
-        record.is_settled(read.sent) && record.end_asked.is_none()
+        record.is_settled(read.sent_at) && record.end_requested_at.is_none()
     };
-    if !is_due {
+    if !is_required {
         return false;
     }
-    for _ in 0..LIST_TRIES {
-        let answer = read_page(stage, read.node, read.lot, 0).await;
-        if let Some(answer) = answer.filter(|it| it.status() == StatusCode::OK) {
-            let page: Value = serde_json::from_slice(answer.body()).unwrap();
+    for _ in 0..LIST_ATTEMPTS {
+        let response = read_page(context, read.daemon, read.lot, 0).await;
+        if let Some(response) = response.filter(|it| it.status() == StatusCode::OK) {
+            let page: Value = serde_json::from_slice(response.body()).unwrap();
             let results = page["results"].as_array().unwrap();
             return results.iter().all(|it| it["id"] != item);
         }
@@ -135,10 +144,10 @@
     true
 }
 
-/// What is answered before the caller gives up; nothing where there is no answer.
-async fn patient(
-    asking: impl Future<Output = Result<Response<Bytes>, String>>,
+/// Returns the response that arrives before the caller abandons the read, if any.
+async fn with_timeout(
+    call: impl Future<Output = Result<Response<Bytes>, String>>,
 ) -> Option<Response<Bytes>> {
-    let answer = tokio::time::timeout(READ_PATIENCE, asking).await;
-    answer.ok()?.ok()
+    let response = tokio::time::timeout(READ_TIMEOUT, call).await;
+    response.ok()?.ok()
 }
--- a/crates/node/tests/soak/settings_changes.rs
+++ b/crates/node/tests/soak/settings_changes.rs
@@ -1,4 +1,4 @@
-//! Settings that change all the while, and the question which are in force.
+//! Changes settings all the time, and checks which of them are in force.
 
 use std::{
     ops::Range,
@@ -10,96 +10,104 @@
 use rand::{Rng, rngs::StdRng};
 
 use crate::{
-    DAEMONS, ENTRIES, Stage,
+    DAEMONS, ENTRY_DAEMONS, SoakContext,
     fault_plan::{Fault, PlannedFault, STORE_LINKS},
-    fleet::Ask,
-    harm_log::Harm,
+    fleet::CallerRequest,
+    harm_log::ActiveFault,
 };
 
-/// How long settings change, and faults come and go.
-pub(crate) const CHANGING: Duration = Duration::from_secs(20);
-/// A change is in force at every daemon in touch after so long.
-const IN_FORCE: Duration = Duration::from_secs(2);
-/// A daemon is in touch if nothing was done to it, nor to the store, for so long.
-const CONTACT: Duration = Duration::from_secs(3);
-/// The pause between two changes.
-const CHANGE_MILLIS: Range<u64> = 100..1_400;
-/// How long the store is silent. A shorter silence may go unnoticed.
-const SILENT_MILLIS: Range<u64> = 1_600..3_500;
-/// The pause between two silences: daemons are in touch for some seconds of it.
-const CALM_BETWEEN: Duration = Duration::from_secs(7);
-/// The pause between two questions to the daemons.
-const ASK_PAUSE: Duration = Duration::from_millis(60);
-const ASK_PATIENCE: Duration = Duration::from_millis(1_200);
+/// For how long settings change, and faults are started.
+pub(crate) const CHANGES_DURATION: Duration = Duration::from_secs(20);
+/// A change is in force within this time at every daemon in contact.
+const MAX_CHANGE_DELAY: Duration = Duration::from_secs(2);
+/// A daemon is in contact if neither it nor the store had a fault for this long.
+const CONTACT_WINDOW: Duration = Duration::from_secs(3);
+/// The time between two changes.
+const CHANGE_INTERVAL_MS: Range<u64> = 100..1_400;
+/// The duration of a silence of the store. A shorter one may go unnoticed.
+const SILENCE_MS: Range<u64> = 1_600..3_500;
+/// The time between two silences, so that daemons are in contact for some seconds of it.
+const SILENCE_INTERVAL: Duration = Duration::from_secs(7);
+/// The time between two requests to the daemons.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The key that only the settings of one change have.
-pub(crate) fn key_of(change: usize) -> String {
+/// Returns the key that only the settings of one change have.
+pub(crate) fn key_of_change(change: usize) -> String {
     format!("soak-key-{change}")
 }
 
-/// Draws changes of the settings, and silences of the store that begin right after one.
-pub(crate) fn timeline(random: &mut StdRng) -> Vec<PlannedFault> {
+/// Draws changes of the settings, and silences of the store that begin right after a
+/// change.
+pub(crate) fn draw_changes(random: &mut StdRng) -> Vec<PlannedFault> {
     let mut faults = Vec::new();
     let mut at = Duration::ZERO;
-    let mut next_silence = drawn(random, 500..4_000);
-    while at < CHANGING {
-        at += drawn(random, CHANGE_MILLIS);
+    let mut next_silence = random_duration(random, 500..4_000);
+    while at < CHANGES_DURATION {
+        at += random_duration(random, CHANGE_INTERVAL_MS);
         faults.push((at, Fault::ChangeSettings));
         if at > next_silence {
-            let begin = at + drawn(random, 0..700);
-            let end = begin + drawn(random, SILENT_MILLIS);
-            faults.push((begin, Fault::SilenceStore));
-            faults.push((end, Fault::AnswerAgain));
-            // The store takes the operators' changes again first.
+            let start = at + random_duration(random, 0..700);
+            let end = start + random_duration(random, SILENCE_MS);
+            faults.push((start, Fault::SilenceStore));
+            faults.push((end, Fault::RestoreStore));
+            // No change is written before the store answers again.
             at = end;
-            next_silence = end + CALM_BETWEEN;
+            next_silence = end + SILENCE_INTERVAL;
         }
     }
     faults
 }
 
-fn drawn(random: &mut StdRng, millis: Range<u64>) -> Duration {
+fn random_duration(random: &mut StdRng, millis: Range<u64>) -> Duration {
     Duration::from_millis(random.random_range(millis))
 }
 
-/// Asks the daemons with keys that were withdrawn until the soak ends. Each that lets one
-/// in for too long acts by old settings.
-pub(crate) async fn watch_settings(stage: Arc<Stage>) {
+/// Sends requests with withdrawn keys to the daemons until the soak ends. A daemon that
+/// admits one for too long uses old settings.
+pub(crate) async fn check_withdrawn_keys(context: Arc<SoakContext>) {
     let mut number = 0;
-    while !stage.stop.is_cancelled() {
-        tokio::time::sleep(ASK_PAUSE).await;
+    while !context.stop.is_cancelled() {
+        tokio::time::sleep(REQUEST_INTERVAL).await;
         number += 1;
-        let sent = Instant::now();
-        let due = stage.changes().partition_point(|it| *it + IN_FORCE < sent);
-        // The newest change that has to be in force took the key of the one before.
-        let Some(withdrawn) = due.checked_sub(2) else {
+        let sent_at = Instant::now();
+        let due_changes = context
+            .change_times()
+            .partition_point(|it| *it + MAX_CHANGE_DELAY < sent_at);
+        // The newest change that has to be in force withdrew the key of the change before
+        // it.
+        let Some(withdrawn) = due_changes.checked_sub(2) else {
             continue;
         };
-        let key = key_of(withdrawn);
-        let ask = Ask::post("/proofs/1", "settings", b"proof").key(&key);
-        let asking = stage.callers.ask(number % ENTRIES, ask);
-        let answer = tokio::time::timeout(ASK_PATIENCE, asking).await;
-        let is_let_in = matches!(answer, Ok(Ok(it)) if it.status() == StatusCode::OK);
-        if is_let_in && is_in_touch(&stage, number % ENTRIES, sent) {
-            let late = sent - stage.changes()[withdrawn + 1];
-            let text = format!("daemon {} knows {key} {late:?} after", number % ENTRIES);
-            stage.ledger().broken.push(text);
+        let key = key_of_change(withdrawn);
+        let request = CallerRequest::post("/proofs/1", "settings", b"proof").key(&key);
+        let call = context.callers.send(number % ENTRY_DAEMONS, request);
+        let response = tokio::time::timeout(REQUEST_TIMEOUT, call).await;
+        let is_admitted = matches!(response, Ok(Ok(it)) if it.status() == StatusCode::OK);
+        if is_admitted && is_in_contact(&context, number % ENTRY_DAEMONS, sent_at) {
+            let late = sent_at - context.change_times()[withdrawn + 1];
+            let text = format!(
+                "daemon {} still admits {key} {late:?} after its withdrawal",
+                number % ENTRY_DAEMONS
+            );
+            context.ledger().violations.push(text);
         }
     }
 }
 
-/// Whether nothing was done to a daemon, nor to the store, for a while.
-fn is_in_touch(stage: &Stage, node: usize, now: Instant) -> bool {
-    let harms = stage.harms();
-    let of_daemon = [
-        Harm::Paused(node),
-        Harm::Down(node),
-        Harm::TurnedAway(node),
-        Harm::Cut(STORE_LINKS[node]),
-        Harm::Silent,
+/// Returns whether neither the daemon nor the store has had a fault since [`CONTACT_WINDOW`]
+/// before `now`.
+fn is_in_contact(context: &SoakContext, daemon: usize, now: Instant) -> bool {
+    let fault_log = context.fault_log();
+    let faults = [
+        ActiveFault::Paused(daemon),
+        ActiveFault::Down(daemon),
+        ActiveFault::StoreRejects(daemon),
+        ActiveFault::LinkCut(STORE_LINKS[daemon]),
+        ActiveFault::StoreSilent,
     ];
-    debug_assert!(node < DAEMONS);
+    debug_assert!(daemon < DAEMONS);
     let until = Instant::now();
-    let was_harmed = |it: Harm| harms.was_harmed(it, now - CONTACT, until);
-    !of_daemon.into_iter().any(was_harmed)
+    let was_active = |it: ActiveFault| fault_log.was_active(it, now - CONTACT_WINDOW, until);
+    !faults.into_iter().any(was_active)
 }
