--- a/crates/node/tests/silent_store.rs
+++ b/crates/node/tests/silent_store.rs
@@ -58,16 +58,11 @@
 }
 
 /// Writes a change, so that all daemons request the next one at the same moment, and
-/// silences the store for `daemons` after `delay`, which may be before or after that moment.
-async fn silence_store_after_a_change(
-    fleet: &mut Fleet,
-    daemons: &[usize],
-    delay: Duration,
-    silence: Duration,
-) {
+/// silences the store for `daemons` after `lag`, which may be before or after that moment.
+async fn write_and_silence(fleet: &mut Fleet, daemons: &[usize], lag: Duration, silence: Duration) {
     tokio::time::sleep(STARTUP_DELAY).await;
     fleet.put_settings(&[KEY, SPARE_KEY], 900.0);
-    tokio::time::sleep(delay).await;
+    tokio::time::sleep(lag).await;
     set_store_silent(fleet, daemons, true);
     tokio::time::sleep(silence).await;
     set_store_silent(fleet, daemons, false);
@@ -79,8 +74,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn settings_are_in_force_after_watches_were_requested_in_a_silence() {
     let mut fleet = Fleet::started().await;
-    let (delay, silence) = (Duration::from_millis(250), Duration::from_millis(3_500));
-    silence_store_after_a_change(&mut fleet, &[0, 1, 2], delay, silence).await;
+    let (lag, silence) = (Duration::from_millis(250), Duration::from_millis(3_500));
+    write_and_silence(&mut fleet, &[0, 1, 2], lag, silence).await;
     fleet.put_settings(&[KEY], 1_000.0);
     let took = time_until_refused(&fleet, &[0, 1], SPARE_KEY).await;
     assert!(took < MAX_CHANGE_DELAY, "took {took:?}");
@@ -90,8 +85,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn settings_are_in_force_after_a_silence_cut_waiting_watches() {
     let mut fleet = Fleet::started().await;
-    let (delay, silence) = (WATCH_REISSUE_DELAY, Duration::from_millis(2_000));
-    silence_store_after_a_change(&mut fleet, &[0, 1, 2], delay, silence).await;
+    let (lag, silence) = (WATCH_REISSUE_DELAY, Duration::from_millis(2_000));
+    write_and_silence(&mut fleet, &[0, 1, 2], lag, silence).await;
     fleet.put_settings(&[KEY], 1_000.0);
     let took = time_until_refused(&fleet, &[0, 1], SPARE_KEY).await;
     assert!(took < MAX_CHANGE_DELAY, "took {took:?}");
@@ -104,8 +99,8 @@
     let mut fleet = Fleet::new().await;
     fleet.add_daemon("entry-1", "zone-1", true).await;
     fleet.wait_ready().await;
-    let (delay, silence) = (Duration::from_millis(250), Duration::from_millis(500));
-    silence_store_after_a_change(&mut fleet, &[0], delay, silence).await;
+    let (lag, silence) = (Duration::from_millis(250), Duration::from_millis(500));
+    write_and_silence(&mut fleet, &[0], lag, silence).await;
     fleet.put_settings(&[KEY], 1_000.0);
     let took = time_until_refused(&fleet, &[0], SPARE_KEY).await;
     assert!(took < MAX_CHANGE_DELAY, "took {took:?}");
