--- a/crates/node/tests/failing_fleet.rs
+++ b/crates/node/tests/failing_fleet.rs
@@ -259,7 +259,7 @@
     let mut fleet = Fleet::started().await;
     fleet.put_settings(&[KEY], 20.0);
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    let begin = std::time::Instant::now();
+    let start = std::time::Instant::now();
     let mut refused = 0;
     for number in 0..300 {
         let id = format!("r11-{number}");
@@ -272,7 +272,7 @@
             refused += 1;
         }
     }
-    let seconds = begin.elapsed().as_secs_f64();
+    let seconds = start.elapsed().as_secs_f64();
     let served = fleet.servers[2].arrivals().len() as f64;
     let allowed = 20.0 * seconds + 20.0;
     assert!(
--- a/crates/node/tests/fleet/mod.rs
+++ b/crates/node/tests/fleet/mod.rs
@@ -40,7 +40,7 @@
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 /// The number of lines that a failed test prints of the end of each daemon's log.
 const LOG_TAIL_LINES: usize = 40;
-/// The environment variable with the folder to which a failed test writes the whole logs.
+/// The environment variable that names the folder for the complete logs of a failed test.
 const LOG_FOLDER_VARIABLE: &str = "FLEET_LOGS";
 
 /// A daemon's process, which is killed when this is dropped.
@@ -436,7 +436,8 @@
         }
     }
 
-    /// Asks a daemon and reads its whole answer; an error where it breaks off.
+    /// Sends a request to a daemon and reads the complete response. Returns an error if the
+    /// connection breaks before its end.
     pub(crate) async fn send(
         &self,
         daemon: usize,
@@ -445,7 +446,7 @@
         self.callers().send(daemon, call).await
     }
 
-    /// Hands a lot in, and returns the status of the answer.
+    /// Submits a lot, and returns the status of the response.
     pub(crate) async fn submit_lot(
         &self,
         daemon: usize,
@@ -487,7 +488,8 @@
 }
 
 impl Callers {
-    /// Asks a daemon and reads its whole answer; an error where it breaks off.
+    /// Sends a request to a daemon and reads the complete response. Returns an error if the
+    /// connection breaks before its end.
     pub(crate) async fn send(
         &self,
         daemon: usize,
@@ -511,7 +513,7 @@
         response.map_err(|error| error.to_string())
     }
 
-    /// Hands a lot in, and returns the status of the answer.
+    /// Submits a lot, and returns the status of the response.
     pub(crate) async fn submit_lot(
         &self,
         daemon: usize,
--- a/crates/serving/tests/arrival_clock.rs
+++ b/crates/serving/tests/arrival_clock.rs
@@ -6,7 +6,7 @@
 use comfreyramp_serving::fleet::{ArrivalClock, QUIET_LOOK};
 
 /// After a VM was paused for five seconds, the datagrams queued in that time may have
-/// arrived at any moment of it, so none of them shows the present state. They must be dated
+/// arrived at any moment of it, so none of them proves the present state. They must be dated
 /// to the start of the pause, not to the moment of reading.
 #[test]
 fn datagrams_queued_while_a_daemon_was_paused_are_old() {
--- a/crates/serving/tests/connection_pool.rs
+++ b/crates/serving/tests/connection_pool.rs
@@ -1,6 +1,9 @@
 //! Which idle connections to backend servers are reused.
 
-#![allow(clippy::unwrap_used, reason = "a test ends where something is missing")]
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test fails where something is missing"
+)]
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/serving/tests/follow_store.rs
+++ b/crates/serving/tests/follow_store.rs
@@ -1,6 +1,9 @@
 //! Watching the store when the zone's watching daemon changes.
 
-#![allow(clippy::unwrap_used, reason = "tests end where something is missing")]
+#![allow(
+    clippy::unwrap_used,
+    reason = "a test fails where something is missing"
+)]
 
 use std::{
     cell::Cell,
@@ -73,7 +76,7 @@
     }
 }
 
-/// In a large fleet most daemons stop watching the store once a peer of their zone does it.
+/// In a large fleet most daemons stop watching the store once a peer of their zone watches it.
 /// If that peer is lost, its successor has to start watching again; otherwise the zone
 /// keeps its outdated data for as long as the successor runs.
 #[tokio::test]
--- a/crates/serving/tests/lot_cache.rs
+++ b/crates/serving/tests/lot_cache.rs
@@ -2,7 +2,7 @@
 
 #![allow(
     clippy::unwrap_used,
-    reason = "a test ends where its records are wrong"
+    reason = "a test fails where its records are invalid"
 )]
 
 use comfreyramp_policy::Timestamp;
