--- a/crates/lots/src/batch_object.rs
+++ b/crates/lots/src/batch_object.rs
@@ -1,4 +1,4 @@
-//! Files and lots in the published shapes of the OpenAI API.
+//! Responses for files and batches (lots) in the format of the OpenAI API.
 
 use std::collections::BTreeMap;
 
@@ -9,24 +9,24 @@
     lot_store::{IndexState, OutputId},
 };
 
-/// A file as callers see it.
+/// A file as the API returns it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileObject {
-    /// Its id.
+    /// The file's id.
     pub id: String,
     /// Always `file`.
     pub object: String,
-    /// Its length.
+    /// The length of the content in bytes.
     pub bytes: u64,
-    /// When it was made, in seconds since 1970.
+    /// When the file was created, in seconds since 1970.
     pub created_at: u64,
-    /// When it is deleted.
+    /// When the file is deleted, in seconds since 1970.
     pub expires_at: u64,
-    /// Its name.
+    /// The name under which the caller uploaded the file.
     pub filename: String,
-    /// `batch` for an upload, `batch_output` for results.
+    /// `batch` for an upload, `batch_output` for the results of a lot.
     pub purpose: String,
-    /// Always `processed`: a file with faults is never kept.
+    /// Always `processed`, since an invalid file is rejected and never stored.
     pub status: String,
 }
 
@@ -46,23 +46,24 @@
     }
 }
 
-/// A page of files as callers see it.
+/// A page of files as the API returns it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileList {
     /// Always `list`.
     pub object: String,
-    /// The files.
+    /// The files of this page.
     pub data: Vec<FileObject>,
-    /// The first file's id.
+    /// The id of the first file on this page.
     pub first_id: Option<String>,
-    /// The last file's id, from which the next page goes on.
+    /// The id of the last file on this page; pass it as `after` to get the next
+    /// page.
     pub last_id: Option<String>,
-    /// Whether there are more.
+    /// Whether more files follow this page.
     pub has_more: bool,
 }
 
 impl FileList {
-    /// A page of these files.
+    /// Creates a page of these files.
     pub fn new(files: &[FileRecord], has_more: bool) -> Self {
         FileList {
             object: "list".to_owned(),
@@ -74,81 +75,82 @@
     }
 }
 
-/// How far a lot is.
+/// The status of a lot.
 ///
-/// A lot is never `expired`: one that is late goes on until each item has its
-/// result, since an accepted item is always finished.
+/// There is no `expired` status: an accepted item is always finished, so a lot
+/// that misses its due time continues until every item has a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BatchStatus {
-    /// Its items run or wait to run.
+    /// Its items are running or waiting to run.
     InProgress,
-    /// All results are recorded; its output files are about to appear.
+    /// All results are recorded, but the output files aren't available yet.
     Finalizing,
-    /// Done.
+    /// All items have a result and the output files are available.
     Completed,
-    /// Cancelled, and some items may still be stopping.
+    /// Cancelled, but some items may still be running.
     Cancelling,
-    /// Cancelled, and nothing of it runs any more.
+    /// Cancelled, and none of its items is running any more.
     Cancelled,
 }
 
-/// Items by how they ended.
+/// How many items of a lot there are, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCounts {
-    /// All items.
+    /// All items of the lot.
     pub total: u32,
-    /// Answered.
+    /// Items with a successful answer.
     pub completed: u32,
-    /// Ended with a recorded error.
+    /// Items with a recorded error.
     pub failed: u32,
-    /// Not run to an end because the lot was cancelled.
+    /// Items without a result because the lot was cancelled.
     #[serde(default)]
     pub cancelled: u32,
 }
 
-/// A lot as callers see it.
+/// A lot as the API returns it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchObject {
-    /// Its id.
+    /// The lot's id.
     pub id: String,
     /// Always `batch`.
     pub object: String,
-    /// The endpoint of its items.
+    /// The API endpoint that all items are sent to.
     pub endpoint: String,
-    /// Always absent: a file with faults is refused when it is uploaded.
+    /// Always absent: a file with invalid lines is rejected at upload.
     pub errors: Option<()>,
-    /// The file with its items.
+    /// The id of the file with the items.
     pub input_file_id: String,
-    /// How long it may take, as the caller wrote it.
+    /// The time the lot may take, as the caller wrote it.
     pub completion_window: String,
-    /// How far it is.
+    /// The current status.
     pub status: BatchStatus,
-    /// Its answered items, once it has ended.
+    /// The id of the file with the answers, once the lot has ended.
     pub output_file_id: Option<String>,
-    /// Its failed items, once it has ended and there are any.
+    /// The id of the file with the errors, once the lot has ended and if any
+    /// item failed.
     pub error_file_id: Option<String>,
-    /// When it was created. All times are seconds since 1970.
+    /// When the lot was created. All times are in seconds since 1970.
     pub created_at: u64,
-    /// When its items began to be run.
+    /// When the items became ready to run; always the time of creation.
     pub in_progress_at: Option<u64>,
-    /// When it is due.
+    /// When the lot is due.
     pub expires_at: u64,
-    /// When its results were complete.
+    /// When all results were recorded.
     pub finalizing_at: Option<u64>,
-    /// When it was completed.
+    /// When the lot was completed.
     pub completed_at: Option<u64>,
-    /// Always absent: lots don't fail as a whole.
+    /// Always absent: a lot never fails as a whole.
     pub failed_at: Option<u64>,
     /// Always absent: lots don't expire.
     pub expired_at: Option<u64>,
-    /// When its cancel was recorded.
+    /// When the cancellation was recorded.
     pub cancelling_at: Option<u64>,
-    /// When nothing of it ran any more.
+    /// When the last item of the cancelled lot had stopped.
     pub cancelled_at: Option<u64>,
-    /// Its items by how they ended.
+    /// How many items there are, by outcome.
     pub request_counts: RequestCounts,
-    /// What the caller noted.
+    /// Key-value pairs that the caller attached to the lot.
     pub metadata: BTreeMap<String, String>,
 }
 
@@ -224,18 +226,19 @@
     }
 }
 
-/// A page of lots as callers see it.
+/// A page of lots as the API returns it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchList {
     /// Always `list`.
     pub object: String,
-    /// The lots, newest first.
+    /// The lots of this page, newest first.
     pub data: Vec<BatchObject>,
-    /// The first lot's id.
+    /// The id of the first lot on this page.
     pub first_id: Option<String>,
-    /// The last lot's id, from which the next page goes on.
+    /// The id of the last lot on this page; pass it as `after` to get the next
+    /// page.
     pub last_id: Option<String>,
-    /// Whether there are more.
+    /// Whether more lots follow this page.
     pub has_more: bool,
 }
 
--- a/crates/lots/src/clock.rs
+++ b/crates/lots/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time of day, which all daemons share within the clocks' skew.
+//! Wall-clock time, which is the same on all daemons up to clock skew.
 
 use std::{
     ops::Add,
@@ -7,10 +7,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A time of day in milliseconds since 1970.
+/// A wall-clock time in milliseconds since 1970.
 ///
-/// Due times and retention are kept in it, since they outlive any process.
-/// Whether a lease still holds is never judged by it.
+/// Due times and expiry times use it, since they must survive a restart. Lease
+/// expiry is never computed from it, so clock skew can't prolong a lease.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,12 +18,12 @@
 pub struct WallTime(pub u64);
 
 impl WallTime {
-    /// Whole seconds since 1970, as callers see them.
+    /// Returns whole seconds since 1970, as used in API responses.
     pub fn as_secs(self) -> u64 {
         self.0 / 1000
     }
 
-    /// The time left until this moment, or zero when it is past.
+    /// Returns the time from `now` until this moment, or zero if it has passed.
     pub fn left(self, now: WallTime) -> Duration {
         Duration::from_millis(self.0.saturating_sub(now.0))
     }
@@ -38,13 +38,13 @@
     }
 }
 
-/// Where the time of day comes from, so that a test can bring its own.
+/// A source of wall-clock time. Tests replace it by their own.
 pub trait WallClock: Clone + Send + Sync + 'static {
-    /// The present time of day.
+    /// Returns the current wall-clock time.
     fn now(&self) -> WallTime;
 }
 
-/// The machine's clock.
+/// The clock of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
--- a/crates/lots/src/codec.rs
+++ b/crates/lots/src/codec.rs
@@ -1,4 +1,4 @@
-//! How records and packed values are written.
+//! Encoding of stored records and compressed values, and generation of ids.
 
 use std::fmt::Display;
 
@@ -10,15 +10,17 @@
 
 use crate::{LotError, WallTime};
 
-/// The compression level: the library's default, cheap enough for the door.
+/// The zstd compression level. The library's default costs little enough CPU
+/// time for the daemon that accepts the upload.
 const ZSTD_LEVEL: i32 = 3;
-/// No packed value is larger than this once unpacked, in bytes.
+/// The maximum size of a value after decompression, in bytes.
 const MAX_UNPACKED: usize = 2 << 20;
-/// Ids count down from here, in milliseconds, so that newer ones sort first.
+/// Ids contain the milliseconds left until this point in time, so that newer
+/// ids sort first.
 const ID_TIME_END: u64 = 1 << 44;
 
 pub(crate) fn to_json(value: &impl Serialize) -> Bytes {
-    // The records have string keys only, so that serializing can't fail.
+    // Serialization can't fail, since all map keys of the records are strings.
     serde_json::to_vec(value).unwrap_or_default().into()
 }
 
@@ -27,8 +29,9 @@
 }
 
 pub(crate) fn pack(raw: &[u8]) -> Bytes {
-    // Compressing from memory into memory fails for want of memory only; the
-    // raw bytes are then kept, and `unpack` knows them by the missing magic.
+    // Compression between memory buffers fails only when out of memory. The
+    // value is then stored uncompressed; `unpack` recognizes that by the
+    // missing zstd magic number.
     zstd::bulk::compress(raw, ZSTD_LEVEL)
         .unwrap_or_else(|_| raw.to_vec())
         .into()
@@ -51,8 +54,9 @@
     }
 }
 
-/// A short hash over parts, each preceded by its length so that no two lists
-/// of parts run together.
+/// Returns a short hash of the parts. The length of each part is hashed before
+/// it, so that different lists of parts with the same concatenation get
+/// different hashes.
 pub(crate) fn digest(parts: &[&[u8]]) -> String {
     let mut hasher = Sha256::new();
     for part in parts {
@@ -62,14 +66,14 @@
     hex::encode(&hasher.finalize()[..16])
 }
 
-/// A new id's variable part; later ones sort first.
+/// Generates the variable part of an id. Ids generated later sort first.
 pub(crate) fn new_id(now: WallTime) -> String {
     let time = ID_TIME_END.saturating_sub(now.0);
     let random: u64 = StdRng::from_os_rng().random();
     format!("{time:011x}{random:016x}")
 }
 
-/// When an id was made.
+/// Returns when an id was generated.
 pub(crate) fn id_time(id: &str) -> WallTime {
     let time = id.get(..11).and_then(|it| u64::from_str_radix(it, 16).ok());
     WallTime(ID_TIME_END.saturating_sub(time.unwrap_or(ID_TIME_END)))
--- a/crates/lots/src/completion_window.rs
+++ b/crates/lots/src/completion_window.rs
@@ -1,4 +1,4 @@
-//! How long a lot may take.
+//! The time a lot may take from creation to its due time.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -6,12 +6,13 @@
 
 use crate::LotError;
 
-/// The shortest window.
+/// The shortest window that a caller may request.
 const MIN_SPAN: Duration = Duration::from_secs(1);
-/// The longest window: 60 days.
+/// The longest window that a caller may request: 60 days.
 const MAX_SPAN: Duration = Duration::from_secs(60 * 86_400);
 
-/// The time between a lot's creation and when it is due, as its caller wrote it.
+/// The time from a lot's creation to its due time. Keeps the text that the
+/// caller wrote, which API responses repeat.
 ///
 /// ```
 /// use std::time::Duration;
@@ -23,7 +24,7 @@
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, SerializeDisplay, DeserializeFromStr)]
 pub struct CompletionWindow {
-    /// Its length.
+    /// The length of the window.
     pub span: Duration,
     text: String,
 }
@@ -34,12 +35,12 @@
     fn from_str(text: &str) -> Result<Self, LotError> {
         let span = parse_span(text).ok_or_else(|| {
             invalid(format!(
-                "`{text}` is no duration; write for example 24h, 90m, 7d or 1h30m"
+                "`{text}` is not a valid duration; examples: 24h, 90m, 7d, 1h30m"
             ))
         })?;
         if !(MIN_SPAN..=MAX_SPAN).contains(&span) {
             return Err(invalid(format!(
-                "`{text}` is out of range; from 1s to 60d is right"
+                "`{text}` is out of range; it must be between 1s and 60d"
             )));
         }
         let text = text.to_owned();
--- a/crates/lots/src/content_stream.rs
+++ b/crates/lots/src/content_stream.rs
@@ -1,4 +1,4 @@
-//! Reading a file out again, one packed value at a time.
+//! Streaming reads of file contents.
 
 use std::vec::IntoIter;
 
@@ -10,7 +10,7 @@
     codec::{damaged, unpack},
 };
 
-/// Which lines of the packed values are wanted.
+/// Which lines of the stored values a [`ContentStream`] returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LineFilter {
     All,
@@ -18,14 +18,15 @@
     Failed,
 }
 
-/// The content of a file, streamed. At most one packed value is in memory.
+/// A stream of a file's content, which keeps at most one stored value in
+/// memory.
 #[derive(Debug)]
 pub struct ContentStream<S> {
     store: S,
     retry: RetryPlan,
     keys: IntoIter<String>,
     filter: LineFilter,
-    /// The length of the whole content in bytes.
+    /// The total length of the content in bytes.
     pub bytes: u64,
 }
 
@@ -65,11 +66,12 @@
         }
     }
 
-    /// The next piece, or nothing at the end.
+    /// Returns the next chunk of the content, or `None` at the end. Fails if a
+    /// stored value is missing or can't be decoded.
     pub async fn next(&mut self) -> Result<Option<Bytes>, LotError> {
         for key in self.keys.by_ref() {
             let pair = self.retry.one(&self.store, key.clone()).await?;
-            let pair = pair.ok_or_else(|| damaged(&key, "it is missing"))?;
+            let pair = pair.ok_or_else(|| damaged(&key, "the value is missing"))?;
             let piece = keep_lines(unpack(&pair)?, self.filter, &key)?;
             if !piece.is_empty() {
                 return Ok(Some(piece));
--- a/crates/lots/src/error.rs
+++ b/crates/lots/src/error.rs
@@ -1,18 +1,18 @@
-//! What can go wrong at the callers' side of files and lots.
+//! Errors of file and lot operations.
 
 use std::fmt;
 
 use comfreyramp_store::StoreError;
 use serde::Serialize;
 
-/// One fault of an uploaded file, with its place and what would be right.
+/// One error in an uploaded file: where it is and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct LineFinding {
-    /// The line, counted from 1; 0 for the file as a whole.
+    /// The line number, starting at 1, or 0 for the file as a whole.
     pub line: u64,
-    /// A stable word for programs.
+    /// A stable identifier of the kind of error, for use by programs.
     pub code: &'static str,
-    /// What is wrong and what would be right.
+    /// A description of the error and of what is valid instead.
     pub message: String,
 }
 
@@ -28,38 +28,38 @@
 /// Why a file or lot operation failed.
 #[derive(Debug, thiserror::Error)]
 pub enum LotError {
-    /// The uploaded file has faults; nothing of it was kept.
-    #[error("the file has faults: {}", join(.0))]
+    /// The uploaded file contains invalid lines. Nothing of it was stored.
+    #[error("the file is invalid: {}", join(.0))]
     Findings(Vec<LineFinding>),
-    /// A field of the request is wrong.
+    /// A field of the request is invalid.
     #[error("{param}: {message}")]
     Invalid {
-        /// The field.
+        /// The name of the field.
         param: &'static str,
-        /// What is wrong and what would be right.
+        /// A description of the error and of what is valid instead.
         message: String,
     },
-    /// The customer has no such file or lot.
-    #[error("no such {0}")]
+    /// The customer has no file or lot with this id.
+    #[error("{0} not found")]
     NotFound(&'static str),
-    /// The idempotency key already names a different request.
-    #[error("this idempotency key was used for a different request")]
+    /// The idempotency key was used before with a different request.
+    #[error("the idempotency key was already used for a different request")]
     KeyReused,
-    /// The platform gave no or no good answer.
+    /// The key-value store didn't answer, or answered with an error.
     #[error(transparent)]
     Platform(#[from] StoreError),
-    /// A stored value can't be read.
+    /// A stored value is missing or can't be decoded.
     #[error("the stored value of {key} is damaged: {reason}")]
     Damaged {
-        /// Its key.
+        /// The key of the value.
         key: String,
-        /// Why it can't be read.
+        /// Why the value can't be decoded.
         reason: String,
     },
 }
 
 impl LotError {
-    /// Whether the request may have taken effect all the same.
+    /// Returns whether the request may have taken effect despite the error.
     pub fn may_have_run(&self) -> bool {
         matches!(self, LotError::Platform(StoreError::AnswerLost(_)))
     }
--- a/crates/lots/src/file_record.rs
+++ b/crates/lots/src/file_record.rs
@@ -1,36 +1,40 @@
-//! What is kept of a file beside its content.
+//! The stored metadata of a file.
 
 use serde::{Deserialize, Serialize};
 
 use crate::WallTime;
 
-/// An uploaded file. Its segments are complete before this record exists.
+/// The metadata of a file. For an upload it is stored after the content, so
+/// that a visible file is always complete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileRecord {
-    /// Its id, the same for the same content of the same customer.
+    /// The file's id. Uploading the same content again for the same customer
+    /// and idempotency key gives the same id.
     pub id: String,
-    /// Whose it is.
+    /// The customer that owns the file.
     pub customer: String,
-    /// Its name as the caller gave it.
+    /// The file name that the caller gave.
     pub filename: String,
-    /// Its length in bytes.
+    /// The length of the content in bytes.
     pub bytes: u64,
-    /// When it was uploaded.
+    /// When the file was uploaded.
     pub created_at: WallTime,
-    /// When it is deleted unless an open lot reads it.
+    /// When the file is deleted, unless an open lot still reads its content.
     pub expires_at: WallTime,
-    /// Under which name the segments are kept.
+    /// The id under which the content's segments are stored; a new one for each
+    /// upload.
     pub content: String,
-    /// How many items each segment has.
+    /// The number of items in each segment. Empty for the output file of a lot,
+    /// whose content is the lot's results.
     pub segments: Vec<u16>,
-    /// The endpoint of all items.
+    /// The API endpoint that all items are sent to.
     pub endpoint: String,
-    /// The model of all items.
+    /// The model that all items use.
     pub model: String,
 }
 
 impl FileRecord {
-    /// How many items it has.
+    /// Returns the number of items in the file.
     pub fn items(&self) -> u32 {
         self.segments.iter().map(|&it| u32::from(it)).sum()
     }
--- a/crates/lots/src/file_store.rs
+++ b/crates/lots/src/file_store.rs
@@ -1,4 +1,4 @@
-//! Customers' files.
+//! Storage of customers' files.
 
 use std::time::Duration;
 
@@ -15,22 +15,24 @@
     lot_store::OutputId,
 };
 
-/// The most deletions in one transaction; the platform allows 128 operations.
+/// The maximum number of deletions in one transaction. The store accepts at
+/// most 128 operations per transaction.
 pub(crate) const DELETE_BATCH: usize = 100;
-/// A file that is uploaded again is kept for longer once this old.
+/// Uploading the same file again extends its retention if that moves the expiry
+/// by at least this much. More frequent repetitions cost no write.
 const EXTEND_AFTER: Duration = Duration::from_secs(3600);
 
-/// How long things are kept.
+/// How long files, lots and related records are kept.
 #[derive(Clone, Copy, Debug)]
 pub struct RetentionPlan {
-    /// A file, from its upload on.
+    /// How long a file is kept after its upload.
     pub files: Duration,
-    /// A lot with its results, from its end on.
+    /// How long a lot and its results are kept after it ended.
     pub lots: Duration,
-    /// The parts of an upload that never ended.
+    /// How long the segments of an unfinished upload are kept.
     pub upload: Duration,
-    /// How long a request without an idempotency key is taken for a resent one
-    /// when it equals an earlier one.
+    /// How long a request without an idempotency key counts as a repetition of
+    /// an earlier identical request.
     pub same_request: Duration,
 }
 
@@ -46,19 +48,19 @@
     }
 }
 
-/// Customers' files, as any daemon sees them.
+/// Access to customers' files from any daemon.
 #[derive(Clone, Debug)]
 pub struct FileStore<S, C = SystemClock> {
     pub(crate) store: S,
     pub(crate) clock: C,
-    /// How patiently the platform is asked.
+    /// How requests to the key-value store are retried.
     pub retry: RetryPlan,
-    /// How long things are kept.
+    /// How long files and lots are kept.
     pub retention: RetentionPlan,
 }
 
 impl<S: PlatformStore, C: WallClock> FileStore<S, C> {
-    /// Files kept in this store.
+    /// Creates a file store on top of a key-value store.
     pub fn new(store: S, clock: C) -> Self {
         FileStore {
             store,
@@ -68,12 +70,13 @@
         }
     }
 
-    /// Begins an upload.
+    /// Starts an upload of a file for a customer.
     pub fn upload(&self, customer: &str, filename: &str) -> FileUpload<S, C> {
         FileUpload::new(self.clone(), customer, filename)
     }
 
-    /// Finds a customer's file: an upload, or the output of one of its lots.
+    /// Returns the metadata of a customer's file, which is either an upload or
+    /// an output file of one of the customer's lots.
     pub async fn get(&self, customer: &str, id: &str) -> Result<FileRecord, LotError> {
         if let Some(output) = OutputId::parse(id) {
             let lot = self.finished_lot(customer, &output).await?;
@@ -83,7 +86,7 @@
         from_json(&pair)
     }
 
-    /// Streams a file's content.
+    /// Opens a stream of a file's content.
     pub async fn content(&self, customer: &str, id: &str) -> Result<ContentStream<S>, LotError> {
         let Some(output) = OutputId::parse(id) else {
             let file: FileRecord = from_json(&self.find(customer, id).await?)?;
@@ -105,7 +108,8 @@
         ))
     }
 
-    /// Lists a customer's uploads in the order of their ids, after `after`.
+    /// Lists a customer's uploads in the order of their ids, starting after the
+    /// id `after`. Also returns whether more files follow.
     pub async fn list(
         &self,
         customer: &str,
@@ -118,13 +122,14 @@
         Ok((files?, answer.more))
     }
 
-    /// Deletes a file. Open lots that read it go on and end as usual: its
-    /// content is deleted once none is left.
+    /// Deletes a file. Open lots that use it aren't affected: its content is
+    /// deleted once the last of them has ended. Output files can't be deleted,
+    /// since they are kept as long as their lot.
     pub async fn delete(&self, customer: &str, id: &str) -> Result<(), LotError> {
         if OutputId::parse(id).is_some() {
             return Err(LotError::Invalid {
                 param: "file_id",
-                message: "results are kept and deleted with their batch".to_owned(),
+                message: "an output file is deleted together with its batch".to_owned(),
             });
         }
         let pair = self.find(customer, id).await?;
@@ -132,7 +137,8 @@
         self.drop_record(&file, pair.modified).await
     }
 
-    /// Deletes the record and leaves the content to the sweeper.
+    /// Deletes the metadata and schedules the deletion of the content by the
+    /// sweeper.
     pub(crate) async fn drop_record(
         &self,
         file: &FileRecord,
@@ -150,13 +156,15 @@
             then: vec![Write::Delete(key), put],
             read_back: Vec::new(),
         };
-        // Refused means that it changed or is gone: if it is gone, then either
-        // by our own first try or by somebody who wanted the same.
+        // A rejected transaction means that the record has changed or is gone.
+        // If it is gone, either an earlier attempt of this call or a concurrent
+        // deletion succeeded.
         self.retry.transact(&self.store, batch).await?;
         Ok(())
     }
 
-    /// Keeps a file for longer that was uploaded again.
+    /// Extends the retention of a file that was uploaded again. Returns the
+    /// stored metadata.
     pub(crate) async fn extend(
         &self,
         mut file: FileRecord,
@@ -198,7 +206,7 @@
         new_id(self.clock.now())
     }
 
-    /// When an id was made.
+    /// Returns when an id was generated.
     pub(crate) fn started(&self, id: &str) -> WallTime {
         crate::codec::id_time(id)
     }
@@ -232,7 +240,8 @@
     }
 }
 
-/// An id from a caller must not reach other keys.
+/// Rejects ids from callers that contain `/` or other special characters and so
+/// could address other keys.
 pub(crate) fn check_id(id: &str) -> Result<(), LotError> {
     let plain = |it: u8| it.is_ascii_alphanumeric() || matches!(it, b'-' | b'_');
     match id.bytes().all(plain) {
@@ -241,13 +250,13 @@
     }
 }
 
-/// The keys of a folder after a given name.
+/// Returns the range of the keys under `folder` that follow the name `after`.
 pub(crate) fn page_range(folder: &str, after: Option<&str>) -> KeyRange {
     let Some(after) = after else {
         return KeyRange::Prefix(folder.to_owned());
     };
-    // `0` follows `/`, so that the folder's name with it ends the folder; a
-    // zero byte makes the first key after the given one.
+    // `0` is the character after `/`, so the folder's name followed by `0` is
+    // the end of the range. The zero byte gives the first key after `after`.
     let end = format!("{}0", folder.trim_end_matches('/'));
     KeyRange::Between(format!("{folder}{after}\0"), end)
 }
--- a/crates/lots/src/file_upload.rs
+++ b/crates/lots/src/file_upload.rs
@@ -1,4 +1,4 @@
-//! Taking an upload line by line, with bounded memory.
+//! Parsing and storing an upload line by line with bounded memory.
 
 use bytes::Bytes;
 use comfreyramp_store::{Comparison, PlatformStore, TransactionAnswer, Write, WriteBatch};
@@ -10,23 +10,24 @@
     item_line::{ItemLine, LineKind, MAX_LINE_BYTES},
 };
 
-/// The most items in a file, and so in a lot.
+/// The maximum number of items in a file, and so in a lot.
 const MAX_ITEMS: usize = 99_000;
-/// The most bytes in a file.
+/// The maximum size of a file in bytes.
 const MAX_FILE_BYTES: u64 = 200 << 20;
-/// The most items in a segment.
+/// The maximum number of items in a segment.
 pub(crate) const SEGMENT_ITEMS: usize = 256;
-/// The most bytes in a segment before compression. Text that doesn't compress
-/// must still fit the platform's 1 MB.
+/// The maximum size of a segment before compression, in bytes. Even text that
+/// doesn't compress must fit the store's limit of 1 MB per value.
 pub(crate) const SEGMENT_BYTES: usize = 900 << 10;
-/// How many findings are told at once.
+/// The maximum number of errors reported for one upload.
 const MAX_FINDINGS: usize = 100;
 
-/// An upload under way.
+/// An upload in progress.
 ///
-/// Nothing is visible before [`FileUpload::finish`] has written the record. An
-/// upload that is dropped or lost leaves segments behind that no record names;
-/// their expiry, written ahead of the first of them, lets the sweeper find them.
+/// The file becomes visible when [`FileUpload::finish`] writes its record. An
+/// upload that is dropped or whose daemon crashes leaves segments without a
+/// record. The sweeper finds and deletes them, since an expiry entry is written
+/// before the first segment.
 #[derive(Debug)]
 pub struct FileUpload<S, C> {
     files: FileStore<S, C>,
@@ -70,18 +71,19 @@
         }
     }
 
-    /// Sets the caller's idempotency key: the same content under another key is
-    /// another file.
+    /// Sets the caller's idempotency key. The same content uploaded with
+    /// another key is a separate file.
     pub fn job_key(mut self, key: Option<&str>) -> Self {
         self.job_key = key.unwrap_or_default().to_owned();
         self
     }
 
-    /// Takes the next bytes of the file.
+    /// Processes the next bytes of the file. Fails at the size limit or after
+    /// too many invalid lines; the upload is then rejected as a whole.
     pub async fn push(&mut self, bytes: &[u8]) -> Result<(), LotError> {
         self.bytes += bytes.len() as u64;
         if self.bytes > MAX_FILE_BYTES {
-            let message = format!("longer than {MAX_FILE_BYTES} bytes; split the file");
+            let message = format!("the file is larger than {MAX_FILE_BYTES} bytes; split it");
             self.note(0, "file_too_large", message);
             return Err(self.refuse().await);
         }
@@ -92,20 +94,21 @@
             rest = &rest[end + 1..];
             self.end_line().await?;
         }
-        // A line without end must not fill the memory: what is past the limit
-        // is dropped, and the line's check then finds it too long.
+        // A line without an end must not exhaust the memory. Bytes past the
+        // limit are dropped, and the length check of the line then fails.
         let room = (MAX_LINE_BYTES + 2).saturating_sub(self.line.len());
         self.line.extend_from_slice(&rest[..rest.len().min(room)]);
         Ok(())
     }
 
-    /// Ends the upload: afterwards the file is in the platform as a whole.
+    /// Completes the upload. When this returns without an error, the store
+    /// holds the whole file.
     pub async fn finish(mut self) -> Result<FileRecord, LotError> {
         if !self.line.is_empty() {
             self.end_line().await?;
         }
         if self.ids.is_empty() && self.findings.is_empty() {
-            let message = "the file has no items; write one JSON object a line".to_owned();
+            let message = "the file has no items; write one JSON object per line".to_owned();
             self.note(0, "empty_file", message);
         }
         self.find_duplicates();
@@ -115,7 +118,7 @@
         self.write_record().await
     }
 
-    /// Gives the upload up and deletes what it wrote, as far as that is possible.
+    /// Aborts the upload and tries to delete the segments written so far.
     pub async fn abort(mut self) {
         self.drop_segments().await;
     }
@@ -140,7 +143,7 @@
 
     fn check_item(&mut self, text: &[u8]) {
         if self.ids.len() == MAX_ITEMS {
-            let message = format!("more than {MAX_ITEMS} items; split the file");
+            let message = format!("the file has more than {MAX_ITEMS} items; split it");
             self.note(self.lines, "too_many_items", message);
         }
         let (item, kind) = match ItemLine::check(text, self.lines) {
@@ -154,8 +157,8 @@
         };
         if *first != kind {
             let message = format!(
-                "url and model are {} and {}, but {} and {} in the lines before; \
-                 one file has one of each",
+                "url and model are {} and {}, but {} and {} in earlier lines; \
+                 all lines of a file must use the same url and model",
                 kind.url, kind.model, first.url, first.model
             );
             self.note(self.lines, "mixed_items", message);
@@ -203,7 +206,7 @@
         Ok(())
     }
 
-    /// Closes the current segment and returns its write.
+    /// Closes the current segment and returns the write that stores it.
     fn end_segment(&mut self) -> Write {
         let key = LotKeys.input(&self.content, self.segments.len());
         let value = pack(&self.raw);
@@ -217,7 +220,8 @@
         }
     }
 
-    /// Writes when to delete the segments should this upload never end.
+    /// Writes the expiry entry through which the sweeper finds the segments of
+    /// an upload that is never completed.
     async fn mark_upload(&self) -> Result<(), LotError> {
         let write = Write::Put {
             key: self.mark_key(),
@@ -237,7 +241,7 @@
         LotKeys.expiry(at, "upload", &self.content)
     }
 
-    /// Writes the last segment and the record in one step.
+    /// Writes the last segment and the record in one transaction.
     async fn write_record(mut self) -> Result<FileRecord, LotError> {
         let last = self.end_segment();
         let record = self.record();
@@ -259,7 +263,8 @@
         ];
         let mut when = vec![Comparison::Absent(key.clone())];
         if self.written > 0 {
-            // Once the mark is gone, the sweeper may have deleted segments.
+            // If the expiry entry is gone, the sweeper may have deleted
+            // segments.
             when.push(Comparison::Present(self.mark_key()));
             then.push(Write::Delete(self.mark_key()));
         }
@@ -275,14 +280,15 @@
         let Some(pair) = found.first() else {
             return Err(LotError::Invalid {
                 param: "file",
-                message: "the upload took too long; send it again".to_owned(),
+                message: "the upload took too long and has expired; send it again".to_owned(),
             });
         };
         let found: FileRecord = from_json(pair)?;
         if found.content == self.content {
             return Ok(found);
         }
-        // The same file was uploaded before: that one stays.
+        // The same file was uploaded before. Its record is kept and the new
+        // segments are deleted.
         self.drop_segments().await;
         self.files.extend(found, pair.modified).await
     }
@@ -312,8 +318,8 @@
         LotError::Findings(std::mem::take(&mut self.findings))
     }
 
-    /// Deletes what was written. Should the platform be away, the mark stays
-    /// and the sweeper does it.
+    /// Deletes the segments written so far. If the store is unavailable, the
+    /// expiry entry remains and the sweeper deletes them later.
     async fn drop_segments(&mut self) {
         if self.written == 0 {
             return;
@@ -322,14 +328,14 @@
         let keys = (0..self.written).map(|it| LotKeys.input(&content, it));
         let keys = keys.chain([self.mark_key()]).collect();
         if let Err(error) = self.files.delete_keys(keys).await {
-            log::warn!("lots: the segments of upload {content} stay until swept: {error}");
+            log::warn!("lots: upload {content} is left to the sweeper: {error}");
         }
         self.written = 0;
     }
 }
 
-/// 64 bits of a hash tell 99,000 ids apart: the chance of a false duplicate in
-/// a full file is 3 in ten billion.
+/// Returns the first 64 bits of a hash of the id. With 99,000 ids in a full
+/// file the probability of a false duplicate is 3 in ten billion.
 fn hash_id(id: &str) -> u64 {
     let hash = Sha256::digest(id);
     let mut first = [0; 8];
