--- a/crates/lots/src/held_segment.rs
+++ b/crates/lots/src/held_segment.rs
@@ -1,4 +1,4 @@
-//! A segment while this daemon owns it.
+//! A segment that this daemon has claimed, with the state of its items.
 
 use std::sync::Arc;
 
@@ -18,24 +18,26 @@
     segment_store::{GroupWrite, LoadedSegment, SegmentClaim},
 };
 
-/// The most bytes of one result; what is longer is recorded as an error.
+/// The maximum size of one result in bytes. A larger one is recorded as an
+/// error.
 const MAX_RESULT_BYTES: usize = 640 << 10;
-/// The most bytes of a group before compression, so that it fits the
-/// platform's 1 MB however badly it compresses.
+/// The maximum size of a group of results before compression, in bytes. It must
+/// fit the store's limit of 1 MB per value even if it doesn't compress.
 const MAX_GROUP_BYTES: usize = 900 << 10;
 
-/// Where an item stands.
+/// The state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ItemState {
-    /// It may run from this moment on.
+    /// Ready to run from this time on.
     Waiting(Timestamp),
-    /// It runs.
+    /// Currently running.
     Running,
-    /// A server crashed under it; it may run again once that is recorded.
+    /// A backend server crashed while the item ran. It becomes ready at this
+    /// time, but only after the crash is recorded.
     Crashed(Timestamp),
-    /// It has its result, not yet recorded.
+    /// Has a result that isn't recorded yet.
     Ended,
-    /// Its result is recorded.
+    /// Has a recorded result.
     Recorded,
 }
 
@@ -48,7 +50,7 @@
     pub(crate) resume: Option<R>,
 }
 
-/// A result that waits to be recorded.
+/// A result that is still to be recorded.
 #[derive(Clone, Debug)]
 pub(crate) struct ItemResult {
     pub(crate) item: usize,
@@ -56,7 +58,7 @@
     pub(crate) line: Bytes,
 }
 
-/// What a write under way will have recorded.
+/// What is recorded once the current write succeeds.
 #[derive(Debug)]
 struct PendingWrite {
     progress: SegmentProgress,
@@ -65,19 +67,20 @@
     is_last: bool,
 }
 
-/// A segment while this daemon owns it.
+/// A segment that this daemon has claimed, with its items and the results that
+/// are still to be recorded.
 #[derive(Debug)]
 pub(crate) struct HeldSegment<R> {
     pub(crate) key: u64,
     pub(crate) claim: SegmentClaim,
     pub(crate) mark: Arc<OpenMark>,
     pub(crate) customer: CustomerId,
-    /// Stops all items of it.
+    /// Stops all running items of the segment.
     pub(crate) stop: CancellationToken,
     pub(crate) items: Vec<HeldItem<R>>,
     pub(crate) running: usize,
     pub(crate) last_run: Timestamp,
-    /// Nothing of it is started any more.
+    /// Whether the segment is about to be released: no more items are started.
     pub(crate) is_closing: bool,
     progress: SegmentProgress,
     progress_at: Option<Revision>,
@@ -117,13 +120,14 @@
         })
     }
 
-    /// The name of an item, the same whoever runs it.
+    /// Returns the id of an item, which is the same on every daemon.
     pub(crate) fn item_id(&self, item: usize) -> String {
         let lot = self.claim.lot.trim_start_matches("batch_");
         format!("batch_req_{lot}_{}_{item}", self.claim.segment)
     }
 
-    /// The next item that may run.
+    /// Returns the first item that may run now. Suspects, during whose run a
+    /// server crashed, are only considered with `allow_suspect`.
     pub(crate) fn ready_item(&self, allow_suspect: bool, now: Timestamp) -> Option<usize> {
         if self.is_closing {
             return None;
@@ -134,7 +138,7 @@
         })
     }
 
-    /// When an item that waits may run.
+    /// Returns the earliest time at which a waiting item may run.
     pub(crate) fn next_wait(&self) -> Option<Timestamp> {
         let waits = self.items.iter().filter_map(|it| match it.state {
             ItemState::Waiting(from) => Some(from),
@@ -143,7 +147,8 @@
         waits.min().filter(|_| !self.is_closing)
     }
 
-    /// Takes an item's result in. A second one for the same item is dropped.
+    /// Stores an item's result for recording. A second result of the same item
+    /// is dropped.
     pub(crate) fn end_item(&mut self, item: usize, result: &RecordedResult, now: Timestamp) {
         let is_answered = result.is_answered();
         let mut line = to_json(result).to_vec();
@@ -151,7 +156,7 @@
         if line.len() > MAX_RESULT_BYTES {
             let error = ResultError {
                 code: "answer_too_large".to_owned(),
-                message: format!("the answer has more than {MAX_RESULT_BYTES} bytes"),
+                message: format!("the answer is larger than {MAX_RESULT_BYTES} bytes"),
             };
             return self.fail_item(item, error, now);
         }
@@ -165,7 +170,7 @@
         );
     }
 
-    /// Ends an item with an error.
+    /// Ends an item with an error as its result.
     pub(crate) fn fail_item(&mut self, item: usize, error: ResultError, now: Timestamp) {
         let result = RecordedResult {
             id: self.item_id(item),
@@ -176,7 +181,7 @@
         self.end_item(item, &result, now);
     }
 
-    /// Takes a result in unless the item already has one.
+    /// Adds a result to the current group, unless the item already has one.
     pub(crate) fn take(&mut self, result: ItemResult, now: Timestamp) {
         let Some(item) = self.items.get_mut(result.item) else {
             return;
@@ -194,26 +199,28 @@
         self.group.push(result);
     }
 
-    /// Notes that a server crashed while an item ran. It runs again only after
-    /// that is recorded: else a daemon lost in between would let it crash a
+    /// Notes that a server crashed while an item ran. The item may run again
+    /// only after the crash is recorded. Otherwise, if this daemon crashed in
+    /// between, the next owner wouldn't know of it and the item could crash a
     /// third and fourth server.
     pub(crate) fn crash_item(&mut self, item: usize, retry_at: Timestamp) {
         self.items[item].state = ItemState::Crashed(retry_at);
         self.crashes.push(item);
     }
 
-    /// Whether every item has its result.
+    /// Returns whether every item has a result.
     pub(crate) fn is_done(&self) -> bool {
         let mut states = self.items.iter().map(|it| it.state);
         states.all(|it| matches!(it, ItemState::Ended | ItemState::Recorded))
     }
 
-    /// Whether there is nothing left to write.
+    /// Returns whether nothing is left to write.
     pub(crate) fn is_written(&self) -> bool {
         self.group.is_empty() && self.crashes.is_empty() && self.pending.is_none()
     }
 
-    /// When the next write is due, if there is anything to write.
+    /// Returns when the next write is due, or `None` if there is nothing to
+    /// write.
     pub(crate) fn write_due(&self, grouping: &ResultGrouping) -> Option<Timestamp> {
         if self.pending.is_some() || (self.group.is_empty() && self.crashes.is_empty()) {
             return None;
@@ -224,7 +231,8 @@
         Some(grouping.due(self.group_bytes, self.group_since))
     }
 
-    /// Begins a write of what waits, as much as fits one value.
+    /// Starts a write of the waiting results and crashes, as many as fit into
+    /// one stored value.
     pub(crate) fn begin_write(&mut self) -> GroupWrite {
         let mut progress = self.progress.clone();
         let mut lines = Vec::with_capacity(self.group_bytes.min(MAX_GROUP_BYTES));
@@ -260,7 +268,7 @@
         }
     }
 
-    /// Ends a write that took effect. Returns whether the segment is complete.
+    /// Finishes a successful write. Returns whether it completed the segment.
     pub(crate) fn end_write(&mut self, revision: Revision) -> bool {
         let Some(pending) = self.pending.take() else {
             return false;
@@ -278,7 +286,7 @@
         pending.is_last
     }
 
-    /// Drops what the platform refused.
+    /// Discards results that the store has rejected.
     pub(crate) fn forget_results(&mut self) {
         self.pending = None;
         self.crashes.clear();
@@ -290,8 +298,8 @@
         self.progress.count()
     }
 
-    /// The results that aren't known to be recorded, for a later claim on the
-    /// segment.
+    /// Returns the results that may not be recorded, so that they can be used
+    /// if this daemon claims the segment again.
     pub(crate) fn into_results(self) -> Vec<ItemResult> {
         let mut results = self.pending.map_or_else(Vec::new, |it| it.results);
         results.extend(self.group);
--- a/crates/lots/src/item_line.rs
+++ b/crates/lots/src/item_line.rs
@@ -1,18 +1,18 @@
-//! One line of an uploaded file.
+//! Parsing and validation of one line of an uploaded file.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
 use crate::LineFinding;
 
-/// The most bytes one line may have.
+/// The maximum size of a line in bytes.
 pub(crate) const MAX_LINE_BYTES: usize = 768 << 10;
-/// The longest `custom_id`, in bytes.
+/// The maximum length of a `custom_id` in bytes.
 const MAX_ID_BYTES: usize = 512;
-/// The endpoints that a lot may use.
+/// The API endpoints that the items of a lot may use.
 pub(crate) const ENDPOINTS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 
-/// A line as callers write it.
+/// A line in the format of the OpenAI batch API.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ItemLine<'a> {
     pub(crate) custom_id: String,
@@ -31,7 +31,7 @@
     stream: Option<bool>,
 }
 
-/// What a line asks for.
+/// The endpoint and model of a line. All lines of a file must agree on both.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LineKind {
     pub(crate) url: String,
@@ -39,7 +39,8 @@
 }
 
 impl<'a> ItemLine<'a> {
-    /// Reads a line and checks what can be told from it alone.
+    /// Parses a line and validates everything that doesn't depend on other
+    /// lines.
     pub(crate) fn check(raw: &'a [u8], line: u64) -> Result<(Self, LineKind), LineFinding> {
         let finding = |code, message: String| LineFinding {
             line,
@@ -47,12 +48,14 @@
             message,
         };
         if raw.len() > MAX_LINE_BYTES {
-            let message = format!("longer than {MAX_LINE_BYTES} bytes; split the request");
+            let message =
+                format!("the line is longer than {MAX_LINE_BYTES} bytes; split the request");
             return Err(finding("line_too_long", message));
         }
         let item: ItemLine<'a> = serde_json::from_slice(raw).map_err(|error| {
-            let message =
-                format!("{error}; a line is one JSON object with custom_id, method, url and body");
+            let message = format!(
+                "{error}; each line must be a JSON object with custom_id, method, url and body"
+            );
             finding("invalid_json", message)
         })?;
         if item.custom_id.is_empty() || item.custom_id.len() > MAX_ID_BYTES {
@@ -70,7 +73,7 @@
         let body: ItemBody = serde_json::from_str(item.body.get())
             .map_err(|error| finding("invalid_body", format!("body: {error}")))?;
         let Some(model) = body.model else {
-            let message = "body.model is missing; name a model".to_owned();
+            let message = "body.model is missing; specify a model".to_owned();
             return Err(finding("missing_model", message));
         };
         if body.stream == Some(true) {
--- a/crates/lots/src/lease_keeper.rs
+++ b/crates/lots/src/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! One lease for all that a daemon claims.
+//! Maintains the one lease that all claims of a daemon are attached to.
 
 use std::time::Duration;
 
@@ -9,30 +9,32 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// How long the platform keeps the lease after its last renewal.
+/// How long the store keeps the lease after the last renewal.
 const TTL: Duration = Duration::from_secs(10);
-/// How much earlier its holder takes it for lapsed.
+/// How much earlier than the store the holder considers the lease expired.
 const MARGIN: Duration = Duration::from_secs(2);
-/// How often it is renewed.
+/// The interval between renewals.
 const RENEW_EVERY: Duration = Duration::from_secs(4);
-/// The pause after a failed call.
+/// The delay after a failed request.
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// A lease that holds until its token is cancelled.
+/// A lease that is valid until its token is cancelled.
 #[derive(Clone, Debug)]
 pub struct HeldLease {
-    /// The lease.
+    /// The id of the lease in the store.
     pub id: LeaseId,
-    /// Cancelled once the lease may have lapsed by the holder's own clock.
+    /// Cancelled once the lease may have expired according to the holder's
+    /// clock.
     pub lapsed: CancellationToken,
 }
 
-/// Keeps a lease alive, and says when it no longer holds.
+/// Keeps a lease alive and publishes when it is no longer valid.
 ///
-/// The holder counts from before it sent its last successful renewal, and stops
-/// a margin early. So it takes its lease for lapsed before the platform does,
-/// also when it is cut off. A process that was paused finds out when it wakes;
-/// what it writes before that is refused by the fence.
+/// The holder measures the lifetime from before it sent the last successful
+/// renewal and subtracts a safety margin. It therefore considers the lease
+/// expired before the store does, even when it is cut off from the store. A
+/// process that was suspended notices this only when it resumes; what it writes
+/// before that is rejected by the fencing number.
 #[derive(Debug)]
 pub struct LeaseKeeper<S> {
     store: S,
@@ -40,18 +42,19 @@
 }
 
 impl<S: PlatformStore> LeaseKeeper<S> {
-    /// A keeper of one lease of this store.
+    /// Creates a manager for one lease in this store.
     pub fn new(store: S) -> Self {
         let (sender, _) = watch::channel(None);
         LeaseKeeper { store, sender }
     }
 
-    /// Tells of the lease: nothing while none holds.
+    /// Returns a receiver of the current lease, which is `None` while no lease
+    /// is valid.
     pub fn subscribe(&self) -> watch::Receiver<Option<HeldLease>> {
         self.sender.subscribe()
     }
 
-    /// Keeps a lease until `stop` is cancelled, then revokes it.
+    /// Maintains a lease until `stop` is cancelled, then revokes it.
     pub async fn run(self, stop: CancellationToken) {
         while !stop.is_cancelled() {
             let sent = Instant::now();
@@ -62,7 +65,7 @@
             match granted {
                 Ok(id) => self.keep(id, sent, &stop).await,
                 Err(error) => {
-                    log::warn!("lots: no lease yet: {error}");
+                    log::warn!("lots: no lease granted: {error}");
                     sleep(PAUSE).await;
                 }
             }
@@ -86,7 +89,7 @@
             }
             let sent = Instant::now();
             if sent >= holds_until {
-                log::warn!("lots: the lease lapsed before it could be renewed");
+                log::warn!("lots: the lease expired before it could be renewed");
                 break;
             }
             match timeout_at(holds_until, self.store.renew(id)).await {
@@ -95,7 +98,7 @@
                     renew_at = sent + RENEW_EVERY;
                 }
                 Ok(Err(StoreError::LeaseLapsed)) => {
-                    log::warn!("lots: the platform dropped the lease");
+                    log::warn!("lots: the store reports the lease as expired");
                     break;
                 }
                 Ok(Err(_)) | Err(_) => renew_at = sent + PAUSE,
@@ -104,7 +107,7 @@
         lease.lapsed.cancel();
         self.sender.send_replace(None);
         if stop.is_cancelled() {
-            // Should this fail, the lease lapses by itself.
+            // If this fails, the lease expires by itself.
             let _ = timeout_at(Instant::now() + MARGIN, self.store.revoke(id)).await;
         }
     }
--- a/crates/lots/src/lib.rs
+++ b/crates/lots/src/lib.rs
@@ -1,13 +1,14 @@
-//! Lots: accepted once, kept in the platform, run item by item, recorded once.
+//! Lots, the batch jobs of this service: validated and stored once, run item by
+//! item, with each result recorded exactly once.
 //!
-//! - [`FileStore`] takes uploads line by line and streams contents out again.
-//! - [`LotStore`] creates, follows, lists and cancels lots.
-//! - [`LotWorker`] claims segments of open lots and runs their items through
-//!   the daemon's [`ItemRunner`], in slots of its [`SlotSource`].
-//! - [`LotSweeper`] deletes what its retention no longer covers.
+//! - [`FileStore`] stores uploads line by line and streams file contents.
+//! - [`LotStore`] creates, describes, lists and cancels lots.
+//! - [`LotWorker`] claims segments of open lots and runs their items with the
+//!   daemon's [`ItemRunner`], in slots of its [`SlotSource`].
+//! - [`LotSweeper`] deletes what has exceeded its retention time.
 //!
-//! Everything that must last is in the platform's store, under keys that only
-//! [`LotKeys`] names. See `docs/LOTS.md`.
+//! All durable state is in the platform's key-value store, under keys that only
+//! [`LotKeys`] builds. See `docs/LOTS.md`.
 
 mod batch_object;
 mod clock;
--- a/crates/lots/src/lot_finisher.rs
+++ b/crates/lots/src/lot_finisher.rs
@@ -1,4 +1,4 @@
-//! Ending lots.
+//! Closing of lots whose items have all ended.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,14 @@
 };
 
 impl<S: PlatformStore, C: WallClock> LotStore<S, C> {
-    /// Writes a lot's outcome and takes it out of the index, if it has come to
-    /// its end. Any daemon may do this at any time and as often as it likes.
+    /// Writes a lot's outcome and removes the lot from the index, if it has
+    /// ended. Returns whether the lot is closed. Any daemon may call this at
+    /// any time and repeatedly.
     ///
-    /// The outcome is written in one step, on condition that the record has
-    /// none. The index keys go after it, the open mark last, so that a daemon
-    /// lost in between leaves the lot where the next one finds it.
+    /// The outcome is written in one transaction, on condition that the record
+    /// has none yet. The index keys are deleted in it or after it, the open
+    /// mark last. If the daemon crashes in between, another daemon still sees
+    /// the lot as open and finishes the work.
     pub(crate) async fn finish(&self, customer: &str, id: &str) -> Result<bool, LotError> {
         let (mut record, modified) = self.record(customer, id).await?;
         let state = self.index_state(id).await?;
@@ -67,11 +69,11 @@
         if !fits {
             self.clear_index(id, state.keys).await?;
         }
-        log::info!("lots: {id} of {customer} ended");
+        log::info!("lots: lot {id} of customer {customer} ended");
         Ok(true)
     }
 
-    /// How the lot ended, or nothing if it hasn't.
+    /// Returns the lot's outcome, or `None` if it hasn't ended.
     fn outcome(&self, record: &LotRecord, state: &IndexState) -> Option<LotOutcome> {
         let mut counts = state.counts();
         let recorded = counts.completed + counts.failed;
@@ -110,7 +112,7 @@
 }
 
 impl LotCounts {
-    /// All items that have ended.
+    /// Returns the number of all items that have ended.
     pub fn total(&self) -> u32 {
         self.completed + self.failed + self.cancelled
     }
--- a/crates/lots/src/lot_record.rs
+++ b/crates/lots/src/lot_record.rs
@@ -1,4 +1,4 @@
-//! What is kept of a lot.
+//! The stored records of lots.
 
 use std::collections::BTreeMap;
 
@@ -7,71 +7,72 @@
 
 use crate::{CompletionWindow, WallTime};
 
-/// How many items share one word of a segment's bitmap.
+/// The number of items per word of a segment's bitmap.
 const WORD_BITS: usize = 64;
 
-/// A lot. Only its outcome is ever written after its creation, and only once.
+/// The record of a lot. After its creation only the outcome is written, once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LotRecord {
-    /// Its id, `batch_…`. Newer ids sort first.
+    /// The lot's id, `batch_…`. Newer ids sort first.
     pub id: String,
-    /// Whose it is.
+    /// The customer that owns the lot.
     pub customer: String,
-    /// The job key under which a resent request finds it.
+    /// The digest by which a repeated request finds this lot.
     pub job: String,
-    /// The file with its items.
+    /// The id of the file with the items.
     pub file: String,
-    /// Under which name the file's segments are kept.
+    /// The id under which the file's segments are stored.
     pub content: String,
-    /// The endpoint of all items.
+    /// The API endpoint that all items are sent to.
     pub endpoint: String,
-    /// The model of all items.
+    /// The model that all items use.
     pub model: String,
-    /// How long it may take.
+    /// The time from creation until the lot is due.
     pub window: CompletionWindow,
-    /// When it was created.
+    /// When the lot was created.
     pub created_at: WallTime,
-    /// When it is due.
+    /// When the lot is due.
     pub due_at: WallTime,
-    /// What the caller noted on it.
+    /// Key-value pairs that the caller attached to the lot.
     pub metadata: BTreeMap<String, String>,
-    /// How many items each segment has.
+    /// The number of items in each segment.
     pub segments: Vec<u16>,
-    /// How it ended, once it has.
+    /// How the lot ended; absent while it is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<LotOutcome>,
 }
 
 impl LotRecord {
-    /// How many items it has.
+    /// Returns the number of items in the lot.
     pub fn items(&self) -> u32 {
         self.segments.iter().map(|&it| u32::from(it)).sum()
     }
 }
 
-/// Items by how they ended. The three add up to the lot once it has ended.
+/// The number of items by outcome. Once the lot has ended, the three add up to
+/// all of its items.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LotCounts {
-    /// Answered.
+    /// Items with a successful answer.
     pub completed: u32,
-    /// Ended with a recorded error.
+    /// Items with a recorded error.
     pub failed: u32,
-    /// Not recorded when the lot was cancelled.
+    /// Items without a recorded result when the lot was cancelled.
     pub cancelled: u32,
 }
 
-/// How a lot ended.
+/// The outcome of a lot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LotOutcome {
-    /// When it ended.
+    /// When the lot ended.
     pub ended_at: WallTime,
-    /// When it was cancelled, if it was.
+    /// When the lot was cancelled, if it was.
     pub cancelled_at: Option<WallTime>,
-    /// When it is deleted.
+    /// When the lot and its results are deleted.
     pub expires_at: WallTime,
-    /// How its items ended.
+    /// The number of items by outcome.
     pub counts: LotCounts,
-    /// How many groups of results each segment has.
+    /// The number of result groups of each segment.
     pub groups: Vec<u16>,
     /// The length of the output file in bytes.
     pub output_bytes: u64,
@@ -79,7 +80,8 @@
     pub error_bytes: u64,
 }
 
-/// What daemons need to know of an open lot, without reading its record.
+/// The properties of an open lot that daemons need to run it. They are in the
+/// index, so that no daemon has to read the lot's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct OpenMark {
     pub(crate) customer: String,
@@ -91,13 +93,13 @@
     pub(crate) segments: Vec<u16>,
 }
 
-/// When a lot was cancelled.
+/// The index entry of a cancelled lot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CancelMark {
     pub(crate) at: WallTime,
 }
 
-/// The lot that a job became.
+/// The entry that maps a job to its lot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct JobMark {
     pub(crate) lot: String,
@@ -105,41 +107,42 @@
     pub(crate) at: WallTime,
 }
 
-/// How far a segment is. Written in one step with each group of results, so
-/// that no result is counted twice and none recorded twice.
+/// The progress of a segment. It is written in the same transaction as each
+/// group of results, so that no result is counted or recorded twice.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentProgress {
-    /// Which items have a recorded result, as a bitmap.
+    /// A bitmap of the items that have a recorded result.
     pub recorded: Vec<u64>,
-    /// How many groups of results there are.
+    /// The number of result groups.
     pub groups: u16,
-    /// Items answered.
+    /// The number of items with a successful answer.
     pub completed: u16,
-    /// Items ended with an error.
+    /// The number of items with an error.
     pub failed: u16,
-    /// Bytes of the output file.
+    /// The bytes that this segment adds to the output file.
     pub output_bytes: u64,
-    /// Bytes of the error file.
+    /// The bytes that this segment adds to the error file.
     pub error_bytes: u64,
-    /// Items during whose run a backend server crashed, and how often. Kept
-    /// here since the daemon that saw it may be lost before the next try.
+    /// The items during whose run backend servers crashed, sorted, with the
+    /// number of crashes. Stored here since the daemon that saw a crash may
+    /// itself crash before the next attempt.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<(u16, u8)>,
 }
 
 impl SegmentProgress {
-    /// How many items have a recorded result.
+    /// Returns the number of items with a recorded result.
     pub fn count(&self) -> u16 {
         self.completed + self.failed
     }
 
-    /// Whether this item has a recorded result.
+    /// Returns whether this item has a recorded result.
     pub fn is_recorded(&self, item: usize) -> bool {
         let word = self.recorded.get(item / WORD_BITS).copied();
         word.unwrap_or_default() & (1 << (item % WORD_BITS)) != 0
     }
 
-    /// Counts a result in.
+    /// Adds a result of the given size to the bitmap and the counts.
     pub(crate) fn record(&mut self, item: usize, answered: bool, bytes: usize) {
         let word = item / WORD_BITS;
         if self.recorded.len() <= word {
@@ -155,13 +158,13 @@
         }
     }
 
-    /// How many servers crashed while this item ran.
+    /// Returns how many servers crashed while this item ran.
     pub(crate) fn crashes_of(&self, item: usize) -> u8 {
         let place = self.crashes.binary_search_by_key(&item, |it| it.0.into());
         place.map_or(0, |place| self.crashes[place].1)
     }
 
-    /// Notes that a server crashed while this item ran.
+    /// Counts a server crash during the run of this item.
     pub(crate) fn note_crash(&mut self, item: usize) {
         match self.crashes.binary_search_by_key(&item, |it| it.0.into()) {
             Ok(place) => self.crashes[place].1 = self.crashes[place].1.saturating_add(1),
@@ -170,43 +173,45 @@
     }
 }
 
-/// One line of an output or error file, which is also how results are kept.
+/// One line of an output or error file, which is also the stored form of a
+/// result.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RecordedResult {
-    /// An id for the line.
+    /// The id of the line.
     pub id: String,
-    /// The caller's id for the item.
+    /// The caller's id of the item.
     pub custom_id: String,
     /// The answer, if the item got one.
     pub response: Option<ResultAnswer>,
-    /// Why it got none.
+    /// The reason why the item got no answer.
     pub error: Option<ResultError>,
 }
 
 impl RecordedResult {
-    /// Whether the item was answered, and so belongs in the output file.
+    /// Returns whether the item was answered with a 2xx status. Its line then
+    /// belongs in the output file, otherwise in the error file.
     pub fn is_answered(&self) -> bool {
         let status = self.response.as_ref().map(|it| it.status_code);
         status.is_some_and(|it| (200..300).contains(&it))
     }
 }
 
-/// The answer to an item.
+/// The HTTP answer to an item.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ResultAnswer {
-    /// Its HTTP status.
+    /// The HTTP status.
     pub status_code: u16,
-    /// The id under which it ran.
+    /// The id of the request that got this answer.
     pub request_id: String,
-    /// Its body.
+    /// The body of the answer.
     pub body: Box<RawValue>,
 }
 
-/// Why an item has no answer.
+/// The reason why an item has no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultError {
-    /// A stable word for programs.
+    /// A stable identifier of the error, for use by programs.
     pub code: String,
-    /// What happened.
+    /// A description of the error.
     pub message: String,
 }
--- a/crates/lots/src/lot_store.rs
+++ b/crates/lots/src/lot_store.rs
@@ -1,4 +1,4 @@
-//! Customers' lots: creating, following, listing, cancelling.
+//! Creation, lookup, listing and cancellation of customers' lots.
 
 use std::collections::BTreeMap;
 
@@ -15,40 +15,42 @@
     lot_record::{CancelMark, JobMark, OpenMark},
 };
 
-/// What every lot id starts with.
+/// The prefix of all lot ids.
 const LOT_PREFIX: &str = "batch_";
-/// The most pairs of metadata, and the most bytes of a key and of a value.
+/// The maximum number of metadata pairs, and the maximum size of a key and of a
+/// value in bytes.
 const MAX_METADATA: usize = 16;
 const MAX_METADATA_KEY: usize = 64;
 const MAX_METADATA_VALUE: usize = 512;
-/// How often a read is repeated that met a lot just ending.
+/// How often an operation is attempted that conflicts with a concurrent change,
+/// such as a lot that ends between two reads.
 const RACE_TRIES: usize = 3;
 
-/// A caller's request for a lot.
+/// A caller's request to create a lot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewLot {
-    /// The uploaded file with its items.
+    /// The id of the uploaded file with the items.
     pub input_file_id: String,
-    /// The endpoint that all of its items name.
+    /// The API endpoint, which must be that of the file's items.
     pub endpoint: String,
-    /// How long it may take.
+    /// The time the lot may take.
     pub completion_window: CompletionWindow,
-    /// What the caller notes on it.
+    /// Key-value pairs that the caller attaches to the lot.
     pub metadata: BTreeMap<String, String>,
     /// The caller's idempotency key.
     pub job_key: Option<String>,
 }
 
-/// One page of a listing.
+/// One page of a listing of lots.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LotPage {
-    /// The lots, newest first.
+    /// The lots of this page, newest first.
     pub lots: Vec<BatchObject>,
-    /// Whether there are more.
+    /// Whether more lots follow this page.
     pub more: bool,
 }
 
-/// How far an open lot is, as its index keys say.
+/// The state of an open lot according to its index keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct IndexState {
     pub(crate) is_open: bool,
@@ -79,7 +81,8 @@
         Ok(state)
     }
 
-    /// The items counted so far; none of them cancelled yet.
+    /// Returns how many items have ended so far. Cancelled items are counted
+    /// only when the lot ends.
     pub(crate) fn counts(&self) -> LotCounts {
         let mut counts = LotCounts::default();
         for (_, progress) in &self.progress {
@@ -90,19 +93,19 @@
     }
 }
 
-/// Customers' lots, as any daemon sees them.
+/// Access to customers' lots from any daemon.
 #[derive(Clone, Debug)]
 pub struct LotStore<S, C = SystemClock> {
     pub(crate) store: S,
     pub(crate) clock: C,
-    /// How patiently the platform is asked.
+    /// How requests to the key-value store are retried.
     pub retry: RetryPlan,
-    /// How long things are kept.
+    /// How long files and lots are kept.
     pub retention: RetentionPlan,
 }
 
 impl<S: PlatformStore, C: WallClock> LotStore<S, C> {
-    /// Lots kept in this store.
+    /// Creates a lot store on top of a key-value store.
     pub fn new(store: S, clock: C) -> Self {
         LotStore {
             store,
@@ -112,7 +115,7 @@
         }
     }
 
-    /// The files that its lots read and write.
+    /// Returns the store of the files that the lots read and write.
     pub fn files(&self) -> FileStore<S, C> {
         FileStore {
             store: self.store.clone(),
@@ -122,11 +125,13 @@
         }
     }
 
-    /// Creates a lot, or finds the one that this request already became.
+    /// Creates a lot, or returns the one that an earlier identical request
+    /// created.
     ///
-    /// When this returns, the lot is in the platform as a whole: one step wrote
-    /// its record, its index, its job and its hold on the file's segments, which
-    /// were complete before. Before that step there is nothing.
+    /// When this returns without an error, the lot is stored completely: a
+    /// single transaction writes its record, its index entry, its job entry and
+    /// its reference to the file's segments, which were stored before. A failed
+    /// transaction leaves nothing behind.
     pub async fn create(&self, customer: &str, new: &NewLot) -> Result<BatchObject, LotError> {
         let file = self.files().get(customer, &new.input_file_id).await?;
         check_new(new, &file)?;
@@ -156,7 +161,8 @@
         Err(LotError::KeyReused)
     }
 
-    /// The lot of an earlier equal request, unless that is too long ago.
+    /// Returns the lot of an earlier identical request, unless that request is
+    /// too long ago or its lot has been deleted.
     async fn earlier(
         &self,
         customer: &str,
@@ -242,7 +248,7 @@
         }
     }
 
-    /// Finds a customer's lot.
+    /// Returns a customer's lot.
     pub async fn get(&self, customer: &str, id: &str) -> Result<BatchObject, LotError> {
         for _ in 0..RACE_TRIES {
             let (record, _) = self.record(customer, id).await?;
@@ -253,7 +259,7 @@
         Err(LotError::NotFound("batch"))
     }
 
-    /// Lists a customer's lots, newest first, after `after`.
+    /// Lists a customer's lots, newest first, starting after the id `after`.
     pub async fn list(
         &self,
         customer: &str,
@@ -279,8 +285,9 @@
         })
     }
 
-    /// Cancels a lot. When this returns, no further result of it is recorded;
-    /// what runs is stopped within seconds, and the lot then shows as cancelled.
+    /// Cancels a lot. When this returns without an error, no further result of
+    /// the lot is recorded. Running items are stopped within seconds, after
+    /// which the lot's status is cancelled.
     pub async fn cancel(&self, customer: &str, id: &str) -> Result<BatchObject, LotError> {
         let (record, modified) = self.record(customer, id).await?;
         if record.outcome.is_some() {
@@ -302,8 +309,8 @@
             }],
             read_back: Vec::new(),
         };
-        // Refused means that it is cancelled already or has just ended; what
-        // the caller then sees says which.
+        // A rejected transaction means that the lot was already cancelled or
+        // has just ended. The status that the caller gets back says which.
         self.retry.transact(&self.store, batch).await?;
         self.get(customer, id).await
     }
@@ -326,7 +333,8 @@
         IndexState::read(&answer.pairs)
     }
 
-    /// A lot as callers see it, or nothing if it ended between two reads.
+    /// Describes a lot for the API. Returns `None` if it ended between two
+    /// reads.
     async fn describe(&self, record: &LotRecord) -> Result<Option<BatchObject>, LotError> {
         if let Some(outcome) = &record.outcome {
             return Ok(Some(BatchObject::ended(record, outcome)));
@@ -340,14 +348,14 @@
     if file.segments.is_empty() {
         return Err(LotError::Invalid {
             param: "input_file_id",
-            message: "this is an output file; name an uploaded one".to_owned(),
+            message: "this is an output file; specify an uploaded file".to_owned(),
         });
     }
     if new.endpoint != file.endpoint {
         return Err(LotError::Invalid {
             param: "endpoint",
             message: format!(
-                "`{}`, but the items' url is `{}`; make them equal",
+                "`{}` differs from the url `{}` of the file's items",
                 new.endpoint, file.endpoint
             ),
         });
@@ -365,8 +373,8 @@
     Err(LotError::Invalid {
         param: "metadata",
         message: format!(
-            "at most {MAX_METADATA} pairs, keys of {MAX_METADATA_KEY} \
-             and values of {MAX_METADATA_VALUE} bytes"
+            "at most {MAX_METADATA} pairs with keys of {MAX_METADATA_KEY} \
+             and values of {MAX_METADATA_VALUE} bytes are allowed"
         ),
     })
 }
@@ -380,7 +388,7 @@
     ])
 }
 
-/// The id of a lot's output or error file, from which the lot can be told.
+/// The id of a lot's output or error file, which contains the lot's id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OutputId {
     pub(crate) lot: String,
@@ -404,7 +412,7 @@
         format!("file-{rest}-{kind}")
     }
 
-    /// The output file as a record, if the lot has ended.
+    /// Returns the output file's metadata, or `None` if the lot hasn't ended.
     pub(crate) fn describe(&self, lot: &LotRecord) -> Option<FileRecord> {
         let outcome = lot.outcome.as_ref()?;
         let bytes = match self.errors {
--- a/crates/lots/src/lot_view.rs
+++ b/crates/lots/src/lot_view.rs
@@ -1,4 +1,4 @@
-//! A daemon's view of the open lots.
+//! A daemon's local view of the open lots.
 
 use std::sync::Arc;
 
@@ -14,15 +14,15 @@
     lot_record::{CancelMark, OpenMark},
 };
 
-/// What is known of a segment. It may be out of date: claims and records are
-/// checked by the platform.
+/// What the view knows of a segment. It may be out of date; the store verifies
+/// claims and writes of results.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct SegmentEntry {
     pub(crate) is_claimed: bool,
     pub(crate) recorded: u16,
 }
 
-/// What is known of an open lot.
+/// What the view knows of an open lot.
 #[derive(Clone, Debug)]
 pub(crate) struct LotEntry {
     pub(crate) id: Arc<str>,
@@ -30,9 +30,9 @@
     pub(crate) cancelled_at: Option<WallTime>,
     pub(crate) segments: Vec<SegmentEntry>,
     pub(crate) meter: PaceMeter,
-    /// Whether the log says that it will be late.
+    /// Whether the log already says that the lot will be late.
     pub(crate) is_told_late: bool,
-    /// When this daemon tries to end the lot, if nobody else did by then.
+    /// When this daemon closes the lot, unless another one has done so before.
     pub(crate) finish_at: Option<Timestamp>,
 }
 
@@ -62,8 +62,9 @@
         self.items().saturating_sub(self.recorded())
     }
 
-    /// Says once that the lot will miss its due time, and once that it won't
-    /// after all, while there is time to act on it.
+    /// Logs a warning when the lot is expected to miss its due time, while
+    /// there is time to act on it, and a message if it is on time again. Each
+    /// change is logged once.
     pub(crate) fn tell_lateness(&mut self, forecast: LotForecast) {
         let is_late = forecast != LotForecast::OnTime;
         if is_late == self.is_told_late {
@@ -72,17 +73,20 @@
         self.is_told_late = is_late;
         let id = &self.id;
         match forecast {
-            LotForecast::OnTime => log::info!("lots: {id} will be on time after all"),
+            LotForecast::OnTime => log::info!("lots: lot {id} is expected to be on time again"),
             LotForecast::WillBeLate(late) => {
-                log::warn!("lots: {id} will be {} s late at its pace", late.as_secs());
+                log::warn!(
+                    "lots: lot {id} is expected to be {} s late at its current pace",
+                    late.as_secs()
+                );
             }
-            LotForecast::IsLate(_) => log::warn!("lots: {id} is late"),
+            LotForecast::IsLate(_) => log::warn!("lots: lot {id} is past its due time"),
         }
     }
 
-    /// Whether nothing is left to do but to write its outcome. A cancelled lot
-    /// waits until nobody holds a claim any more, since until then some item of
-    /// it may be running.
+    /// Returns whether all that is left is to write the lot's outcome. A
+    /// cancelled lot isn't closed before its last claim is gone, since until
+    /// then some of its items may be running.
     pub(crate) fn is_ending(&self) -> bool {
         if self.mark.is_none() {
             return false;
@@ -100,7 +104,8 @@
         &mut self.segments[segment]
     }
 
-    /// The segments that can be claimed, with whether each was begun.
+    /// Returns the segments that can be claimed, each with whether it has
+    /// recorded results.
     pub(crate) fn free_segments(&self) -> impl Iterator<Item = (usize, bool)> {
         let mark = self.mark.as_ref().filter(|_| self.cancelled_at.is_none());
         let items = mark.into_iter().flat_map(|it| it.segments.iter());
@@ -129,7 +134,8 @@
         Some(&mut self.lots[place])
     }
 
-    /// Starts over from a full reading of the index, keeping what was measured.
+    /// Replaces the view by a full read of the index, but keeps measured paces,
+    /// reported delays and closing times.
     pub(crate) fn reset(&mut self, pairs: &[KeyValue]) {
         let old = std::mem::take(&mut self.lots);
         for pair in pairs {
@@ -145,8 +151,8 @@
     }
 
     pub(crate) fn apply(&mut self, batch: &WatchBatch) {
-        // A key that was deleted and written again within one message stands
-        // under both; the write is what holds.
+        // A key that was deleted and written again within one message is in
+        // both lists. The write is the later one, so it is applied last.
         for key in &batch.deleted {
             self.delete(key);
         }
@@ -210,7 +216,7 @@
     }
 }
 
-/// What a key of the index holds.
+/// The kind of an index key, with its segment number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IndexKey {
     Open,
--- a/crates/lots/src/lot_watch.rs
+++ b/crates/lots/src/lot_watch.rs
@@ -1,4 +1,4 @@
-//! Following the index of open lots.
+//! Watching the index of open lots.
 
 use std::time::Duration;
 
@@ -9,27 +9,27 @@
 
 use crate::LotKeys;
 
-/// How many pairs are read at once.
+/// The number of key-value pairs per read.
 const PAGE: usize = 500;
-/// The pause before a broken watch is opened again.
+/// The delay before a broken watch is reopened.
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// News of the index.
+/// An update of the index.
 #[derive(Debug)]
 pub(crate) enum IndexNews {
-    /// All of it, read afresh.
+    /// A full read of the index, which replaces what was known.
     Whole(Vec<KeyValue>),
-    /// What changed since.
+    /// Changes since the previous update.
     Change(WatchBatch),
 }
 
-/// Sends the index and its changes until the receiver is gone.
+/// Sends the index and then its changes until the receiver is closed.
 pub(crate) async fn follow_index<S: PlatformStore>(store: S, sender: mpsc::Sender<IndexNews>) {
     while !sender.is_closed() {
         let Err(error) = follow_once(&store, &sender).await else {
             return;
         };
-        log::warn!("lots: the view of open lots may be old: {error}");
+        log::warn!("lots: the view of open lots may be out of date: {error}");
         sleep(PAUSE).await;
     }
 }
@@ -55,15 +55,16 @@
     }
 }
 
-/// The lot that a key of the index belongs to.
+/// Returns the id of the lot that an index key belongs to.
 pub(crate) fn lot_of(key: &str) -> Option<&str> {
     let rest = key.strip_prefix(LotKeys.index().as_str())?;
     rest.split_once('/').map(|it| it.0)
 }
 
-/// Reads the whole index page by page. The pages are of different revisions:
-/// the watch goes on from the first one's, so that nothing is missed, and what
-/// is then told twice does no harm.
+/// Reads the whole index page by page. The pages may be of different revisions.
+/// The watch therefore starts at the revision of the first page, so that no
+/// change is missed; changes that are already in a later page are applied
+/// twice, which has no effect.
 pub(crate) async fn read_index<S: PlatformStore>(
     store: &S,
 ) -> Result<(Vec<KeyValue>, Revision), StoreError> {
--- a/crates/lots/src/open_lot.rs
+++ b/crates/lots/src/open_lot.rs
@@ -1,4 +1,4 @@
-//! Open lots as operators see them.
+//! Open lots as shown to operators.
 
 use std::time::Duration;
 
@@ -15,52 +15,54 @@
     lot_watch::{lot_of, read_index},
 };
 
-/// No pace is judged before a lot is this old.
+/// The minimum age of a lot before its pace is used for a forecast.
 const SETTLE_SPAN: Duration = Duration::from_secs(60);
 
-/// Whether a lot will make its due time, as a word.
+/// Whether a lot is expected to meet its due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DueOutlook {
-    /// It will, or nothing is known yet.
+    /// It is expected to be on time, or nothing is known yet.
     OnTime,
-    /// At its pace so far it will miss it.
+    /// It is expected to miss its due time at its current pace.
     WillBeLate,
-    /// It has missed it.
+    /// Its due time has passed.
     IsLate,
 }
 
-/// An open lot as operators see it.
+/// An open lot as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenLot {
-    /// Its id.
+    /// The lot's id.
     pub id: String,
-    /// Whose it is.
+    /// The customer that owns the lot.
     pub customer: String,
-    /// The model of its items.
+    /// The model that all items use.
     pub model: String,
-    /// Whether its cancel was recorded; it is open until nothing of it runs.
+    /// Whether the lot is cancelled. It remains open until none of its items
+    /// runs.
     pub is_cancelling: bool,
-    /// When it was created. All times are seconds since 1970.
+    /// When the lot was created. All times are in seconds since 1970.
     pub created_at: u64,
-    /// When it is due.
+    /// When the lot is due.
     pub due_at: u64,
-    /// All of its items.
+    /// The number of items.
     pub items: u32,
-    /// Those with a recorded answer.
+    /// Items with a recorded answer.
     pub completed: u32,
-    /// Those with a recorded error.
+    /// Items with a recorded error.
     pub failed: u32,
-    /// Segments that some daemon works on.
+    /// Segments that a daemon currently works on.
     pub claimed_segments: usize,
-    /// Whether it will be done in time.
+    /// Whether the lot is expected to meet its due time.
     pub outlook: DueOutlook,
-    /// By how many seconds it is, or will be, late.
+    /// By how many seconds the lot is late or expected to be late.
     pub late_by: u64,
 }
 
 impl OpenLot {
-    /// Reads a lot from its index keys, or nothing if it isn't open.
+    /// Builds a lot's description from its index keys. Returns `None` if the
+    /// lot isn't open.
     fn read(id: &str, pairs: &[KeyValue], now: WallTime) -> Result<Option<Self>, LotError> {
         let open = LotKeys.open(id);
         let Some(pair) = pairs.iter().find(|it| it.key == open) else {
@@ -95,8 +97,8 @@
     }
 }
 
-/// How long the rest takes at the mean pace since the lot was created. Of a lot
-/// that still waits for its turn nothing is known.
+/// Returns how long the remaining items take at the mean pace since the lot was
+/// created. Returns `None` for a lot that is too young or has no results yet.
 fn time_needed(mark: &OpenMark, items: u32, done: u32, now: WallTime) -> Option<Duration> {
     let age = now.left(mark.created_at);
     if age < SETTLE_SPAN || done == 0 {
@@ -112,8 +114,9 @@
 }
 
 impl<S: PlatformStore, C: WallClock> LotStore<S, C> {
-    /// All customers' open lots, in the order of their ids. Reads the whole
-    /// index: meant for an operator's look, not for a loop.
+    /// Returns all customers' open lots in the order of their ids. It reads the
+    /// whole index and is meant for occasional use by operators, not for a
+    /// loop.
     pub async fn open_lots(&self) -> Result<Vec<OpenLot>, LotError> {
         let (pairs, _) = read_index(&self.store).await?;
         let now = self.clock.now();
@@ -125,7 +128,7 @@
         Ok(lots)
     }
 
-    /// An open lot of any customer.
+    /// Returns an open lot of any customer.
     pub async fn open_lot(&self, id: &str) -> Result<OpenLot, LotError> {
         check_id(id)?;
         let range = KeyRange::Prefix(LotKeys.index_of(id));
--- a/crates/lots/src/retry.rs
+++ b/crates/lots/src/retry.rs
@@ -1,4 +1,4 @@
-//! Repeating calls to the platform.
+//! Retries of requests to the key-value store.
 
 use std::time::Duration;
 
@@ -6,12 +6,13 @@
     KeyRange, KeyValue, PlatformStore, RangeAnswer, StoreError, TransactionAnswer, WriteBatch,
 };
 
-/// How often and how patiently a caller's operation asks the platform.
+/// How often and after which delay a failed request to the store is retried.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPlan {
-    /// How often a call is made at most.
+    /// The maximum number of attempts, the first one included.
     pub tries: u32,
-    /// The pause before the second try; it doubles from then on.
+    /// The delay before the second attempt. It doubles with each further
+    /// attempt.
     pub pause: Duration,
 }
 
@@ -27,10 +28,11 @@
 impl RetryPlan {
     /// Runs a transaction that is safe to repeat.
     ///
-    /// After a lost answer the repetition may be refused by the first try's own
-    /// effect: the caller has to tell that from what `read_back` found. When
-    /// every try failed, a lost answer among them is reported as such, since a
-    /// later "unreachable" doesn't undo it.
+    /// After a lost answer the repetition may be rejected because the first
+    /// attempt took effect. The caller has to recognize that from what
+    /// `read_back` returned. If all attempts fail and one of them lost its
+    /// answer, that error is returned, since the transaction may have taken
+    /// effect whatever the later errors say.
     pub(crate) async fn transact<S: PlatformStore>(
         self,
         store: &S,
@@ -54,10 +56,10 @@
                 pause *= 2;
             }
         }
-        Err(lost.unwrap_or_else(|| StoreError::Unreachable("no try was made".to_owned())))
+        Err(lost.unwrap_or_else(|| StoreError::Unreachable("no attempt was made".to_owned())))
     }
 
-    /// Reads a range.
+    /// Reads a range of keys.
     pub(crate) async fn range<S: PlatformStore>(
         self,
         store: &S,
--- a/crates/lots/src/runner.rs
+++ b/crates/lots/src/runner.rs
@@ -1,4 +1,4 @@
-//! What the daemon brings: how an item runs, and when it may.
+//! The interface to the daemon: how an item is run and when it may run.
 
 use std::{future::Future, sync::Arc};
 
@@ -6,79 +6,82 @@
 use serde_json::value::RawValue;
 use tokio_util::sync::CancellationToken;
 
-/// One item to run.
+/// A request to run one item.
 #[derive(Clone, Debug)]
 pub struct ItemOrder<R> {
-    /// The lot it belongs to.
+    /// The lot that the item belongs to.
     pub lot: Arc<str>,
-    /// Whose lot it is.
+    /// The customer that owns the lot.
     pub customer: Arc<str>,
-    /// The endpoint that answers it.
+    /// The API endpoint that the item is sent to.
     pub endpoint: Arc<str>,
-    /// The model it asks for.
+    /// The model that the item uses.
     pub model: Arc<str>,
-    /// A name for the item, the same in every try, from any daemon.
+    /// The id of the item, the same for every attempt on any daemon.
     pub id: String,
     /// The body of the request.
     pub body: Bytes,
-    /// Where an earlier run of this daemon stood when it stepped aside.
+    /// Where an earlier run on this daemon stopped when it was preempted.
     pub resume: Option<R>,
-    /// Whether a backend server crashed while it ran before. Such an item must
-    /// run alone among suspects, so that a second crash tells which it was.
+    /// Whether a backend server crashed during an earlier run. Such an item
+    /// must run without other suspects, so that a second crash can be
+    /// attributed to it.
     pub is_suspect: bool,
 }
 
-/// How a run of an item ended.
+/// The outcome of an item's run.
 #[derive(Clone, Debug)]
 pub enum ItemOutcome<R> {
-    /// The service answered. Any status but a server's fault ends the item.
+    /// The service answered. Any status ends the item, except 429 and those
+    /// from 500 on.
     Done {
         /// The HTTP status.
         status: u16,
-        /// The id under which it ran.
+        /// The id of the request that got this answer.
         request_id: String,
-        /// The body.
+        /// The body of the answer.
         body: Box<RawValue>,
-        /// Tokens used, for the customers' shares.
+        /// The tokens used, charged to the customer's share.
         tokens: u32,
     },
-    /// It can never be done.
+    /// The item is invalid and can never succeed.
     Failed {
-        /// A stable word for programs.
+        /// A stable identifier of the error, for use by programs.
         code: String,
-        /// What is wrong.
+        /// A description of the error.
         message: String,
     },
-    /// It couldn't be done now: the service was away, slow or broken.
+    /// The item couldn't be run now, since the service was unavailable, slow or
+    /// faulty.
     ServerFault {
-        /// What happened.
+        /// A description of the fault.
         message: String,
     },
-    /// A backend server was lost while it ran.
+    /// A backend server was lost while the item ran on it.
     ServerCrash {
-        /// What happened.
+        /// A description of the crash.
         message: String,
     },
-    /// It made room for live work.
+    /// The run was preempted by live requests.
     SteppedAside {
-        /// Where it stood, if it can be resumed there.
+        /// Where the run stopped, if it can be resumed there.
         resume: Option<R>,
-        /// Tokens used so far in this run.
+        /// The tokens used in this run so far.
         tokens: u32,
     },
-    /// It was stopped through its token.
+    /// The run was stopped through its cancellation token.
     Cancelled,
 }
 
 /// Runs items on backend servers.
 pub trait ItemRunner: Send + Sync + 'static {
-    /// The right to run one item, as the [`SlotSource`] gives it out.
+    /// Permission to run one item, as the [`SlotSource`] grants it.
     type Slot: Send + 'static;
-    /// Where a stopped stream stood.
+    /// The position at which a preempted run can be resumed.
     type Resume: Clone + Send + Sync + 'static;
 
-    /// Runs an item. Once `stop` is cancelled this must end within a second,
-    /// with nothing of the item left running.
+    /// Runs an item. Once `stop` is cancelled, this must return within a second
+    /// and leave nothing of the item running.
     fn run(
         &self,
         order: ItemOrder<Self::Resume>,
@@ -87,15 +90,16 @@
     ) -> impl Future<Output = ItemOutcome<Self::Resume>> + Send;
 }
 
-/// Gives out bulk slots.
+/// Grants slots for bulk work.
 pub trait SlotSource: Send + Sync + 'static {
-    /// The right to run one item; dropping it gives it back.
+    /// Permission to run one item; dropping it returns the slot.
     type Slot: Send + 'static;
 
-    /// Waits for a slot for one of these models, the most urgent first, and
-    /// says which by its place. Dropping the future must lose no slot.
+    /// Waits for a slot for one of these models, which are sorted by urgency,
+    /// and returns the index of the model with the slot. Dropping the future
+    /// must not lose a slot.
     fn acquire(&self, models: &[Arc<str>]) -> impl Future<Output = (usize, Self::Slot)> + Send;
 
-    /// A customer's part of bulk capacity against other customers.
+    /// Returns a customer's share of bulk capacity relative to other customers.
     fn weight(&self, customer: &str) -> f64;
 }
--- a/crates/lots/src/segment_store.rs
+++ b/crates/lots/src/segment_store.rs
@@ -1,4 +1,4 @@
-//! Claiming a segment, and recording its results under the claim.
+//! Claiming segments and recording results under a claim.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,21 +13,22 @@
     codec::{damaged, from_json, pack, to_json, unpack},
 };
 
-/// The pause between tries to record, while the lease holds.
+/// The delay between attempts to record results while the lease is valid.
 const RECORD_PAUSE: Duration = Duration::from_millis(500);
 
-/// A segment that this daemon owns.
+/// A claim of this daemon on a segment.
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentClaim {
     pub(crate) lot: Arc<str>,
     pub(crate) segment: usize,
     pub(crate) lease: HeldLease,
-    /// When the claim was written. A later owner's claim has another revision,
-    /// which makes this the fencing number of all writes under the claim.
+    /// The revision at which the claim was written. A later owner's claim has
+    /// another revision, so this is the fencing number of all writes under the
+    /// claim.
     pub(crate) revision: Revision,
 }
 
-/// A claimed segment with what it holds.
+/// A claimed segment with its items and progress.
 #[derive(Debug)]
 pub(crate) struct LoadedSegment {
     pub(crate) claim: SegmentClaim,
@@ -36,7 +37,7 @@
     pub(crate) raw: Bytes,
 }
 
-/// Results to record, with the progress that counts them in.
+/// A group of results to record, with the progress that includes them.
 #[derive(Clone, Debug)]
 pub(crate) struct GroupWrite {
     pub(crate) lines: Vec<u8>,
@@ -45,16 +46,16 @@
     pub(crate) is_last: bool,
 }
 
-/// How a try to record ended.
+/// The outcome of an attempt to record results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordAnswer {
     /// Recorded at this revision.
     Written(Revision),
-    /// Refused: the claim is lost or the lot cancelled.
+    /// Rejected: the claim is lost or the lot is cancelled.
     Fenced,
 }
 
-/// The platform as owners of segments use it.
+/// The store operations of a segment's owner.
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentStore<S> {
     pub(crate) store: S,
@@ -62,7 +63,8 @@
 }
 
 impl<S: PlatformStore> SegmentStore<S> {
-    /// Claims a segment for `owner`, or returns nothing if it isn't to be had.
+    /// Claims a segment for `owner`. Returns `None` if it is already claimed or
+    /// its lot isn't open any more.
     pub(crate) async fn claim(
         &self,
         lot: Arc<str>,
@@ -71,8 +73,8 @@
         lease: HeldLease,
     ) -> Result<Option<SegmentClaim>, StoreError> {
         let key = LotKeys.claim(&lot, segment);
-        // The lease's id tells this claim from one of an earlier life of the
-        // same daemon.
+        // The lease id distinguishes this claim from one of an earlier
+        // incarnation of the same daemon.
         let value = Bytes::from(format!("{owner} {}", lease.id.0));
         let batch = WriteBatch {
             when: vec![
@@ -105,7 +107,7 @@
         }))
     }
 
-    /// Reads what a claimed segment holds.
+    /// Reads the items and the progress of a claimed segment.
     pub(crate) async fn load(
         &self,
         claim: SegmentClaim,
@@ -120,7 +122,7 @@
             None => SegmentProgress::default(),
         };
         let input = self.retry.one(&self.store, input_key.clone()).await?;
-        let input = input.ok_or_else(|| damaged(&input_key, "it is missing"))?;
+        let input = input.ok_or_else(|| damaged(&input_key, "the value is missing"))?;
         Ok(LoadedSegment {
             claim,
             progress,
@@ -129,12 +131,13 @@
         })
     }
 
-    /// Records a group of results, and tries until the lease lapses.
+    /// Records a group of results and retries until the lease expires.
     ///
-    /// A lost answer is met by repeating: if the first try took effect, the
-    /// progress read back is the one just written. Should it be equal because a
-    /// later owner recorded the same items, then that owner's results stand, and
-    /// any further write under this claim is refused.
+    /// A lost answer is handled by repeating the write: if the first attempt
+    /// took effect, the progress read back equals the one just written. It may
+    /// also be equal because a later owner recorded the same items. Then that
+    /// owner's results stand, and all further writes under this claim are
+    /// rejected.
     pub(crate) async fn record(&self, claim: &SegmentClaim, write: &GroupWrite) -> RecordAnswer {
         let batch = record_batch(claim, write);
         loop {
@@ -150,14 +153,17 @@
                     return read_back(&found, write);
                 }
                 Err(error) => {
-                    log::warn!("lots: a group of {} waits: {error}", claim.lot);
+                    log::warn!(
+                        "lots: recording results of lot {} failed and is retried: {error}",
+                        claim.lot
+                    );
                     sleep(RECORD_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Gives a claim back. Should this fail, it lapses with the lease.
+    /// Releases a claim. If this fails, the claim expires with the lease.
     pub(crate) async fn release(&self, claim: &SegmentClaim) {
         let key = LotKeys.claim(&claim.lot, claim.segment);
         let batch = WriteBatch {
@@ -166,7 +172,10 @@
             read_back: Vec::new(),
         };
         if let Err(error) = self.retry.transact(&self.store, batch).await {
-            log::warn!("lots: a claim on {} lapses by itself: {error}", claim.lot);
+            log::warn!(
+                "lots: a claim on lot {} wasn't released and will expire: {error}",
+                claim.lot
+            );
         }
     }
 }
--- a/crates/lots/src/sweeper.rs
+++ b/crates/lots/src/sweeper.rs
@@ -1,4 +1,4 @@
-//! Deleting what its retention no longer covers.
+//! Deletion of what has exceeded its retention time.
 
 use std::time::Duration;
 
@@ -14,31 +14,34 @@
     lot_record::JobMark,
 };
 
-/// How often the sweeper looks round.
+/// The interval between sweeps.
 const SWEEP_EVERY: Duration = Duration::from_secs(300);
-/// How long one daemon keeps the others from sweeping.
+/// How long one daemon's sweep lock lasts unless it is revoked earlier.
 const TURN_SPAN: Duration = Duration::from_secs(240);
-/// How many entries are read at once.
+/// The number of expiry entries per read.
 const PAGE: usize = 50;
-/// How many segments of unknown number are read at once, each up to 1 MB.
+/// The number of segments per read when their total is unknown. Each can be up
+/// to 1 MB.
 const INPUT_PAGE: usize = 4;
-/// When an upload's content is looked at again that an open lot still reads.
+/// The delay before an upload's content is checked again that an open lot still
+/// reads.
 const POSTPONE: Duration = Duration::from_secs(2 * 3600);
 
-/// Deletes files, lots and abandoned uploads whose time is up.
+/// Deletes files, lots and abandoned uploads whose retention time has passed.
 ///
-/// Each thing has an expiry entry, written in one step with it and sorted by
-/// hour, so that nothing has to be searched for. An entry goes last: a sweeper
-/// lost on the way leaves it to the next. Any daemon may sweep; a key under a
-/// lease keeps them from doing it all at once, which would only waste calls.
+/// Each of them has an expiry entry, written in the same transaction and sorted
+/// by hour, so that no search is needed. The entry is deleted last, so that
+/// another daemon finds it if the sweeping daemon crashes. Sweeping is safe on
+/// several daemons at once, but a lock under a lease avoids it, since it would
+/// only cost additional requests.
 #[derive(Clone, Debug)]
 pub struct LotSweeper<S, C> {
-    /// The lots to sweep.
+    /// The store of the lots to sweep.
     pub lots: LotStore<S, C>,
 }
 
 impl<S: PlatformStore, C: WallClock> LotSweeper<S, C> {
-    /// Sweeps now and then until `stop` is cancelled.
+    /// Sweeps at regular intervals until `stop` is cancelled.
     pub async fn run(self, stop: CancellationToken) {
         loop {
             tokio::select! {
@@ -46,7 +49,7 @@
                 () = stop.cancelled() => return,
             }
             if let Err(error) = self.take_turn().await {
-                log::warn!("lots: sweeping waits: {error}");
+                log::warn!("lots: sweeping failed and is retried later: {error}");
             }
         }
     }
@@ -56,7 +59,7 @@
         let lease = store.grant(TURN_SPAN).await?;
         if self.is_first(lease).await? {
             let swept = self.sweep().await?;
-            log::info!("lots: swept {swept} entries");
+            log::info!("lots: deleted {swept} expired entries");
         }
         Ok(store.revoke(lease).await?)
     }
@@ -76,7 +79,8 @@
         Ok(matches!(answer, TransactionAnswer::Written(_)))
     }
 
-    /// Deletes everything whose time is up. Returns how many entries there were.
+    /// Deletes everything whose retention time has passed. Returns the number
+    /// of expiry entries processed.
     pub async fn sweep(&self) -> Result<usize, LotError> {
         let mut swept = 0;
         loop {
@@ -108,9 +112,9 @@
         }
     }
 
-    /// An upload that never ended. Its mark goes first, in one step with the
-    /// order to delete its content: the upload may still be ending just now,
-    /// and ends only while it finds its mark.
+    /// Handles an upload that was never completed. Its mark is replaced by an
+    /// entry that deletes the content in one transaction, since the upload may
+    /// be completing at this moment: it can do so only while its mark exists.
     async fn sweep_upload(&self, entry: &KeyValue, content: &str) -> Result<(), LotError> {
         let now = self.lots.clock.now();
         let batch = WriteBatch {
@@ -129,8 +133,9 @@
         Ok(())
     }
 
-    /// An upload whose record is gone. Its segments go once no open lot reads
-    /// them; no new one can, since lots are made from records.
+    /// Handles content whose file record is gone. The segments are deleted once
+    /// no open lot reads them. No new lot can start to read them, since lots
+    /// are created from file records.
     async fn sweep_content(&self, entry: &KeyValue, content: &str) -> Result<(), LotError> {
         let readers = KeyRange::Prefix(LotKeys.readers(content));
         let answer = self.lots.retry.range(&self.lots.store, readers, 1).await?;
@@ -208,7 +213,7 @@
         self.lots.files().delete_keys(keys).await
     }
 
-    /// The job key of a lot, unless it names a later lot by now.
+    /// Returns the job key of a lot, unless a later lot uses that key now.
     async fn own_job(
         &self,
         customer: &str,
--- a/crates/lots/src/worker/events.rs
+++ b/crates/lots/src/worker/events.rs
@@ -1,4 +1,4 @@
-//! What the worker's tasks report, and what follows from it.
+//! Events from the worker's tasks and how they change its state.
 
 use std::sync::Arc;
 
@@ -17,37 +17,39 @@
     segment_store::{LoadedSegment, RecordAnswer},
 };
 
-/// The pause of claims after the platform failed.
+/// How long no segment is claimed after a claim failed or a segment couldn't be
+/// read.
 const CLAIM_PAUSE: std::time::Duration = std::time::Duration::from_secs(1);
-/// For so many segments, results are kept whose claim lapsed.
+/// The maximum number of segments whose unrecorded results are kept after their
+/// claim expired.
 const MAX_RESCUED: usize = 32;
-/// From this status on an answer is the server's fault.
+/// Statuses from this one on are faults of the server.
 const FIRST_FAULT_STATUS: u16 = 500;
-/// Too many requests: the server has no room now.
+/// Too Many Requests: the server has no capacity now.
 const BUSY_STATUS: u16 = 429;
 
-/// An item's run.
+/// A run of an item.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ItemRun {
-    /// The held segment.
+    /// The key of the held segment.
     pub(super) key: u64,
-    /// The item's place in it.
+    /// The index of the item in the segment.
     pub(super) item: usize,
-    /// Whose it is.
+    /// The customer that owns the lot.
     pub(super) customer: CustomerId,
-    /// How many items of its model had gone through when it began.
+    /// How many items of the model had succeeded when the run started.
     pub(super) done_before: u64,
-    /// Whether it ran as a suspect.
+    /// Whether the item ran as a suspect.
     pub(super) is_suspect: bool,
-    /// Whether a probe ran in its place.
+    /// Whether a probe was sent instead of the item.
     pub(super) is_probe: bool,
     /// The tokens charged in advance.
     pub(super) charged: f64,
 }
 
-/// What a task of the worker reports.
+/// An event from one of the worker's tasks.
 pub(super) enum WorkerEvent<R: ItemRunner> {
-    /// A claim was tried.
+    /// An attempt to claim a segment ended.
     Claimed {
         lot: Arc<str>,
         segment: usize,
@@ -55,12 +57,12 @@
         slot: R::Slot,
         answer: Result<Option<LoadedSegment>, LotError>,
     },
-    /// An item's run ended.
+    /// A run of an item ended.
     Ended {
         run: ItemRun,
         outcome: ItemOutcome<R::Resume>,
     },
-    /// A group was written, or refused.
+    /// A group of results was recorded or rejected.
     Recorded { key: u64, answer: RecordAnswer },
 }
 
@@ -85,7 +87,7 @@
                     Ok(Some(loaded)) => self.hold(loaded, mark, slot),
                     Ok(None) => self.note_taken(&lot, segment),
                     Err(error) => {
-                        log::warn!("lots: segment {segment} of {lot} wasn't claimed: {error}");
+                        log::warn!("lots: claiming segment {segment} of lot {lot} failed: {error}");
                         self.no_claim_before = self.now() + CLAIM_PAUSE;
                     }
                 }
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The lease lapsed or a new one holds. Claims don't outlive their lease.
+    /// Handles a change of the lease. Claims don't outlive their lease.
     pub(super) fn on_lease(&mut self) {
         let held = std::mem::take(&mut self.held);
         for segment in held {
@@ -122,11 +124,15 @@
         }
     }
 
-    /// Keeps finished results whose claim lapsed, should the segment be claimed
-    /// again here: after an outage that is likely, and saves running them twice.
+    /// Keeps finished results whose claim has expired, in case this daemon
+    /// claims the segment again. That is likely after an outage of the store
+    /// and avoids running the items twice.
     fn rescue(&mut self, segment: HeldSegment<R::Resume>) {
         let lot = segment.claim.lot.clone();
-        log::warn!("lots: lost segment {} of {lot}", segment.claim.segment);
+        log::warn!(
+            "lots: lost the claim on segment {} of lot {lot}",
+            segment.claim.segment
+        );
         self.view_released(&lot, segment.claim.segment);
         let rescued = RescuedResults {
             lot,
@@ -154,7 +160,7 @@
         let mut held = match HeldSegment::new(key, loaded, mark, customer, now) {
             Ok(held) => held,
             Err(error) => {
-                log::error!("lots: segment {segment} of {lot}: {error}");
+                log::error!("lots: segment {segment} of lot {lot} can't be read: {error}");
                 self.no_claim_before = now + CLAIM_PAUSE;
                 return self.release(claim);
             }
@@ -165,7 +171,7 @@
                 held.take(result, now);
             }
         }
-        log::info!("lots: claimed segment {segment} of {lot}");
+        log::info!("lots: claimed segment {segment} of lot {lot}");
         held.is_closing = held.is_done();
         self.held.push(held);
         self.use_slot(&model, slot);
@@ -250,8 +256,9 @@
         }
     }
 
-    /// A probe ran in the item's place; whether it went through tells whose
-    /// fault the item's last one was.
+    /// Handles the outcome of a probe that ran instead of the item. If the
+    /// probe succeeded, the item itself caused its last fault; otherwise the
+    /// server did.
     fn on_probe(&mut self, run: ItemRun, outcome: &ItemOutcome<R::Resume>, now: Timestamp) {
         let Ok(place) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
             return;
@@ -275,7 +282,7 @@
         match verdict {
             TryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
             TryVerdict::GiveUp(reason) => {
-                let error = give_up_error(reason, "a probe went through meanwhile");
+                let error = give_up_error(reason, "a probe succeeded meanwhile");
                 held.fail_item(run.item, error, now);
             }
         }
@@ -304,7 +311,7 @@
     let (code, what) = match reason {
         GiveUpReason::FailsAlone => (
             "item_fails",
-            "it failed each time while other items went through",
+            "the item failed in every attempt while other items succeeded",
         ),
         GiveUpReason::CrashesServers => (
             "item_crashes_servers",
--- a/crates/lots/src/worker/mod.rs
+++ b/crates/lots/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Running the items of open lots.
+//! The worker, which runs the items of open lots.
 
 mod events;
 mod picking;
@@ -27,36 +27,37 @@
 };
 use events::WorkerEvent;
 
-/// How many messages wait for the worker.
+/// The capacity of the worker's message queues.
 const QUEUE: usize = 256;
-/// How long the worker rests at most before it looks round.
+/// The maximum time between two checks for due work.
 const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// How many segments a daemon owns at once; each holds up to 1 MB of inputs
-/// and as much of results.
+/// The maximum number of segments a daemon holds at once. Each takes up to 1 MB
+/// for the inputs and as much for the results.
 const MAX_HELD: usize = 16;
-/// How long a daemon that stops waits for its items to end.
+/// How long a daemon that shuts down waits for its items to stop.
 const DRAIN_SPAN: Duration = Duration::from_secs(5);
 
 /// Claims segments of open lots and runs their items.
 ///
-/// One task owns all state and never waits for the platform or a backend
-/// server: claims, writes and runs are tasks of their own that report back.
-/// So a slow platform delays no cancel, and a slow item no write.
+/// One task owns all state and never waits for the store or a backend server.
+/// Claims, writes and runs are separate tasks that report back through events.
+/// A slow store therefore doesn't delay a cancellation, and a slow item doesn't
+/// delay a write.
 #[derive(Debug)]
 pub struct LotWorker<S, C, R, G> {
-    /// The lots to work on.
+    /// The store of the lots to run.
     pub lots: LotStore<S, C>,
-    /// Runs items.
+    /// Runs the items.
     pub runner: Arc<R>,
-    /// Gives out bulk slots.
+    /// Grants slots for bulk work.
     pub slots: Arc<G>,
-    /// This daemon's name, for those who look at claims.
+    /// The name of this daemon, stored in its claims for operators to read.
     pub owner: String,
-    /// When results are written.
+    /// When groups of results are written.
     pub grouping: ResultGrouping,
-    /// What is tried again.
+    /// When items are retried or given up.
     pub tries: TryPolicy,
-    /// Which lot goes first.
+    /// The order in which lots are run.
     pub ranking: LotRanking,
 }
 
@@ -67,7 +68,7 @@
     R: ItemRunner,
     G: SlotSource<Slot = R::Slot>,
 {
-    /// A worker with the usual settings.
+    /// Creates a worker with the default settings.
     pub fn new(lots: LotStore<S, C>, runner: Arc<R>, slots: Arc<G>, owner: &str) -> Self {
         LotWorker {
             lots,
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Works until `stop` is cancelled, then ends what runs, records what it
-    /// has and gives its claims back.
+    /// Runs items until `stop` is cancelled. Then stops running items, records
+    /// the available results and releases all claims.
     pub async fn run(self, stop: CancellationToken) {
         let keeper = LeaseKeeper::new(self.lots.store.clone());
         let lease = keeper.subscribe();
@@ -92,12 +93,13 @@
         let mut state = WorkerState::new(self, lease);
         state.work(news, stop).await;
         keeper_stop.cancel();
-        // The keeper ends by itself; a panic in it has been reported already.
+        // The manager's task ends by itself. A panic in it has already been
+        // reported.
         let _ = keeper.await;
     }
 }
 
-/// Results whose claim lapsed before they could be recorded.
+/// Results whose claim expired before they could be recorded.
 #[derive(Debug)]
 struct RescuedResults {
     lot: Arc<str>,
@@ -105,7 +107,7 @@
     results: Vec<ItemResult>,
 }
 
-/// How many items of a model went through.
+/// The number of items of a model that succeeded.
 #[derive(Debug)]
 struct ModelCount {
     model: Arc<str>,
@@ -121,14 +123,14 @@
     lease: watch::Receiver<Option<HeldLease>>,
     sender: mpsc::Sender<WorkerEvent<R>>,
     events: mpsc::Receiver<WorkerEvent<R>>,
-    /// The lots with a claim under way.
+    /// The lots with a claim in progress.
     claiming: Vec<Arc<str>>,
     no_claim_before: Timestamp,
     rescued: Vec<RescuedResults>,
-    /// Customers by the place that is their key.
+    /// The customers; a customer's index in this list is its key.
     customers: Vec<Arc<str>>,
     models: Vec<ModelCount>,
-    /// The open lots in rank, and until when that order is used.
+    /// The open lots by rank, and how long that order is valid.
     order: Vec<Arc<str>>,
     order_until: Timestamp,
     suspects_running: usize,
@@ -197,7 +199,8 @@
         self.drain().await;
     }
 
-    /// Ends what runs, records what there is, gives the claims back.
+    /// Stops running items, records the available results and releases the
+    /// claims.
     async fn drain(&mut self) {
         let until = Instant::now() + DRAIN_SPAN;
         for segment in &mut self.held {
@@ -219,7 +222,7 @@
         Timestamp::ZERO + self.origin.elapsed()
     }
 
-    /// What is due by time: writes, releases, ends of lots.
+    /// Performs the work that is due: writes, releases and closing of lots.
     fn look_round(&mut self) {
         let now = self.now();
         self.close_idle(now);
@@ -228,7 +231,7 @@
         self.finish_lots(now);
     }
 
-    /// When to look round again.
+    /// Returns when the next work may be due.
     fn next_look(&self) -> Instant {
         let now = self.now();
         let mut next = now + LOOK_EVERY;
--- a/crates/lots/src/worker/picking.rs
+++ b/crates/lots/src/worker/picking.rs
@@ -1,4 +1,4 @@
-//! Which item runs next, and which segment is claimed for it.
+//! Selection of the next item to run and the segment to claim for it.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,15 +21,15 @@
     segment_store::{LoadedSegment, SegmentStore},
 };
 
-/// How long an order of the lots is used. Sorting for each item would cost more
-/// than it is worth once thousands of lots are open.
+/// How long a ranking of the lots is used. Sorting for each item would be too
+/// expensive with thousands of open lots.
 const ORDER_SPAN: Duration = Duration::from_millis(100);
-/// The tokens that an item is taken to use before any was measured.
+/// The tokens an item is assumed to use before any item has ended.
 pub(super) const FIRST_MEAN_TOKENS: f64 = 200.0;
-/// How much one item changes the mean.
+/// The weight of one item in the moving average of tokens per item.
 const MEAN_PART: f64 = 0.05;
 
-/// What can be done for a lot with a slot.
+/// What a slot can be used for in a lot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LotChance {
     /// Run this item of a held segment.
@@ -45,7 +45,8 @@
     R: ItemRunner,
     G: SlotSource<Slot = R::Slot>,
 {
-    /// The models for which a slot could be used now, the most urgent first.
+    /// Returns the models for which a slot could be used now, most urgent
+    /// first.
     pub(super) fn wanted_models(&mut self) -> Vec<Arc<str>> {
         let now = self.now();
         self.refresh_order(now);
@@ -64,8 +65,8 @@
         wanted
     }
 
-    /// Uses a slot for the first lot in rank that can use it; else the slot is
-    /// given back.
+    /// Uses a slot for the highest ranked lot of this model that has a use for
+    /// it. Otherwise returns the slot.
     pub(super) fn use_slot(&mut self, model: &str, slot: R::Slot) {
         let now = self.now();
         self.refresh_order(now);
@@ -138,12 +139,12 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let outcome = runner.run(order, slot, stop).await;
-            // The worker is gone only when the whole daemon stops.
+            // The receiver is gone only when the whole daemon shuts down.
             let _ = sender.send(WorkerEvent::Ended { run, outcome }).await;
         });
     }
 
-    /// Corrects what was charged in advance.
+    /// Replaces the tokens charged in advance by those actually used.
     pub(super) fn settle(&mut self, run: &ItemRun, tokens: f64) {
         self.config
             .ranking
@@ -182,8 +183,8 @@
     }
 
     fn choose_segment(&mut self, lot: &str) -> Option<usize> {
-        // What this daemon has results for goes first: nobody else can save
-        // running those items again.
+        // Segments for which this daemon has unrecorded results go first, since
+        // any other daemon would have to run those items again.
         let entry = self.view.get(lot)?;
         let rescued = self.rescued.iter().find(|rescued| {
             *rescued.lot == *lot && entry.free_segments().any(|it| it.0 == rescued.segment)
@@ -218,7 +219,7 @@
             entry.meter.observe(entry.recorded(), now);
             let needs = entry.meter.needs(entry.left(), now);
             let due = now + mark.due_at.left(wall);
-            // A lot that waits for its turn has no pace to judge.
+            // A lot without any result has no pace to base a forecast on.
             let pace = needs.filter(|_| entry.recorded() > 0);
             entry.tell_lateness(LotForecast::judge(due, pace, now));
             ranked.push(RankedLot {
@@ -249,7 +250,7 @@
     }
 }
 
-/// The smallest request that a model answers.
+/// Returns the smallest request that a model answers.
 fn probe_body(mark: &OpenMark) -> Bytes {
     let body = match mark.endpoint.ends_with("/chat/completions") {
         true => serde_json::json!({
--- a/crates/lots/src/worker/recording.rs
+++ b/crates/lots/src/worker/recording.rs
@@ -1,4 +1,4 @@
-//! Writing results, giving claims back, ending lots.
+//! Recording of results, release of claims and closing of lots.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,11 +12,12 @@
     segment_store::{RecordAnswer, SegmentClaim},
 };
 
-/// A segment without a slot for so long is given back, so that a daemon with
-/// free slots can have it.
+/// A segment none of whose items has run for this long is released, so that a
+/// daemon with free slots can claim it.
 const IDLE_SPAN: Duration = Duration::from_secs(30);
-/// The daemon that recorded a lot's last result ends it at once; the others
-/// wait so long at least, and by chance up to twice as long, should it be lost.
+/// The daemon that recorded a lot's last result closes the lot at once. The
+/// others wait for this delay multiplied by a random factor from 1 to 2, in
+/// case that daemon has crashed.
 const FINISH_AFTER: Duration = Duration::from_secs(2);
 
 impl<S, C, R, G> WorkerState<S, C, R, G>
@@ -67,18 +68,19 @@
             entry.segment(segment).recorded = recorded;
         }
         if is_last {
-            // The last write gave the claim back as well.
+            // The last write also deleted the claim.
             self.held.remove(place);
             self.view_released(&lot, segment);
             self.finish_if_ending(&lot);
         }
     }
 
-    /// The platform refused results: the claim is lost or the lot cancelled.
+    /// Handles the rejection of results: the claim is lost or the lot
+    /// cancelled.
     fn drop_fenced(&mut self, place: usize) {
         let held = &mut self.held[place];
         log::info!(
-            "lots: results of {} are refused by the fence",
+            "lots: results of lot {} are rejected, since the claim is lost or the lot cancelled",
             held.claim.lot
         );
         held.stop.cancel();
@@ -86,7 +88,7 @@
         held.is_closing = true;
     }
 
-    /// Gives back the claims of closing segments once nothing of them runs.
+    /// Releases the claims of closing segments once none of their items runs.
     pub(super) fn release_closed(&mut self) {
         let held = std::mem::take(&mut self.held);
         for segment in held {
@@ -104,8 +106,8 @@
         tokio::spawn(async move { store.release(&claim).await });
     }
 
-    /// Ends lots that have come to their end, each after a delay by chance so
-    /// that not all daemons do it at once.
+    /// Closes lots that have ended. A random delay for each keeps daemons from
+    /// doing it all at the same time.
     pub(super) fn finish_lots(&mut self, now: Timestamp) {
         let mut due = Vec::new();
         for entry in &mut self.view.lots {
@@ -141,19 +143,19 @@
         let lot = lot.clone();
         tokio::spawn(async move {
             if let Err(error) = lots.finish(&mark.customer, &lot).await {
-                log::warn!("lots: {lot} is ended later: {error}");
+                log::warn!("lots: closing lot {lot} failed and is retried later: {error}");
             }
         });
     }
 
-    /// Notes in the view that a segment is claimed, before the watch tells.
+    /// Marks a segment as claimed in the view before the watch reports it.
     pub(super) fn note_taken(&mut self, lot: &str, segment: usize) {
         if let Some(entry) = self.view.get_mut(lot) {
             entry.segment(segment).is_claimed = true;
         }
     }
 
-    /// Notes in the view that a claim is gone, before the watch tells.
+    /// Marks a segment as free in the view before the watch reports it.
     pub(super) fn view_released(&mut self, lot: &str, segment: usize) {
         if let Some(entry) = self.view.get_mut(lot) {
             entry.segment(segment).is_claimed = false;
