--- a/crates/lots/tests/acknowledgement.rs
+++ b/crates/lots/tests/acknowledgement.rs
@@ -1,4 +1,4 @@
-//! A lot is acknowledged once it is in the platform, as a whole or not at all.
+//! A lot is acknowledged only when it is stored, completely or not at all.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
 
@@ -12,12 +12,13 @@
 use support::*;
 
 const MINUTE: Duration = Duration::from_secs(60);
-/// Three segments, so that an upload is more than one write.
+/// Three segments, so that an upload takes more than one write.
 const ITEMS: usize = 600;
-/// Mark, two segments, the record with the third, the lot.
+/// The writes of a submission: the upload's expiry entry, two segments, the
+/// record with the third segment, the lot.
 const WRITES: usize = 5;
 
-/// What a client sees at another daemon: nothing, or the whole lot.
+/// What a client sees at another daemon: either nothing or the complete lot.
 async fn visible(lots: &Lots) -> Option<BatchObject> {
     let page = lots.list(CUSTOMER, None, 10).await.unwrap();
     assert!(page.lots.len() <= 1);
@@ -28,7 +29,7 @@
     Some(lot)
 }
 
-/// Resends the job to a fresh daemon and has it run to the end.
+/// Submits the job again to another daemon and runs it to the end.
 async fn resend_and_run(store: &MemoryStore, seen: Option<&BatchObject>) {
     let service = TestService::taking(Duration::from_secs(1));
     let daemon = TestDaemon::start("two", DaemonStore::new(store), &service, 64);
@@ -40,13 +41,14 @@
     assert_eq!(check_results(&daemon.lots, &lot).await, (ITEMS, 0));
     assert_eq!(service.total_runs() as usize, ITEMS);
     let page = daemon.lots.list(CUSTOMER, None, 10).await.unwrap();
-    assert_eq!(page.lots.len(), 1, "the resent job became a second lot");
+    assert_eq!(page.lots.len(), 1, "the repeated job created a second lot");
     daemon.drain().await;
 }
 
-// A daemon is lost while it takes a job, before or after any of its writes. The
-// client got no answer and sends the whole job again, to another daemon. It must
-// end up with one lot, and the half-finished first try must never show.
+// A daemon crashes while it accepts a job, before or after any of its writes.
+// The client gets no answer and submits the whole job to another daemon. That
+// must give exactly one lot, and the incomplete first attempt must never be
+// visible.
 #[tokio::test(start_paused = true)]
 async fn a_daemon_lost_at_any_step_leaves_all_or_nothing() {
     for step in 0..WRITES {
@@ -65,8 +67,8 @@
     }
 }
 
-// The enumeration above would miss steps if a submission made more writes than
-// it says; then it would pass while steps go untested.
+// Guards the test above: if a submission made more writes than `WRITES`, the
+// additional steps would go untested.
 #[tokio::test(start_paused = true)]
 async fn the_steps_are_all_there_are() {
     let store = MemoryStore::default();
@@ -77,8 +79,8 @@
     assert_eq!(store.platform.calls().txn as usize, WRITES);
 }
 
-// The platform carries a write out, but its answer is lost. The daemon repeats
-// the write and must take its own first try for what it is.
+// The store performs a write, but its answer is lost. The daemon repeats the
+// write and must recognize the effect of its own first attempt.
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_at_any_step_changes_nothing() {
     for step in 0..WRITES {
@@ -91,8 +93,8 @@
     }
 }
 
-// No answer of the platform arrives for a while. The client is told that the job
-// may have been taken, since it may; and finds out by sending it again.
+// All answers of the store are lost for a while. The client must be told that
+// the job may have been accepted, and gets the same lot by submitting it again.
 #[tokio::test(start_paused = true)]
 async fn an_unanswered_job_is_reported_as_unknown() {
     let store = MemoryStore::default();
@@ -110,8 +112,8 @@
     resend_and_run(&store, Some(&seen)).await;
 }
 
-// The platform is down. A job taken now would be lost with its daemon, so it is
-// refused, and truthfully as not taken.
+// The store is unavailable. A job accepted now would be lost if the daemon
+// crashed, so it must be rejected, and reported as not accepted.
 #[tokio::test(start_paused = true)]
 async fn without_the_platform_nothing_is_acknowledged() {
     let store = MemoryStore::default();
@@ -129,7 +131,7 @@
     resend_and_run(&store, None).await;
 }
 
-// A client sends a job twice at the same moment, to two daemons.
+// A client submits the same job to two daemons at the same time.
 #[tokio::test(start_paused = true)]
 async fn a_job_sent_to_two_daemons_at_once_is_one_lot() {
     let store = MemoryStore::default();
@@ -159,8 +161,8 @@
     assert_matches!(error, LotError::KeyReused);
 }
 
-// Without a key, an equal request is taken for a resent one for a day. A job
-// that is sent anew each week must not find last week's results.
+// Without an idempotency key, an identical request counts as a repetition for
+// one day. A job submitted every week must not return last week's results.
 #[tokio::test(start_paused = true)]
 async fn an_equal_request_is_a_new_lot_after_a_day() {
     let store = MemoryStore::default();
--- a/crates/lots/tests/cancel.rs
+++ b/crates/lots/tests/cancel.rs
@@ -1,4 +1,4 @@
-//! A cancelled lot stops, whatever happens meanwhile.
+//! A cancelled lot stops, also when daemons fail meanwhile.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
 
@@ -31,7 +31,7 @@
     let lot = wait_for(&one.lots, &lot.id, BatchStatus::Cancelled, 10 * SECOND).await;
     let counts = lot.request_counts;
     assert_eq!(counts.completed + counts.failed + counts.cancelled, 1000);
-    // What was recorded before the cancel stays and is readable.
+    // Results recorded before the cancellation are kept and readable.
     assert!(counts.completed > 0);
     assert_eq!(counts.completed, seen.request_counts.completed);
     check_results(&one.lots, &lot).await;
@@ -43,9 +43,10 @@
     two.drain().await;
 }
 
-// The daemon that runs a lot is cut off from the platform when the lot is
-// cancelled elsewhere. It can't hear of the cancel; it stops because its lease
-// runs out. Until then the lot shows as cancelling, since something still runs.
+// The daemon that runs a lot is cut off from the store when the lot is
+// cancelled through another daemon. It can't learn of the cancellation and
+// stops because its lease expires. Until then the lot's status is cancelling,
+// since its items still run.
 #[tokio::test(start_paused = true)]
 async fn a_cut_off_owner_stops_within_seconds() {
     let store = MemoryStore::default();
@@ -71,7 +72,7 @@
     }
     let lot = wait_for(&two.lots, &lot.id, BatchStatus::Cancelled, 20 * SECOND).await;
     assert_eq!(lot.request_counts.cancelled, 64);
-    // Back again, the first daemon must not run anything of it.
+    // Once reconnected, the first daemon must not run any of its items.
     one.store.cut(false);
     sleep(MINUTE).await;
     assert_eq!(service.total_runs(), 64);
@@ -79,8 +80,8 @@
     two.drain().await;
 }
 
-// The daemon that runs a lot is lost just before the lot is cancelled. Its claim
-// outlives it; the lot must still come to its end.
+// The daemon that runs a lot crashes just before the lot is cancelled. Its
+// claim remains until its lease expires; the lot must still become cancelled.
 #[tokio::test(start_paused = true)]
 async fn a_lost_owner_does_not_hold_the_cancel_up() {
     let store = MemoryStore::default();
@@ -97,8 +98,9 @@
     two.drain().await;
 }
 
-// A paused owner wakes after its lot was cancelled, and its items end before it
-// hears of it. Their results come too late and must not be recorded.
+// A lot is cancelled while its owner receives no watch updates, and its items
+// end before the owner learns of the cancellation. These late results must not
+// be recorded.
 #[tokio::test(start_paused = true)]
 async fn late_results_of_a_cancelled_lot_are_refused() {
     let store = MemoryStore::default();
--- a/crates/lots/tests/files.rs
+++ b/crates/lots/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files: what is refused and why, and whose they are.
+//! Validation of uploads, and separation of customers' files.
 
 #![allow(
     clippy::panic,
@@ -72,8 +72,8 @@
     assert_eq!(findings("\n\n").await, [(0, "empty_file")]);
 }
 
-// A caller sends a line without end. Kept until its end, it would fill the
-// daemon's memory and take everybody else's requests with it.
+// A caller sends a line without an end. Buffering it completely would exhaust
+// the daemon's memory and fail everybody's requests.
 #[tokio::test(start_paused = true)]
 async fn an_endless_line_is_refused() {
     let line = item("a").replace("model\":\"", &format!("model\":\"{}", "x".repeat(2 << 20)));
@@ -99,9 +99,9 @@
     assert_eq!(read(&lots, CUSTOMER, &file).await.unwrap(), content);
 }
 
-// Each value of the platform holds 1 MB at most. Text that doesn't compress is
-// the hard case: had segments been cut by their items alone, its write would be
-// refused for ever.
+// A value in the store is limited to 1 MB. If segments were limited by the
+// number of items alone, the write of a segment with incompressible text would
+// be rejected every time.
 #[tokio::test(start_paused = true)]
 async fn incompressible_items_fit_the_platform() {
     use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -120,7 +120,7 @@
     assert_eq!(read(&lots, CUSTOMER, &file).await.unwrap(), content);
 }
 
-// A caller guesses or learns the id of somebody else's file or lot.
+// A caller guesses or learns the id of another customer's file or lot.
 #[tokio::test(start_paused = true)]
 async fn customers_see_their_own_only() {
     let store = MemoryStore::default();
@@ -148,7 +148,7 @@
     let reaching = format!("../{CUSTOMER}/{file}");
     let found = lots.files().get("kitenge", &reaching).await;
     assert_matches!(found, Err(LotError::NotFound(_)));
-    // The same content is another file for another customer.
+    // The same content uploaded by another customer is a separate file.
     let other = upload(&lots, "kitenge", &input(3)).await.unwrap();
     assert_ne!(other, *file);
 }
--- a/crates/lots/tests/lot_run.rs
+++ b/crates/lots/tests/lot_run.rs
@@ -1,4 +1,4 @@
-//! Lots run by one or more daemons, on virtual time.
+//! Lots run by one or more daemons in virtual time.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
 
@@ -43,8 +43,8 @@
     two.drain().await;
 }
 
-// A daemon is lost with items in flight. The lot must go on elsewhere, and only
-// what wasn't yet recorded may run again.
+// A daemon crashes with items in flight. Another daemon must continue the lot,
+// and only items without a recorded result may run again.
 #[tokio::test(start_paused = true)]
 async fn a_lost_daemon_costs_the_unrecorded_part_only() {
     let store = MemoryStore::default();
@@ -64,10 +64,11 @@
     two.drain().await;
 }
 
-// A daemon is paused for longer than its lease, its clock with it. Meanwhile
-// another daemon takes its segment over. The first one wakes, still believes
-// that it owns the segment, and writes its results. Both ran each item; the
-// caller must see one result of each, and the same at every reading.
+// A daemon is suspended, with its clock, for longer than its lease. Meanwhile
+// another daemon takes over its segment. The first one resumes, still believes
+// that it owns the segment, and writes its results. Both daemons ran every
+// item; the caller must see one result for each, and the same one at every
+// read.
 #[tokio::test(start_paused = true)]
 async fn a_paused_owner_is_refused_when_it_wakes() {
     let store = MemoryStore::default();
@@ -91,9 +92,9 @@
     two.drain().await;
 }
 
-// A daemon is cut off from the platform while its items run. It can't learn
-// whether it still owns them, so that it stops by its own clock; results that it
-// had recorded stay as they are.
+// A daemon is cut off from the store while its items run. It can't learn
+// whether its claim is still valid, so it must stop by its own clock. Results
+// that it has recorded before must not change.
 #[tokio::test(start_paused = true)]
 async fn a_cut_off_owner_stops_before_its_lease_lapses() {
     let store = MemoryStore::default();
@@ -117,8 +118,9 @@
     two.drain().await;
 }
 
-// The platform is down for five minutes in the middle of a lot. What had ended
-// before and couldn't be recorded is recorded afterwards, not run again.
+// The store is unavailable for five minutes while a lot runs. Results that
+// couldn't be recorded then must be recorded afterwards, without running the
+// items again.
 #[tokio::test(start_paused = true)]
 async fn an_outage_in_the_middle_loses_nothing() {
     let store = MemoryStore::default();
@@ -136,13 +138,14 @@
     faults(&store, outage(false));
     let lot = wait_for(&one.lots, &lot.id, BatchStatus::Completed, 10 * MINUTE).await;
     assert_eq!(check_results(&one.lots, &lot).await, (300, 0));
-    // Only the eight that were stopped run again.
+    // Only the eight items that were stopped run again.
     assert!(service.total_runs() <= 308, "{}", service.total_runs());
     one.drain().await;
 }
 
-// For a minute each write takes effect and each answer is lost: claims, results,
-// renewals. A daemon that took a lost answer for a failure would record twice.
+// For 20 seconds at a time every write takes effect but its answer is lost:
+// claims, results and lease renewals. A daemon that took a lost answer for a
+// failure would record results twice.
 #[tokio::test(start_paused = true)]
 async fn lost_answers_record_nothing_twice() {
     let store = MemoryStore::default();
@@ -168,8 +171,8 @@
     two.drain().await;
 }
 
-// The answer to one write is lost, a different one each time. The write took
-// effect, so that nothing of it may run again.
+// The answer to one write is lost, a different one in each round. The write
+// took effect, so no item may run again.
 #[tokio::test(start_paused = true)]
 async fn one_lost_answer_runs_nothing_twice() {
     for write in 0..12 {
@@ -203,9 +206,9 @@
     two.drain().await;
 }
 
-// Some items can never be done: the service refuses one, fails at another each
-// time, and crashes over a third. The lot must end, with their errors recorded,
-// and the third may take two servers with it and no more.
+// Some items can never succeed: the service rejects one, fails on another each
+// time, and crashes on a third. The lot must end with their errors recorded,
+// and the third item may crash two servers but no more.
 #[tokio::test(start_paused = true)]
 async fn impossible_items_get_an_error_and_the_lot_ends() {
     let store = MemoryStore::default();
@@ -230,9 +233,9 @@
     one.drain().await;
 }
 
-// An item crashes a server, and the daemon that saw it is lost before it tries
-// again. The next owner must know of the first crash: else each lost daemon
-// would grant the item two more servers.
+// An item crashes a server, and the daemon that saw it crashes before the next
+// attempt. The next owner must know of the first server crash; otherwise the
+// item could crash two more servers after each lost daemon.
 #[tokio::test(start_paused = true)]
 async fn a_crash_is_remembered_when_the_daemon_is_lost() {
     let store = MemoryStore::default();
@@ -253,7 +256,7 @@
     two.drain().await;
 }
 
-// All servers are down for ten minutes. Their faults aren't the items' faults:
+// All servers are down for ten minutes. This isn't the fault of the items, so
 // none may be recorded as failed.
 #[tokio::test(start_paused = true)]
 async fn an_outage_of_the_servers_fails_no_item() {
@@ -269,8 +272,8 @@
     one.drain().await;
 }
 
-// A live burst makes all bulk streams step aside. Their items must go on from
-// where they stood once there is room again.
+// A burst of live requests preempts all bulk streams. The items must resume
+// where they stopped once there is capacity again.
 #[tokio::test(start_paused = true)]
 async fn items_that_stepped_aside_are_resumed() {
     let store = MemoryStore::default();
@@ -286,7 +289,8 @@
     one.drain().await;
 }
 
-// One customer's lot of 5,000 items is under way when another's lot of 20 comes.
+// A customer submits a lot of 20 items while another customer's lot of 5,000
+// items runs.
 #[tokio::test(start_paused = true)]
 async fn a_long_lot_does_not_hold_up_a_short_one() {
     let store = MemoryStore::default();
@@ -295,7 +299,7 @@
     submit(&one.lots, "kitenge", 5000).await.unwrap();
     sleep(MINUTE).await;
     let lot = submit(&one.lots, CUSTOMER, 20).await.unwrap();
-    // Alone it would take 5 seconds, at half the slots 10.
+    // Alone it would take 5 seconds, with half of the slots 10.
     wait_for(&one.lots, &lot.id, BatchStatus::Completed, 15 * SECOND).await;
     one.drain().await;
 }
--- a/crates/lots/tests/open_lots.rs
+++ b/crates/lots/tests/open_lots.rs
@@ -1,4 +1,4 @@
-//! Open lots as operators see them.
+//! Open lots as shown to operators.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
 
@@ -20,8 +20,8 @@
     found
 }
 
-// A lot is due before the capacity that it gets can finish it. Its customer
-// would learn so when it is late; an operator must see it while there is time.
+// A lot can't be finished by its due time with the capacity it gets. Operators
+// must see this while there is time to act, not only when the lot is late.
 #[tokio::test(start_paused = true)]
 async fn a_lot_that_cannot_make_it_is_seen_early() {
     let store = MemoryStore::default();
@@ -39,7 +39,8 @@
     assert_eq!((seen.customer.as_str(), seen.items), (CUSTOMER, 1000));
     assert!(seen.completed > 0 && seen.claimed_segments > 0, "{seen:?}");
     assert_eq!(seen.outlook, DueOutlook::WillBeLate);
-    // 4 at a time, 10 s each, and 10 minutes for 1000: at least 1900 s late.
+    // 4 at a time and 10 s each make 2500 s for 1000 items. With a window of 10
+    // minutes the lot is at least 1900 s late.
     assert!(seen.late_by >= 1900, "{seen:?}");
     assert_eq!(look(lots, &small).await.outlook, DueOutlook::OnTime);
     sleep(8 * MINUTE).await;
--- a/crates/lots/tests/retention.rs
+++ b/crates/lots/tests/retention.rs
@@ -1,4 +1,4 @@
-//! What is kept, and for how long.
+//! How long files, lots and uploads are kept.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
 
@@ -32,8 +32,8 @@
     (lots, lot.id)
 }
 
-// The platform's service is small. A key that nobody deletes stays for ever, and
-// at 99,000 lots a day the service would soon be full.
+// The key-value service is small, and a key that nobody deletes stays forever.
+// At 99,000 lots a day the service would soon be full.
 #[tokio::test(start_paused = true)]
 async fn nothing_is_left_of_a_lot_after_its_retention() {
     let store = MemoryStore::default();
@@ -70,8 +70,9 @@
     assert_eq!(keys(&store).await, Vec::<String>::new());
 }
 
-// An upload drags on for so long that it was taken for abandoned and swept. Were
-// it still to end well, it would be acknowledged without its first segments.
+// An upload takes so long that it was considered abandoned and swept. If it
+// could still be completed, it would be acknowledged without its first
+// segments.
 #[tokio::test(start_paused = true)]
 async fn an_upload_that_was_swept_is_not_acknowledged() {
     let store = MemoryStore::default();
@@ -91,9 +92,9 @@
     assert_eq!(read(&lots, CUSTOMER, &file).await.unwrap(), content);
 }
 
-// A caller deletes the input file of a lot that is still running. The lot was
-// accepted and must end; the file must be gone at once for the caller, and its
-// content once nobody needs it.
+// A caller deletes the input file of a running lot. The lot was accepted and
+// must complete. The file must be gone for the caller at once, and its content
+// must be deleted when no lot needs it any more.
 #[tokio::test(start_paused = true)]
 async fn a_deleted_file_serves_its_open_lots_to_their_end() {
     let store = MemoryStore::default();
@@ -117,8 +118,8 @@
     assert!(!keys(&store).await.iter().any(inputs));
 }
 
-// A file is uploaded again shortly before it is deleted. It was acknowledged
-// anew, so that it must be kept anew.
+// A file is uploaded again shortly before it expires. The new upload was
+// acknowledged, so the full retention time starts again.
 #[tokio::test(start_paused = true)]
 async fn a_file_uploaded_again_is_kept_for_longer() {
     let store = MemoryStore::default();
--- a/crates/lots/tests/support/mod.rs
+++ b/crates/lots/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of this crate share: a clock, a store that dies, a service.
+//! Shared helpers of these tests: a clock, a store with faults, a service, a
+//! daemon.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -32,7 +33,7 @@
 pub(crate) const MODEL: &str = "small";
 pub(crate) const CHAT: &str = "/v1/chat/completions";
 
-/// A time of day that runs with tokio's paused clock.
+/// A wall clock that follows tokio's paused clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TestClock(Instant);
 
@@ -48,21 +49,21 @@
     }
 }
 
-/// A store as one daemon sees it. It can be cut off, be killed at a chosen
-/// write, and lose that write's answer.
+/// The store as seen by one daemon. The daemon can be cut off from it, crash at
+/// a given write, or lose the answer to a given write.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DaemonStore {
     pub(crate) inner: MemoryStore,
     pub(crate) writes: Arc<AtomicUsize>,
-    /// Bytes of all keys and values written.
+    /// The total size of all written keys and values in bytes.
     pub(crate) bytes: Arc<AtomicUsize>,
-    /// From this write on the daemon is dead.
+    /// The daemon crashes at this write.
     pub(crate) dies_at: Option<usize>,
-    /// Whether the write at which it dies still takes effect.
+    /// Whether the write at which the daemon crashes still takes effect.
     pub(crate) last_lands: bool,
-    /// The write whose answer is lost after it took effect.
+    /// The write that takes effect but whose answer is lost.
     pub(crate) loses: Option<usize>,
-    /// Whether it is cut off from the platform.
+    /// Whether the daemon is cut off from the store.
     pub(crate) is_cut: Arc<Mutex<bool>>,
 }
 
@@ -113,7 +114,7 @@
             if self.dies_at == Some(write) && self.last_lands {
                 self.inner.transact(batch.clone()).await?;
             }
-            // A dead daemon never goes on.
+            // A crashed daemon never continues.
             std::future::pending::<()>().await;
         }
         let answer = self.inner.transact(batch).await;
@@ -155,8 +156,8 @@
     batch.then.iter().map(put).sum()
 }
 
-/// A watch of a daemon. While the daemon is cut off it hears nothing, and once
-/// it is back the watch is broken.
+/// A watch of a daemon. It delivers nothing while the daemon is cut off, and is
+/// broken once the daemon is connected again.
 #[derive(Debug)]
 pub(crate) struct DaemonWatch {
     inner: MemoryWatch,
@@ -182,7 +183,7 @@
     LotStore::new(store.clone(), TestClock::default())
 }
 
-/// A file of so many items, whose prompts name them.
+/// Generates a file with this many items, each with its number in the prompt.
 pub(crate) fn input(items: usize) -> String {
     let line = |it| {
         format!(
@@ -211,7 +212,7 @@
     }
 }
 
-/// Uploads the items and creates the lot, as a client does.
+/// Uploads a file with this many items and creates a lot, as a client does.
 pub(crate) async fn submit(
     lots: &Lots,
     customer: &str,
@@ -231,22 +232,22 @@
     Ok(String::from_utf8(content).unwrap())
 }
 
-/// What the service does with an item, by a word in its body.
+/// A service whose behaviour for an item depends on a word in the item's body.
 #[derive(Debug, Default)]
 pub(crate) struct TestService {
-    /// The runs begun, by item.
+    /// The number of runs started, by item.
     pub(crate) runs: Mutex<BTreeMap<String, u32>>,
-    /// Items running now.
+    /// The number of items running now.
     pub(crate) running: AtomicUsize,
     /// How long an item takes.
     pub(crate) span: Mutex<Duration>,
-    /// Whether every run meets a fault of the servers.
+    /// Whether every run ends with a fault of the servers.
     pub(crate) is_down: Mutex<bool>,
-    /// Servers that crashed.
+    /// The number of servers that crashed.
     pub(crate) crashes: AtomicUsize,
-    /// Whether runs step aside, as for a live burst.
+    /// Whether runs are preempted, as by a burst of live requests.
     pub(crate) steps_aside: Mutex<bool>,
-    /// Runs that were resumed.
+    /// The number of runs that were resumed.
     pub(crate) resumed: AtomicUsize,
 }
 
@@ -266,7 +267,7 @@
     }
 }
 
-/// Counts an item as running for as long as its future lives.
+/// Counts an item as running as long as this guard lives.
 struct RunningGuard<'a>(&'a AtomicUsize);
 
 impl<'a> RunningGuard<'a> {
@@ -308,7 +309,7 @@
         }
         drop(slot);
         let body = String::from_utf8(order.body.to_vec()).unwrap();
-        let message = "asked for".to_owned();
+        let message = "requested by the test".to_owned();
         if *self.is_down.lock().unwrap() || body.contains("faulty") {
             return ItemOutcome::ServerFault { message };
         }
@@ -356,7 +357,7 @@
     }
 }
 
-/// A daemon that works on lots.
+/// A daemon that runs lots.
 pub(crate) struct TestDaemon {
     pub(crate) store: DaemonStore,
     pub(crate) lots: Lots,
@@ -386,7 +387,7 @@
         }
     }
 
-    /// Loses the daemon's VM: it is heard of no more.
+    /// Simulates the loss of the daemon's VM: it stops and writes nothing more.
     pub(crate) fn kill(self) {
         self.store.cut(true);
         self.task.abort();
@@ -398,7 +399,7 @@
     }
 }
 
-/// Waits until a lot shows this status.
+/// Waits until a lot has this status.
 pub(crate) async fn wait_for(
     lots: &Lots,
     id: &str,
@@ -419,7 +420,8 @@
 }
 
 /// Checks that each item has exactly one line in the two files together, and
-/// that what was answered is the item's own answer. Returns the lines' number.
+/// that each answer belongs to its item. Returns the number of lines in the
+/// output and the error file.
 pub(crate) async fn check_results(lots: &Lots, lot: &BatchObject) -> (usize, usize) {
     let output = lot.output_file_id.as_ref().unwrap();
     let output = read(lots, CUSTOMER, output).await.unwrap();
--- a/crates/lots/tests/write_budget.rs
+++ b/crates/lots/tests/write_budget.rs
@@ -1,4 +1,5 @@
-//! What a lot costs the platform. The figures stand in docs/LOTS.md.
+//! The number of store requests that a lot causes. docs/LOTS.md has the
+//! figures.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
 
@@ -13,7 +14,8 @@
 
 const DAY: Duration = Duration::from_secs(86_400);
 
-/// The calls of one lot through its whole life, but for its daemon's lease.
+/// The store requests of one lot from submission to deletion, without those for
+/// its daemon's lease.
 #[allow(dead_code, reason = "all of it is printed")]
 #[derive(Clone, Copy, Debug)]
 struct LotCost {
@@ -42,7 +44,8 @@
     let lot = submit(&daemon.lots, CUSTOMER, items).await.unwrap();
     let submitted = calls();
     let lots = daemon.lots.clone();
-    // Following the lot costs two reads while it is open and one afterwards.
+    // Each status request costs two reads while the lot is open and one when it
+    // has ended.
     let mut following = 1;
     loop {
         sleep(Duration::from_secs(60)).await;
@@ -76,8 +79,9 @@
     }
 }
 
-// A lot that costs more calls than planned is harmless alone. At 99,000 lots a
-// day the platform would be overrun, and with it everything else that needs it.
+// A lot that takes more requests than planned does no harm alone. At 99,000
+// lots a day the store would be overloaded, and everything that depends on it
+// would fail.
 #[tokio::test(start_paused = true)]
 async fn lots_stay_within_their_budget() {
     for (items, slots, most) in [(10, 8, 8), (1000, 8, 60), (1000, 64, 30), (99_000, 8, 4500)] {
