--- a/crates/lots/src/batch_object.rs
+++ b/crates/lots/src/batch_object.rs
@@ -248,7 +248,7 @@
             object: "list".to_owned(),
             first_id: page.lots.first().map(|it| it.id.clone()),
             last_id: page.lots.last().map(|it| it.id.clone()),
-            has_more: page.more,
+            has_more: page.has_more,
             data: page.lots,
         }
     }
--- a/crates/lots/src/clock.rs
+++ b/crates/lots/src/clock.rs
@@ -23,17 +23,17 @@
         self.0 / 1000
     }
 
-    /// Returns the time from `now` until this moment, or zero if it has passed.
-    pub fn left(self, now: WallTime) -> Duration {
-        Duration::from_millis(self.0.saturating_sub(now.0))
+    /// Returns the time since `earlier`, or zero if `earlier` is later.
+    pub fn since(self, earlier: WallTime) -> Duration {
+        Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Add<Duration> for WallTime {
     type Output = WallTime;
 
-    fn add(self, span: Duration) -> WallTime {
-        let millis = u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+    fn add(self, duration: Duration) -> WallTime {
+        let millis = u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
         WallTime(self.0.saturating_add(millis))
     }
 }
@@ -50,9 +50,9 @@
 
 impl WallClock for SystemClock {
     fn now(&self) -> WallTime {
-        let span = SystemTime::now()
+        let duration = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        WallTime::default() + span
+        WallTime::default() + duration
     }
 }
--- a/crates/lots/src/completion_window.rs
+++ b/crates/lots/src/completion_window.rs
@@ -7,9 +7,9 @@
 use crate::LotError;
 
 /// The shortest window that a caller may request.
-const MIN_SPAN: Duration = Duration::from_secs(1);
+const MIN_WINDOW: Duration = Duration::from_secs(1);
 /// The longest window that a caller may request: 60 days.
-const MAX_SPAN: Duration = Duration::from_secs(60 * 86_400);
+const MAX_WINDOW: Duration = Duration::from_secs(60 * 86_400);
 
 /// The time from a lot's creation to its due time. Keeps the text that the
 /// caller wrote, which API responses repeat.
@@ -19,13 +19,13 @@
 /// use comfreyramp_lots::CompletionWindow;
 ///
 /// let window: CompletionWindow = "1h30m".parse().unwrap();
-/// assert_eq!(window.span, Duration::from_secs(5400));
+/// assert_eq!(window.duration, Duration::from_secs(5400));
 /// assert_eq!(window.to_string(), "1h30m");
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, SerializeDisplay, DeserializeFromStr)]
 pub struct CompletionWindow {
     /// The length of the window.
-    pub span: Duration,
+    pub duration: Duration,
     text: String,
 }
 
@@ -33,18 +33,18 @@
     type Err = LotError;
 
     fn from_str(text: &str) -> Result<Self, LotError> {
-        let span = parse_span(text).ok_or_else(|| {
+        let duration = parse_duration(text).ok_or_else(|| {
             invalid(format!(
                 "`{text}` is not a valid duration; examples: 24h, 90m, 7d, 1h30m"
             ))
         })?;
-        if !(MIN_SPAN..=MAX_SPAN).contains(&span) {
+        if !(MIN_WINDOW..=MAX_WINDOW).contains(&duration) {
             return Err(invalid(format!(
                 "`{text}` is out of range; it must be between 1s and 60d"
             )));
         }
         let text = text.to_owned();
-        Ok(CompletionWindow { span, text })
+        Ok(CompletionWindow { duration, text })
     }
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-fn parse_span(text: &str) -> Option<Duration> {
+fn parse_duration(text: &str) -> Option<Duration> {
     let mut seconds: u64 = 0;
     let mut rest = text;
     while !rest.is_empty() {
--- a/crates/lots/src/content_stream.rs
+++ b/crates/lots/src/content_stream.rs
@@ -6,7 +6,7 @@
 use comfreyramp_store::PlatformStore;
 
 use crate::{
-    FileRecord, LotError, LotKeys, LotOutcome, RecordedResult, RetryPlan,
+    FileRecord, LotError, LotKeys, LotOutcome, RecordedResult, RetryPolicy,
     codec::{damaged, unpack},
 };
 
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct ContentStream<S> {
     store: S,
-    retry: RetryPlan,
+    retry: RetryPolicy,
     keys: IntoIter<String>,
     filter: LineFilter,
     /// The total length of the content in bytes.
@@ -31,7 +31,7 @@
 }
 
 impl<S: PlatformStore> ContentStream<S> {
-    pub(crate) fn of_file(store: S, retry: RetryPlan, file: &FileRecord) -> Self {
+    pub(crate) fn of_file(store: S, retry: RetryPolicy, file: &FileRecord) -> Self {
         let keys = (0..file.segments.len()).map(|it| LotKeys.input(&file.content, it));
         ContentStream {
             store,
@@ -44,7 +44,7 @@
 
     pub(crate) fn of_lot(
         store: S,
-        retry: RetryPlan,
+        retry: RetryPolicy,
         lot: &str,
         outcome: &LotOutcome,
         filter: LineFilter,
@@ -70,7 +70,7 @@
     /// stored value is missing or can't be decoded.
     pub async fn next(&mut self) -> Result<Option<Bytes>, LotError> {
         for key in self.keys.by_ref() {
-            let pair = self.retry.one(&self.store, key.clone()).await?;
+            let pair = self.retry.read_key(&self.store, key.clone()).await?;
             let pair = pair.ok_or_else(|| damaged(&key, "the value is missing"))?;
             let piece = keep_lines(unpack(&pair)?, self.filter, &key)?;
             if !piece.is_empty() {
--- a/crates/lots/src/file_store.rs
+++ b/crates/lots/src/file_store.rs
@@ -7,43 +7,43 @@
 };
 
 use crate::{
-    ContentStream, FileRecord, FileUpload, LotError, LotKeys, LotRecord, RetryPlan, SystemClock,
+    ContentStream, FileRecord, FileUpload, LotError, LotKeys, LotRecord, RetryPolicy, SystemClock,
     WallClock, WallTime,
     codec::{from_json, new_id, to_json},
     content_stream::LineFilter,
-    keys::part,
+    keys::key_part,
     lot_store::OutputId,
 };
 
 /// The maximum number of deletions in one transaction. The store accepts at
 /// most 128 operations per transaction.
-pub(crate) const DELETE_BATCH: usize = 100;
+pub(crate) const MAX_DELETE_BATCH: usize = 100;
 /// Uploading the same file again extends its retention if that moves the expiry
 /// by at least this much. More frequent repetitions cost no write.
-const EXTEND_AFTER: Duration = Duration::from_secs(3600);
+const MIN_EXTENSION: Duration = Duration::from_secs(3600);
 
 /// How long files, lots and related records are kept.
 #[derive(Clone, Copy, Debug)]
-pub struct RetentionPlan {
+pub struct RetentionPolicy {
     /// How long a file is kept after its upload.
     pub files: Duration,
     /// How long a lot and its results are kept after it ended.
     pub lots: Duration,
     /// How long the segments of an unfinished upload are kept.
-    pub upload: Duration,
+    pub unfinished_upload: Duration,
     /// How long a request without an idempotency key counts as a repetition of
     /// an earlier identical request.
-    pub same_request: Duration,
+    pub repeat_window: Duration,
 }
 
-impl Default for RetentionPlan {
+impl Default for RetentionPolicy {
     fn default() -> Self {
         const DAY: Duration = Duration::from_secs(86_400);
-        RetentionPlan {
+        RetentionPolicy {
             files: 7 * DAY,
             lots: 7 * DAY,
-            upload: DAY / 4,
-            same_request: DAY,
+            unfinished_upload: DAY / 4,
+            repeat_window: DAY,
         }
     }
 }
@@ -54,9 +54,9 @@
     pub(crate) store: S,
     pub(crate) clock: C,
     /// How requests to the key-value store are retried.
-    pub retry: RetryPlan,
+    pub retry: RetryPolicy,
     /// How long files and lots are kept.
-    pub retention: RetentionPlan,
+    pub retention: RetentionPolicy,
 }
 
 impl<S: PlatformStore, C: WallClock> FileStore<S, C> {
@@ -65,8 +65,8 @@
         FileStore {
             store,
             clock,
-            retry: RetryPlan::default(),
-            retention: RetentionPlan::default(),
+            retry: RetryPolicy::default(),
+            retention: RetentionPolicy::default(),
         }
     }
 
@@ -82,14 +82,14 @@
             let lot = self.finished_lot(customer, &output).await?;
             return output.describe(&lot).ok_or(LotError::NotFound("file"));
         }
-        let pair = self.find(customer, id).await?;
+        let pair = self.find_record(customer, id).await?;
         from_json(&pair)
     }
 
     /// Opens a stream of a file's content.
     pub async fn content(&self, customer: &str, id: &str) -> Result<ContentStream<S>, LotError> {
         let Some(output) = OutputId::parse(id) else {
-            let file: FileRecord = from_json(&self.find(customer, id).await?)?;
+            let file: FileRecord = from_json(&self.find_record(customer, id).await?)?;
             return Ok(ContentStream::of_file(
                 self.store.clone(),
                 self.retry,
@@ -132,14 +132,14 @@
                 message: "an output file is deleted together with its batch".to_owned(),
             });
         }
-        let pair = self.find(customer, id).await?;
+        let pair = self.find_record(customer, id).await?;
         let file: FileRecord = from_json(&pair)?;
-        self.drop_record(&file, pair.modified).await
+        self.delete_record(&file, pair.modified).await
     }
 
     /// Deletes the metadata and schedules the deletion of the content by the
     /// sweeper.
-    pub(crate) async fn drop_record(
+    pub(crate) async fn delete_record(
         &self,
         file: &FileRecord,
         modified: Revision,
@@ -171,12 +171,12 @@
         modified: Revision,
     ) -> Result<FileRecord, LotError> {
         let expires_at = self.clock.now() + self.retention.files;
-        if expires_at < file.expires_at + EXTEND_AFTER {
+        if expires_at < file.expires_at + MIN_EXTENSION {
             return Ok(file);
         }
         file.expires_at = expires_at;
         let key = LotKeys.file(&file.customer, &file.id);
-        let rest = format!("{}/{}", part(&file.customer), file.id);
+        let rest = format!("{}/{}", key_part(&file.customer), file.id);
         let put = |key, value| Write::Put {
             key,
             value,
@@ -207,12 +207,12 @@
     }
 
     /// Returns when an id was generated.
-    pub(crate) fn started(&self, id: &str) -> WallTime {
+    pub(crate) fn id_time(&self, id: &str) -> WallTime {
         crate::codec::id_time(id)
     }
 
     pub(crate) async fn delete_keys(&self, keys: Vec<String>) -> Result<(), LotError> {
-        for keys in keys.chunks(DELETE_BATCH) {
+        for keys in keys.chunks(MAX_DELETE_BATCH) {
             let batch = WriteBatch {
                 then: keys.iter().cloned().map(Write::Delete).collect(),
                 ..WriteBatch::default()
@@ -222,20 +222,20 @@
         Ok(())
     }
 
-    async fn find(
+    async fn find_record(
         &self,
         customer: &str,
         id: &str,
     ) -> Result<comfreyramp_store::KeyValue, LotError> {
         check_id(id)?;
         let key = LotKeys.file(customer, id);
-        let pair = self.retry.one(&self.store, key).await?;
+        let pair = self.retry.read_key(&self.store, key).await?;
         pair.ok_or(LotError::NotFound("file"))
     }
 
     async fn finished_lot(&self, customer: &str, output: &OutputId) -> Result<LotRecord, LotError> {
         let key = LotKeys.record(customer, &output.lot);
-        let pair = self.retry.one(&self.store, key).await?;
+        let pair = self.retry.read_key(&self.store, key).await?;
         from_json(&pair.ok_or(LotError::NotFound("file"))?)
     }
 }
--- a/crates/lots/src/file_upload.rs
+++ b/crates/lots/src/file_upload.rs
@@ -84,20 +84,21 @@
         self.bytes += bytes.len() as u64;
         if self.bytes > MAX_FILE_BYTES {
             let message = format!("the file is larger than {MAX_FILE_BYTES} bytes; split it");
-            self.note(0, "file_too_large", message);
-            return Err(self.refuse().await);
+            self.add_finding(0, "file_too_large", message);
+            return Err(self.reject().await);
         }
         self.hasher.update(bytes);
         let mut rest = bytes;
         while let Some(end) = rest.iter().position(|&it| it == b'\n') {
             self.line.extend_from_slice(&rest[..=end]);
             rest = &rest[end + 1..];
-            self.end_line().await?;
+            self.finish_line().await?;
         }
         // A line without an end must not exhaust the memory. Bytes past the
         // limit are dropped, and the length check of the line then fails.
-        let room = (MAX_LINE_BYTES + 2).saturating_sub(self.line.len());
-        self.line.extend_from_slice(&rest[..rest.len().min(room)]);
+        let capacity = (MAX_LINE_BYTES + 2).saturating_sub(self.line.len());
+        self.line
+            .extend_from_slice(&rest[..rest.len().min(capacity)]);
         Ok(())
     }
 
@@ -105,34 +106,34 @@
     /// holds the whole file.
     pub async fn finish(mut self) -> Result<FileRecord, LotError> {
         if !self.line.is_empty() {
-            self.end_line().await?;
+            self.finish_line().await?;
         }
         if self.ids.is_empty() && self.findings.is_empty() {
             let message = "the file has no items; write one JSON object per line".to_owned();
-            self.note(0, "empty_file", message);
+            self.add_finding(0, "empty_file", message);
         }
         self.find_duplicates();
         if !self.findings.is_empty() {
-            return Err(self.refuse().await);
+            return Err(self.reject().await);
         }
         self.write_record().await
     }
 
     /// Aborts the upload and tries to delete the segments written so far.
     pub async fn abort(mut self) {
-        self.drop_segments().await;
+        self.delete_segments().await;
     }
 
-    async fn end_line(&mut self) -> Result<(), LotError> {
+    async fn finish_line(&mut self) -> Result<(), LotError> {
         self.lines += 1;
         let line = std::mem::take(&mut self.line);
         if self.findings.len() >= MAX_FINDINGS {
-            return Err(self.refuse().await);
+            return Err(self.reject().await);
         }
         let text = line.trim_ascii();
         if !text.is_empty() {
             self.check_item(text);
-            self.make_room(line.len()).await?;
+            self.flush_if_full(line.len()).await?;
             self.raw_items += 1;
         }
         if self.findings.is_empty() {
@@ -144,7 +145,7 @@
     fn check_item(&mut self, text: &[u8]) {
         if self.ids.len() == MAX_ITEMS {
             let message = format!("the file has more than {MAX_ITEMS} items; split it");
-            self.note(self.lines, "too_many_items", message);
+            self.add_finding(self.lines, "too_many_items", message);
         }
         let (item, kind) = match ItemLine::check(text, self.lines) {
             Ok(found) => found,
@@ -161,7 +162,7 @@
                  all lines of a file must use the same url and model",
                 kind.url, kind.model, first.url, first.model
             );
-            self.note(self.lines, "mixed_items", message);
+            self.add_finding(self.lines, "mixed_items", message);
         }
     }
 
@@ -175,12 +176,12 @@
             .collect();
         for (first, second) in pairs.into_iter().take(MAX_FINDINGS) {
             let message = format!("custom_id was used in line {first}; make each one unique");
-            self.note(second, "duplicate_custom_id", message);
+            self.add_finding(second, "duplicate_custom_id", message);
         }
         self.findings.sort_by_key(|it| it.line);
     }
 
-    fn note(&mut self, line: u64, code: &'static str, message: String) {
+    fn add_finding(&mut self, line: u64, code: &'static str, message: String) {
         self.findings.push(LineFinding {
             line,
             code,
@@ -188,14 +189,14 @@
         });
     }
 
-    async fn make_room(&mut self, bytes: usize) -> Result<(), LotError> {
+    async fn flush_if_full(&mut self, bytes: usize) -> Result<(), LotError> {
         let full = self.raw_items == SEGMENT_ITEMS || self.raw.len() + bytes > SEGMENT_BYTES;
         if !full || self.raw_items == 0 || !self.findings.is_empty() {
             return Ok(());
         }
-        let key = self.end_segment();
+        let key = self.finish_segment();
         if self.written == 0 {
-            self.mark_upload().await?;
+            self.write_expiry().await?;
         }
         let batch = WriteBatch {
             then: vec![key],
@@ -206,8 +207,8 @@
         Ok(())
     }
 
-    /// Closes the current segment and returns the write that stores it.
-    fn end_segment(&mut self) -> Write {
+    /// Finishes the current segment and returns the write that stores it.
+    fn finish_segment(&mut self) -> Write {
         let key = LotKeys.input(&self.content, self.segments.len());
         let value = pack(&self.raw);
         self.segments.push(self.raw_items as u16);
@@ -222,9 +223,9 @@
 
     /// Writes the expiry entry through which the sweeper finds the segments of
     /// an upload that is never completed.
-    async fn mark_upload(&self) -> Result<(), LotError> {
+    async fn write_expiry(&self) -> Result<(), LotError> {
         let write = Write::Put {
-            key: self.mark_key(),
+            key: self.expiry_key(),
             value: Bytes::new(),
             lease: None,
         };
@@ -236,20 +237,20 @@
         Ok(())
     }
 
-    fn mark_key(&self) -> String {
-        let at = self.files.started(&self.content) + self.files.retention.upload;
+    fn expiry_key(&self) -> String {
+        let at = self.files.id_time(&self.content) + self.files.retention.unfinished_upload;
         LotKeys.expiry(at, "upload", &self.content)
     }
 
     /// Writes the last segment and the record in one transaction.
     async fn write_record(mut self) -> Result<FileRecord, LotError> {
-        let last = self.end_segment();
+        let last = self.finish_segment();
         let record = self.record();
         let key = LotKeys.file(&self.customer, &record.id);
         let expiry = LotKeys.expiry(
             record.expires_at,
             "file",
-            &format!("{}/{}", crate::keys::part(&self.customer), record.id),
+            &format!("{}/{}", crate::keys::key_part(&self.customer), record.id),
         );
         let put = |key, value| Write::Put {
             key,
@@ -265,8 +266,8 @@
         if self.written > 0 {
             // If the expiry entry is gone, the sweeper may have deleted
             // segments.
-            when.push(Comparison::Present(self.mark_key()));
-            then.push(Write::Delete(self.mark_key()));
+            when.push(Comparison::Present(self.expiry_key()));
+            then.push(Write::Delete(self.expiry_key()));
         }
         let batch = WriteBatch {
             when,
@@ -289,7 +290,7 @@
         }
         // The same file was uploaded before. Its record is kept and the new
         // segments are deleted.
-        self.drop_segments().await;
+        self.delete_segments().await;
         self.files.extend(found, pair.modified).await
     }
 
@@ -313,20 +314,20 @@
         }
     }
 
-    async fn refuse(&mut self) -> LotError {
-        self.drop_segments().await;
+    async fn reject(&mut self) -> LotError {
+        self.delete_segments().await;
         LotError::Findings(std::mem::take(&mut self.findings))
     }
 
     /// Deletes the segments written so far. If the store is unavailable, the
     /// expiry entry remains and the sweeper deletes them later.
-    async fn drop_segments(&mut self) {
+    async fn delete_segments(&mut self) {
         if self.written == 0 {
             return;
         }
         let content = self.content.clone();
         let keys = (0..self.written).map(|it| LotKeys.input(&content, it));
-        let keys = keys.chain([self.mark_key()]).collect();
+        let keys = keys.chain([self.expiry_key()]).collect();
         if let Err(error) = self.files.delete_keys(keys).await {
             log::warn!("lots: upload {content} is left to the sweeper: {error}");
         }
--- a/crates/lots/src/held_segment.rs
+++ b/crates/lots/src/held_segment.rs
@@ -46,7 +46,7 @@
     pub(crate) custom_id: String,
     pub(crate) body: Bytes,
     pub(crate) state: ItemState,
-    pub(crate) tries: ItemTries,
+    pub(crate) attempts: ItemTries,
     pub(crate) resume: Option<R>,
 }
 
@@ -102,7 +102,7 @@
         let items = read_items(&loaded, now)?;
         Ok(HeldSegment {
             key,
-            stop: loaded.claim.lease.lapsed.child_token(),
+            stop: loaded.claim.lease.expired.child_token(),
             claim: loaded.claim,
             mark,
             customer,
@@ -133,13 +133,13 @@
             return None;
         }
         self.items.iter().position(|it| match it.state {
-            ItemState::Waiting(from) => from <= now && (allow_suspect || it.tries.crashes == 0),
+            ItemState::Waiting(from) => from <= now && (allow_suspect || it.attempts.crashes == 0),
             _ => false,
         })
     }
 
     /// Returns the earliest time at which a waiting item may run.
-    pub(crate) fn next_wait(&self) -> Option<Timestamp> {
+    pub(crate) fn next_ready_at(&self) -> Option<Timestamp> {
         let waits = self.items.iter().filter_map(|it| match it.state {
             ItemState::Waiting(from) => Some(from),
             _ => None,
@@ -160,7 +160,7 @@
             };
             return self.fail_item(item, error, now);
         }
-        self.take(
+        self.add_result(
             ItemResult {
                 item,
                 is_answered,
@@ -182,7 +182,7 @@
     }
 
     /// Adds a result to the current group, unless the item already has one.
-    pub(crate) fn take(&mut self, result: ItemResult, now: Timestamp) {
+    pub(crate) fn add_result(&mut self, result: ItemResult, now: Timestamp) {
         let Some(item) = self.items.get_mut(result.item) else {
             return;
         };
@@ -203,7 +203,7 @@
     /// only after the crash is recorded. Otherwise, if this daemon crashed in
     /// between, the next owner wouldn't know of it and the item could crash a
     /// third and fourth server.
-    pub(crate) fn crash_item(&mut self, item: usize, retry_at: Timestamp) {
+    pub(crate) fn mark_crashed(&mut self, item: usize, retry_at: Timestamp) {
         self.items[item].state = ItemState::Crashed(retry_at);
         self.crashes.push(item);
     }
@@ -287,7 +287,7 @@
     }
 
     /// Discards results that the store has rejected.
-    pub(crate) fn forget_results(&mut self) {
+    pub(crate) fn discard_results(&mut self) {
         self.pending = None;
         self.crashes.clear();
         self.group.clear();
@@ -327,7 +327,7 @@
             custom_id: line.custom_id,
             body,
             state,
-            tries: ItemTries {
+            attempts: ItemTries {
                 crashes: loaded.progress.crashes_of(index),
                 ..ItemTries::default()
             },
--- a/crates/lots/src/keys.rs
+++ b/crates/lots/src/keys.rs
@@ -5,7 +5,7 @@
 use crate::WallTime;
 
 const ROOT: &str = "/comfreyramp/lots";
-const MILLIS_AN_HOUR: u64 = 3_600_000;
+const MILLIS_PER_HOUR: u64 = 3_600_000;
 
 /// Builds all keys of this crate. See `docs/LOTS.md` for the values under them.
 #[derive(Clone, Copy, Debug, Default)]
@@ -14,12 +14,12 @@
 impl LotKeys {
     /// The record of a customer's file.
     pub fn file(self, customer: &str, file: &str) -> String {
-        format!("{ROOT}/files/{}/{file}", part(customer))
+        format!("{ROOT}/files/{}/{file}", key_part(customer))
     }
 
     /// The prefix of all file records of a customer.
     pub fn files(self, customer: &str) -> String {
-        format!("{ROOT}/files/{}/", part(customer))
+        format!("{ROOT}/files/{}/", key_part(customer))
     }
 
     /// One compressed segment of an upload.
@@ -45,18 +45,18 @@
     /// The entry that maps a job (an idempotency key or a digest of the
     /// request) to its lot.
     pub fn job(self, customer: &str, job: &str) -> String {
-        format!("{ROOT}/jobs/{}/{job}", part(customer))
+        format!("{ROOT}/jobs/{}/{job}", key_part(customer))
     }
 
     /// The record of a customer's lot. Newer lots have smaller ids, so these
     /// keys sort newest first.
     pub fn record(self, customer: &str, lot: &str) -> String {
-        format!("{ROOT}/records/{}/{lot}", part(customer))
+        format!("{ROOT}/records/{}/{lot}", key_part(customer))
     }
 
     /// The prefix of all lot records of a customer.
     pub fn records(self, customer: &str) -> String {
-        format!("{ROOT}/records/{}/", part(customer))
+        format!("{ROOT}/records/{}/", key_part(customer))
     }
 
     /// The prefix of the index that daemons watch: a few small keys for each
@@ -98,12 +98,12 @@
     /// An expiry entry: something of this kind is to be deleted from the given
     /// hour on.
     pub fn expiry(self, at: WallTime, kind: &str, rest: &str) -> String {
-        format!("{ROOT}/expiry/{:08}/{kind}/{rest}", at.0 / MILLIS_AN_HOUR)
+        format!("{ROOT}/expiry/{:08}/{kind}/{rest}", at.0 / MILLIS_PER_HOUR)
     }
 
     /// The range of all expiry entries whose hour has passed.
     pub fn expired(self, now: WallTime) -> KeyRange {
-        let end = format!("{ROOT}/expiry/{:08}/", now.0 / MILLIS_AN_HOUR);
+        let end = format!("{ROOT}/expiry/{:08}/", now.0 / MILLIS_PER_HOUR);
         KeyRange::Between(format!("{ROOT}/expiry/"), end)
     }
 
@@ -116,7 +116,7 @@
 /// Encodes a name as one path element of a key. Names with a slash or other
 /// special characters are written in hex, since they could address another
 /// customer's keys.
-pub(crate) fn part(name: &str) -> String {
+pub(crate) fn key_part(name: &str) -> String {
     let plain = |it: u8| it.is_ascii_alphanumeric() || matches!(it, b'-' | b'_' | b'.');
     if !name.is_empty() && name.bytes().all(plain) {
         return name.to_owned();
--- a/crates/lots/src/lease_keeper.rs
+++ b/crates/lots/src/lease_manager.rs
@@ -10,13 +10,13 @@
 use tokio_util::sync::CancellationToken;
 
 /// How long the store keeps the lease after the last renewal.
-const TTL: Duration = Duration::from_secs(10);
+const LEASE_TTL: Duration = Duration::from_secs(10);
 /// How much earlier than the store the holder considers the lease expired.
-const MARGIN: Duration = Duration::from_secs(2);
+const EXPIRY_MARGIN: Duration = Duration::from_secs(2);
 /// The interval between renewals.
-const RENEW_EVERY: Duration = Duration::from_secs(4);
+const RENEW_INTERVAL: Duration = Duration::from_secs(4);
 /// The delay after a failed request.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A lease that is valid until its token is cancelled.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     pub id: LeaseId,
     /// Cancelled once the lease may have expired according to the holder's
     /// clock.
-    pub lapsed: CancellationToken,
+    pub expired: CancellationToken,
 }
 
 /// Keeps a lease alive and publishes when it is no longer valid.
@@ -36,16 +36,16 @@
 /// process that was suspended notices this only when it resumes; what it writes
 /// before that is rejected by the fencing number.
 #[derive(Debug)]
-pub struct LeaseKeeper<S> {
+pub struct LeaseManager<S> {
     store: S,
     sender: watch::Sender<Option<HeldLease>>,
 }
 
-impl<S: PlatformStore> LeaseKeeper<S> {
+impl<S: PlatformStore> LeaseManager<S> {
     /// Creates a manager for one lease in this store.
     pub fn new(store: S) -> Self {
         let (sender, _) = watch::channel(None);
-        LeaseKeeper { store, sender }
+        LeaseManager { store, sender }
     }
 
     /// Returns a receiver of the current lease, which is `None` while no lease
@@ -59,14 +59,14 @@
         while !stop.is_cancelled() {
             let sent = Instant::now();
             let granted = tokio::select! {
-                granted = self.store.grant(TTL) => granted,
+                granted = self.store.grant(LEASE_TTL) => granted,
                 () = stop.cancelled() => return,
             };
             match granted {
                 Ok(id) => self.keep(id, sent, &stop).await,
                 Err(error) => {
                     log::warn!("lots: no lease granted: {error}");
-                    sleep(PAUSE).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -75,40 +75,40 @@
     async fn keep(&self, id: LeaseId, sent: Instant, stop: &CancellationToken) {
         let lease = HeldLease {
             id,
-            lapsed: CancellationToken::new(),
+            expired: CancellationToken::new(),
         };
-        let mut holds_until = sent + TTL - MARGIN;
-        if Instant::now() < holds_until {
+        let mut valid_until = sent + LEASE_TTL - EXPIRY_MARGIN;
+        if Instant::now() < valid_until {
             self.sender.send_replace(Some(lease.clone()));
         }
-        let mut renew_at = sent + RENEW_EVERY;
+        let mut renew_at = sent + RENEW_INTERVAL;
         loop {
             tokio::select! {
-                () = sleep_until(renew_at.min(holds_until)) => {}
+                () = sleep_until(renew_at.min(valid_until)) => {}
                 () = stop.cancelled() => break,
             }
             let sent = Instant::now();
-            if sent >= holds_until {
+            if sent >= valid_until {
                 log::warn!("lots: the lease expired before it could be renewed");
                 break;
             }
-            match timeout_at(holds_until, self.store.renew(id)).await {
+            match timeout_at(valid_until, self.store.renew(id)).await {
                 Ok(Ok(_)) => {
-                    holds_until = sent + TTL - MARGIN;
-                    renew_at = sent + RENEW_EVERY;
+                    valid_until = sent + LEASE_TTL - EXPIRY_MARGIN;
+                    renew_at = sent + RENEW_INTERVAL;
                 }
                 Ok(Err(StoreError::LeaseLapsed)) => {
                     log::warn!("lots: the store reports the lease as expired");
                     break;
                 }
-                Ok(Err(_)) | Err(_) => renew_at = sent + PAUSE,
+                Ok(Err(_)) | Err(_) => renew_at = sent + RETRY_DELAY,
             }
         }
-        lease.lapsed.cancel();
+        lease.expired.cancel();
         self.sender.send_replace(None);
         if stop.is_cancelled() {
             // If this fails, the lease expires by itself.
-            let _ = timeout_at(Instant::now() + MARGIN, self.store.revoke(id)).await;
+            let _ = timeout_at(Instant::now() + EXPIRY_MARGIN, self.store.revoke(id)).await;
         }
     }
 }
--- a/crates/lots/src/lib.rs
+++ b/crates/lots/src/lib.rs
@@ -22,7 +22,7 @@
 mod held_segment;
 mod item_line;
 mod keys;
-mod lease_keeper;
+mod lease_manager;
 mod lot_finisher;
 mod lot_record;
 mod lot_store;
@@ -41,16 +41,16 @@
 pub use content_stream::ContentStream;
 pub use error::{LineFinding, LotError};
 pub use file_record::FileRecord;
-pub use file_store::{FileStore, RetentionPlan};
+pub use file_store::{FileStore, RetentionPolicy};
 pub use file_upload::FileUpload;
 pub use keys::LotKeys;
-pub use lease_keeper::{HeldLease, LeaseKeeper};
+pub use lease_manager::{HeldLease, LeaseManager};
 pub use lot_record::{
     LotCounts, LotOutcome, LotRecord, RecordedResult, ResultAnswer, ResultError, SegmentProgress,
 };
 pub use lot_store::{LotPage, LotStore, NewLot};
 pub use open_lot::{DueOutlook, OpenLot};
-pub use retry::RetryPlan;
+pub use retry::RetryPolicy;
 pub use runner::{ItemOrder, ItemOutcome, ItemRunner, SlotSource};
 pub use sweeper::LotSweeper;
 pub use worker::LotWorker;
--- a/crates/lots/src/lot_finisher.rs
+++ b/crates/lots/src/lot_finisher.rs
@@ -1,4 +1,4 @@
-//! Closing of lots whose items have all ended.
+//! Finishing lots: writing the outcome and removing the lot from the index.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 
 use crate::{
     LotCounts, LotError, LotKeys, LotOutcome, LotRecord, LotStore, SegmentProgress, WallClock,
-    codec::to_json, file_store::DELETE_BATCH, keys::part, lot_store::IndexState,
+    codec::to_json, file_store::MAX_DELETE_BATCH, keys::key_part, lot_store::IndexState,
 };
 
 impl<S: PlatformStore, C: WallClock> LotStore<S, C> {
     /// Writes a lot's outcome and removes the lot from the index, if it has
-    /// ended. Returns whether the lot is closed. Any daemon may call this at
+    /// ended. Returns whether the lot is finished. Any daemon may call this at
     /// any time and repeatedly.
     ///
     /// The outcome is written in one transaction, on condition that the record
@@ -39,7 +39,7 @@
         if !is_cancelled {
             when.push(Comparison::Absent(LotKeys.cancel(id)));
         }
-        let rest = format!("{}/{id}", part(customer));
+        let rest = format!("{}/{id}", key_part(customer));
         let put = |key, value| Write::Put {
             key,
             value,
@@ -53,7 +53,7 @@
             ),
             Write::Delete(LotKeys.reader(&record.content, id)),
         ];
-        let fits = state.keys.len() <= DELETE_BATCH;
+        let fits = state.keys.len() <= MAX_DELETE_BATCH;
         if fits {
             then.extend(state.keys.iter().cloned().map(Write::Delete));
         }
--- a/crates/lots/src/lot_record.rs
+++ b/crates/lots/src/lot_record.rs
@@ -160,15 +160,15 @@
 
     /// Returns how many servers crashed while this item ran.
     pub(crate) fn crashes_of(&self, item: usize) -> u8 {
-        let place = self.crashes.binary_search_by_key(&item, |it| it.0.into());
-        place.map_or(0, |place| self.crashes[place].1)
+        let index = self.crashes.binary_search_by_key(&item, |it| it.0.into());
+        index.map_or(0, |index| self.crashes[index].1)
     }
 
     /// Counts a server crash during the run of this item.
     pub(crate) fn note_crash(&mut self, item: usize) {
         match self.crashes.binary_search_by_key(&item, |it| it.0.into()) {
-            Ok(place) => self.crashes[place].1 = self.crashes[place].1.saturating_add(1),
-            Err(place) => self.crashes.insert(place, (item as u16, 1)),
+            Ok(index) => self.crashes[index].1 = self.crashes[index].1.saturating_add(1),
+            Err(index) => self.crashes.insert(index, (item as u16, 1)),
         }
     }
 }
--- a/crates/lots/src/lot_store.rs
+++ b/crates/lots/src/lot_store.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     BatchObject, CompletionWindow, FileRecord, FileStore, LotCounts, LotError, LotKeys, LotRecord,
-    RetentionPlan, RetryPlan, SegmentProgress, SystemClock, WallClock, WallTime,
+    RetentionPolicy, RetryPolicy, SegmentProgress, SystemClock, WallClock, WallTime,
     codec::{digest, from_json, new_id, to_json},
     file_store::{check_id, page_range},
     lot_record::{CancelMark, JobMark, OpenMark},
@@ -24,7 +24,7 @@
 const MAX_METADATA_VALUE: usize = 512;
 /// How often an operation is attempted that conflicts with a concurrent change,
 /// such as a lot that ends between two reads.
-const RACE_TRIES: usize = 3;
+const MAX_RACE_ATTEMPTS: usize = 3;
 
 /// A caller's request to create a lot.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     /// The lots of this page, newest first.
     pub lots: Vec<BatchObject>,
     /// Whether more lots follow this page.
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// The state of an open lot according to its index keys.
@@ -99,9 +99,9 @@
     pub(crate) store: S,
     pub(crate) clock: C,
     /// How requests to the key-value store are retried.
-    pub retry: RetryPlan,
+    pub retry: RetryPolicy,
     /// How long files and lots are kept.
-    pub retention: RetentionPlan,
+    pub retention: RetentionPolicy,
 }
 
 impl<S: PlatformStore, C: WallClock> LotStore<S, C> {
@@ -110,8 +110,8 @@
         LotStore {
             store,
             clock,
-            retry: RetryPlan::default(),
-            retention: RetentionPlan::default(),
+            retry: RetryPolicy::default(),
+            retention: RetentionPolicy::default(),
         }
     }
 
@@ -134,16 +134,16 @@
     /// transaction leaves nothing behind.
     pub async fn create(&self, customer: &str, new: &NewLot) -> Result<BatchObject, LotError> {
         let file = self.files().get(customer, &new.input_file_id).await?;
-        check_new(new, &file)?;
+        validate_new_lot(new, &file)?;
         let request = request_digest(new);
         let job = match &new.job_key {
             Some(key) => digest(&[b"key", key.as_bytes()]),
             None => digest(&[b"request", request.as_bytes()]),
         };
         let mut replaced = None;
-        for _ in 0..RACE_TRIES {
+        for _ in 0..MAX_RACE_ATTEMPTS {
             let record = self.new_record(customer, new, &file, &job);
-            let batch = self.creation(&record, &request, replaced);
+            let batch = self.creation_batch(&record, &request, replaced);
             let answer = self.retry.transact(&self.store, batch).await?;
             let TransactionAnswer::Refused { found, .. } = answer else {
                 return Ok(BatchObject::open(&record, &IndexState::default()));
@@ -153,7 +153,7 @@
                 return Err(LotError::NotFound("file"));
             };
             let mark: JobMark = from_json(pair)?;
-            match self.earlier(customer, new, &mark, &request).await? {
+            match self.find_earlier(customer, new, &mark, &request).await? {
                 Some(lot) => return Ok(lot),
                 None => replaced = Some(pair.modified),
             }
@@ -163,7 +163,7 @@
 
     /// Returns the lot of an earlier identical request, unless that request is
     /// too long ago or its lot has been deleted.
-    async fn earlier(
+    async fn find_earlier(
         &self,
         customer: &str,
         new: &NewLot,
@@ -173,7 +173,7 @@
         if mark.request != request {
             return Err(LotError::KeyReused);
         }
-        let until = mark.at + self.retention.same_request;
+        let until = mark.at + self.retention.repeat_window;
         if new.job_key.is_none() && until < self.clock.now() {
             return Ok(None);
         }
@@ -195,14 +195,14 @@
             model: file.model.clone(),
             window: new.completion_window.clone(),
             created_at: now,
-            due_at: now + new.completion_window.span,
+            due_at: now + new.completion_window.duration,
             metadata: new.metadata.clone(),
             segments: file.segments.clone(),
             outcome: None,
         }
     }
 
-    fn creation(
+    fn creation_batch(
         &self,
         record: &LotRecord,
         request: &str,
@@ -250,7 +250,7 @@
 
     /// Returns a customer's lot.
     pub async fn get(&self, customer: &str, id: &str) -> Result<BatchObject, LotError> {
-        for _ in 0..RACE_TRIES {
+        for _ in 0..MAX_RACE_ATTEMPTS {
             let (record, _) = self.record(customer, id).await?;
             if let Some(lot) = self.describe(&record).await? {
                 return Ok(lot);
@@ -281,7 +281,7 @@
         }
         Ok(LotPage {
             lots,
-            more: answer.more,
+            has_more: answer.more,
         })
     }
 
@@ -322,7 +322,7 @@
     ) -> Result<(LotRecord, Revision), LotError> {
         check_id(id)?;
         let key = LotKeys.record(customer, id);
-        let pair = self.retry.one(&self.store, key).await?;
+        let pair = self.retry.read_key(&self.store, key).await?;
         let pair = pair.ok_or(LotError::NotFound("batch"))?;
         Ok((from_json(&pair)?, pair.modified))
     }
@@ -344,7 +344,7 @@
     }
 }
 
-fn check_new(new: &NewLot, file: &FileRecord) -> Result<(), LotError> {
+fn validate_new_lot(new: &NewLot, file: &FileRecord) -> Result<(), LotError> {
     if file.segments.is_empty() {
         return Err(LotError::Invalid {
             param: "input_file_id",
@@ -373,7 +373,7 @@
     Err(LotError::Invalid {
         param: "metadata",
         message: format!(
-            "at most {MAX_METADATA} pairs with keys of {MAX_METADATA_KEY} \
+            "at max_writes {MAX_METADATA} pairs with keys of {MAX_METADATA_KEY} \
              and values of {MAX_METADATA_VALUE} bytes are allowed"
         ),
     })
--- a/crates/lots/src/lot_view.rs
+++ b/crates/lots/src/lot_view.rs
@@ -31,8 +31,9 @@
     pub(crate) segments: Vec<SegmentEntry>,
     pub(crate) meter: PaceMeter,
     /// Whether the log already says that the lot will be late.
-    pub(crate) is_told_late: bool,
-    /// When this daemon closes the lot, unless another one has done so before.
+    pub(crate) is_reported_late: bool,
+    /// When this daemon finishes the lot, unless another one has done so
+    /// before.
     pub(crate) finish_at: Option<Timestamp>,
 }
 
@@ -44,7 +45,7 @@
             cancelled_at: None,
             segments: Vec::new(),
             meter: PaceMeter::default(),
-            is_told_late: false,
+            is_reported_late: false,
             finish_at: None,
         }
     }
@@ -58,19 +59,19 @@
         self.segments.iter().map(|it| u32::from(it.recorded)).sum()
     }
 
-    pub(crate) fn left(&self) -> u32 {
+    pub(crate) fn remaining(&self) -> u32 {
         self.items().saturating_sub(self.recorded())
     }
 
     /// Logs a warning when the lot is expected to miss its due time, while
     /// there is time to act on it, and a message if it is on time again. Each
     /// change is logged once.
-    pub(crate) fn tell_lateness(&mut self, forecast: LotForecast) {
+    pub(crate) fn report_lateness(&mut self, forecast: LotForecast) {
         let is_late = forecast != LotForecast::OnTime;
-        if is_late == self.is_told_late {
+        if is_late == self.is_reported_late {
             return;
         }
-        self.is_told_late = is_late;
+        self.is_reported_late = is_late;
         let id = &self.id;
         match forecast {
             LotForecast::OnTime => log::info!("lots: lot {id} is expected to be on time again"),
@@ -85,7 +86,7 @@
     }
 
     /// Returns whether all that is left is to write the lot's outcome. A
-    /// cancelled lot isn't closed before its last claim is gone, since until
+    /// cancelled lot isn't finished before its last claim is gone, since until
     /// then some of its items may be running.
     pub(crate) fn is_ending(&self) -> bool {
         if self.mark.is_none() {
@@ -93,7 +94,7 @@
         }
         match self.cancelled_at {
             Some(_) => !self.segments.iter().any(|it| it.is_claimed),
-            None => self.left() == 0,
+            None => self.remaining() == 0,
         }
     }
 
@@ -125,17 +126,17 @@
 
 impl LotView {
     pub(crate) fn get(&self, id: &str) -> Option<&LotEntry> {
-        let place = self.lots.binary_search_by(|it| (*it.id).cmp(id)).ok()?;
-        Some(&self.lots[place])
+        let index = self.lots.binary_search_by(|it| (*it.id).cmp(id)).ok()?;
+        Some(&self.lots[index])
     }
 
     pub(crate) fn get_mut(&mut self, id: &str) -> Option<&mut LotEntry> {
-        let place = self.lots.binary_search_by(|it| (*it.id).cmp(id)).ok()?;
-        Some(&mut self.lots[place])
+        let index = self.lots.binary_search_by(|it| (*it.id).cmp(id)).ok()?;
+        Some(&mut self.lots[index])
     }
 
     /// Replaces the view by a full read of the index, but keeps measured paces,
-    /// reported delays and closing times.
+    /// reported delays and finishing times.
     pub(crate) fn reset(&mut self, pairs: &[KeyValue]) {
         let old = std::mem::take(&mut self.lots);
         for pair in pairs {
@@ -144,7 +145,7 @@
         for entry in old {
             if let Some(fresh) = self.get_mut(&entry.id) {
                 fresh.meter = entry.meter;
-                fresh.is_told_late = entry.is_told_late;
+                fresh.is_reported_late = entry.is_reported_late;
                 fresh.finish_at = entry.finish_at;
             }
         }
@@ -205,14 +206,14 @@
     }
 
     fn entry(&mut self, id: &str) -> &mut LotEntry {
-        let place = match self.lots.binary_search_by(|it| (*it.id).cmp(id)) {
-            Ok(place) => place,
-            Err(place) => {
-                self.lots.insert(place, LotEntry::new(id));
-                place
+        let index = match self.lots.binary_search_by(|it| (*it.id).cmp(id)) {
+            Ok(index) => index,
+            Err(index) => {
+                self.lots.insert(index, LotEntry::new(id));
+                index
             }
         };
-        &mut self.lots[place]
+        &mut self.lots[index]
     }
 }
 
--- a/crates/lots/src/lot_watch.rs
+++ b/crates/lots/src/lot_watch.rs
@@ -10,38 +10,38 @@
 use crate::LotKeys;
 
 /// The number of key-value pairs per read.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
 /// The delay before a broken watch is reopened.
-const PAUSE: Duration = Duration::from_millis(500);
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
 
 /// An update of the index.
 #[derive(Debug)]
-pub(crate) enum IndexNews {
+pub(crate) enum IndexUpdate {
     /// A full read of the index, which replaces what was known.
-    Whole(Vec<KeyValue>),
+    Snapshot(Vec<KeyValue>),
     /// Changes since the previous update.
     Change(WatchBatch),
 }
 
 /// Sends the index and then its changes until the receiver is closed.
-pub(crate) async fn follow_index<S: PlatformStore>(store: S, sender: mpsc::Sender<IndexNews>) {
+pub(crate) async fn watch_index<S: PlatformStore>(store: S, sender: mpsc::Sender<IndexUpdate>) {
     while !sender.is_closed() {
-        let Err(error) = follow_once(&store, &sender).await else {
+        let Err(error) = watch_once(&store, &sender).await else {
             return;
         };
         log::warn!("lots: the view of open lots may be out of date: {error}");
-        sleep(PAUSE).await;
+        sleep(REOPEN_DELAY).await;
     }
 }
 
-async fn follow_once<S: PlatformStore>(
+async fn watch_once<S: PlatformStore>(
     store: &S,
-    sender: &mpsc::Sender<IndexNews>,
+    sender: &mpsc::Sender<IndexUpdate>,
 ) -> Result<(), StoreError> {
     let (pairs, revision) = read_index(store).await?;
     let range = KeyRange::Prefix(LotKeys.index());
     let mut watch = RenewedWatch::open(store.clone(), range, revision + 1).await?;
-    if sender.send(IndexNews::Whole(pairs)).await.is_err() {
+    if sender.send(IndexUpdate::Snapshot(pairs)).await.is_err() {
         return Ok(());
     }
     loop {
@@ -49,14 +49,14 @@
             batch = watch.next() => batch?,
             () = sender.closed() => return Ok(()),
         };
-        if sender.send(IndexNews::Change(batch)).await.is_err() {
+        if sender.send(IndexUpdate::Change(batch)).await.is_err() {
             return Ok(());
         }
     }
 }
 
 /// Returns the id of the lot that an index key belongs to.
-pub(crate) fn lot_of(key: &str) -> Option<&str> {
+pub(crate) fn lot_id_of(key: &str) -> Option<&str> {
     let rest = key.strip_prefix(LotKeys.index().as_str())?;
     rest.split_once('/').map(|it| it.0)
 }
@@ -75,7 +75,7 @@
     let mut revision = None;
     loop {
         let range = KeyRange::Between(start, end.clone());
-        let mut answer = store.range(range, PAGE).await?;
+        let mut answer = store.range(range, PAGE_SIZE).await?;
         revision.get_or_insert(answer.revision);
         pairs.append(&mut answer.pairs);
         match pairs.last().filter(|_| answer.more) {
--- a/crates/lots/src/open_lot.rs
+++ b/crates/lots/src/open_lot.rs
@@ -12,11 +12,11 @@
     file_store::check_id,
     lot_record::OpenMark,
     lot_store::IndexState,
-    lot_watch::{lot_of, read_index},
+    lot_watch::{lot_id_of, read_index},
 };
 
 /// The minimum age of a lot before its pace is used for a forecast.
-const SETTLE_SPAN: Duration = Duration::from_secs(60);
+const MIN_FORECAST_AGE: Duration = Duration::from_secs(60);
 
 /// Whether a lot is expected to meet its due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -74,7 +74,7 @@
         let items: u32 = mark.segments.iter().map(|&it| u32::from(it)).sum();
         let done = counts.completed + counts.failed;
         let needs = time_needed(&mark, items, done, now);
-        let forecast = LotForecast::judge(on_clock(mark.due_at), needs, on_clock(now));
+        let forecast = LotForecast::judge(to_timestamp(mark.due_at), needs, to_timestamp(now));
         let (outlook, late) = match forecast {
             LotForecast::OnTime => (DueOutlook::OnTime, Duration::ZERO),
             LotForecast::WillBeLate(late) => (DueOutlook::WillBeLate, late),
@@ -100,8 +100,8 @@
 /// Returns how long the remaining items take at the mean pace since the lot was
 /// created. Returns `None` for a lot that is too young or has no results yet.
 fn time_needed(mark: &OpenMark, items: u32, done: u32, now: WallTime) -> Option<Duration> {
-    let age = now.left(mark.created_at);
-    if age < SETTLE_SPAN || done == 0 {
+    let age = now.since(mark.created_at);
+    if age < MIN_FORECAST_AGE || done == 0 {
         return None;
     }
     let left = items.saturating_sub(done);
@@ -109,7 +109,7 @@
     Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
 }
 
-fn on_clock(at: WallTime) -> Timestamp {
+fn to_timestamp(at: WallTime) -> Timestamp {
     Timestamp::ZERO + Duration::from_millis(at.0)
 }
 
@@ -121,8 +121,8 @@
         let (pairs, _) = read_index(&self.store).await?;
         let now = self.clock.now();
         let mut lots = Vec::new();
-        for pairs in pairs.chunk_by(|a, b| lot_of(&a.key) == lot_of(&b.key)) {
-            let id = lot_of(&pairs[0].key).unwrap_or_default();
+        for pairs in pairs.chunk_by(|a, b| lot_id_of(&a.key) == lot_id_of(&b.key)) {
+            let id = lot_id_of(&pairs[0].key).unwrap_or_default();
             lots.extend(OpenLot::read(id, pairs, now)?);
         }
         Ok(lots)
--- a/crates/lots/src/retry.rs
+++ b/crates/lots/src/retry.rs
@@ -8,24 +8,24 @@
 
 /// How often and after which delay a failed request to the store is retried.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryPlan {
+pub struct RetryPolicy {
     /// The maximum number of attempts, the first one included.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// The delay before the second attempt. It doubles with each further
     /// attempt.
-    pub pause: Duration,
+    pub initial_delay: Duration,
 }
 
-impl Default for RetryPlan {
+impl Default for RetryPolicy {
     fn default() -> Self {
-        RetryPlan {
-            tries: 4,
-            pause: Duration::from_millis(50),
+        RetryPolicy {
+            max_attempts: 4,
+            initial_delay: Duration::from_millis(50),
         }
     }
 }
 
-impl RetryPlan {
+impl RetryPolicy {
     /// Runs a transaction that is safe to repeat.
     ///
     /// After a lost answer the repetition may be rejected because the first
@@ -39,8 +39,8 @@
         batch: WriteBatch,
     ) -> Result<TransactionAnswer, StoreError> {
         let mut lost = None;
-        let mut pause = self.pause;
-        for left in (0..self.tries).rev() {
+        let mut delay = self.initial_delay;
+        for remaining in (0..self.max_attempts).rev() {
             let error = match store.transact(batch.clone()).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
@@ -48,12 +48,12 @@
             let repeat = is_transient(&error);
             if matches!(error, StoreError::AnswerLost(_)) {
                 lost = Some(error);
-            } else if left == 0 || !repeat {
+            } else if remaining == 0 || !repeat {
                 return Err(lost.unwrap_or(error));
             }
-            if left > 0 {
-                tokio::time::sleep(pause).await;
-                pause *= 2;
+            if remaining > 0 {
+                tokio::time::sleep(delay).await;
+                delay *= 2;
             }
         }
         Err(lost.unwrap_or_else(|| StoreError::Unreachable("no attempt was made".to_owned())))
@@ -66,20 +66,20 @@
         range: KeyRange,
         limit: usize,
     ) -> Result<RangeAnswer, StoreError> {
-        let mut pause = self.pause;
-        for _ in 1..self.tries {
+        let mut delay = self.initial_delay;
+        for _ in 1..self.max_attempts {
             match store.range(range.clone(), limit).await {
                 Err(error) if is_transient(&error) => {}
                 answer => return answer,
             }
-            tokio::time::sleep(pause).await;
-            pause *= 2;
+            tokio::time::sleep(delay).await;
+            delay *= 2;
         }
         store.range(range, limit).await
     }
 
     /// Reads one key.
-    pub(crate) async fn one<S: PlatformStore>(
+    pub(crate) async fn read_key<S: PlatformStore>(
         self,
         store: &S,
         key: String,
--- a/crates/lots/src/runner.rs
+++ b/crates/lots/src/runner.rs
@@ -84,7 +84,7 @@
     /// and leave nothing of the item running.
     fn run(
         &self,
-        order: ItemOrder<Self::Resume>,
+        request: ItemOrder<Self::Resume>,
         slot: Self::Slot,
         stop: CancellationToken,
     ) -> impl Future<Output = ItemOutcome<Self::Resume>> + Send;
--- a/crates/lots/src/segment_store.rs
+++ b/crates/lots/src/segment_store.rs
@@ -9,12 +9,12 @@
 use tokio::time::sleep;
 
 use crate::{
-    HeldLease, LotError, LotKeys, RetryPlan, SegmentProgress,
+    HeldLease, LotError, LotKeys, RetryPolicy, SegmentProgress,
     codec::{damaged, from_json, pack, to_json, unpack},
 };
 
 /// The delay between attempts to record results while the lease is valid.
-const RECORD_PAUSE: Duration = Duration::from_millis(500);
+const RECORD_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A claim of this daemon on a segment.
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentStore<S> {
     pub(crate) store: S,
-    pub(crate) retry: RetryPlan,
+    pub(crate) retry: RetryPolicy,
 }
 
 impl<S: PlatformStore> SegmentStore<S> {
@@ -115,13 +115,13 @@
     ) -> Result<LoadedSegment, LotError> {
         let progress_key = LotKeys.progress(&claim.lot, claim.segment);
         let input_key = LotKeys.input(content, claim.segment);
-        let pair = self.retry.one(&self.store, progress_key).await?;
+        let pair = self.retry.read_key(&self.store, progress_key).await?;
         let progress_at = pair.as_ref().map(|it| it.modified);
         let progress = match &pair {
             Some(pair) => from_json(pair)?,
             None => SegmentProgress::default(),
         };
-        let input = self.retry.one(&self.store, input_key.clone()).await?;
+        let input = self.retry.read_key(&self.store, input_key.clone()).await?;
         let input = input.ok_or_else(|| damaged(&input_key, "the value is missing"))?;
         Ok(LoadedSegment {
             claim,
@@ -143,21 +143,21 @@
         loop {
             let answer = tokio::select! {
                 answer = self.store.transact(batch.clone()) => answer,
-                () = claim.lease.lapsed.cancelled() => return RecordAnswer::Fenced,
+                () = claim.lease.expired.cancelled() => return RecordAnswer::Fenced,
             };
             match answer {
                 Ok(TransactionAnswer::Written(revision)) => {
                     return RecordAnswer::Written(revision);
                 }
                 Ok(TransactionAnswer::Refused { found, .. }) => {
-                    return read_back(&found, write);
+                    return check_read_back(&found, write);
                 }
                 Err(error) => {
                     log::warn!(
                         "lots: recording results of lot {} failed and is retried: {error}",
                         claim.lot
                     );
-                    sleep(RECORD_PAUSE).await;
+                    sleep(RECORD_RETRY_DELAY).await;
                 }
             }
         }
@@ -214,7 +214,7 @@
     }
 }
 
-fn read_back(found: &[KeyValue], write: &GroupWrite) -> RecordAnswer {
+fn check_read_back(found: &[KeyValue], write: &GroupWrite) -> RecordAnswer {
     let written = to_json(&write.progress);
     match found.first().filter(|it| it.value == written) {
         Some(pair) => RecordAnswer::Written(pair.modified),
--- a/crates/lots/src/sweeper.rs
+++ b/crates/lots/src/sweeper.rs
@@ -15,17 +15,17 @@
 };
 
 /// The interval between sweeps.
-const SWEEP_EVERY: Duration = Duration::from_secs(300);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(300);
 /// How long one daemon's sweep lock lasts unless it is revoked earlier.
-const TURN_SPAN: Duration = Duration::from_secs(240);
+const LOCK_TTL: Duration = Duration::from_secs(240);
 /// The number of expiry entries per read.
-const PAGE: usize = 50;
+const PAGE_SIZE: usize = 50;
 /// The number of segments per read when their total is unknown. Each can be up
 /// to 1 MB.
-const INPUT_PAGE: usize = 4;
+const INPUT_PAGE_SIZE: usize = 4;
 /// The delay before an upload's content is checked again that an open lot still
 /// reads.
-const POSTPONE: Duration = Duration::from_secs(2 * 3600);
+const RECHECK_DELAY: Duration = Duration::from_secs(2 * 3600);
 
 /// Deletes files, lots and abandoned uploads whose retention time has passed.
 ///
@@ -45,26 +45,26 @@
     pub async fn run(self, stop: CancellationToken) {
         loop {
             tokio::select! {
-                () = sleep(SWEEP_EVERY) => {}
+                () = sleep(SWEEP_INTERVAL) => {}
                 () = stop.cancelled() => return,
             }
-            if let Err(error) = self.take_turn().await {
+            if let Err(error) = self.sweep_with_lock().await {
                 log::warn!("lots: sweeping failed and is retried later: {error}");
             }
         }
     }
 
-    async fn take_turn(&self) -> Result<(), LotError> {
+    async fn sweep_with_lock(&self) -> Result<(), LotError> {
         let store = &self.lots.store;
-        let lease = store.grant(TURN_SPAN).await?;
-        if self.is_first(lease).await? {
+        let lease = store.grant(LOCK_TTL).await?;
+        if self.try_lock(lease).await? {
             let swept = self.sweep().await?;
             log::info!("lots: deleted {swept} expired entries");
         }
         Ok(store.revoke(lease).await?)
     }
 
-    async fn is_first(&self, lease: LeaseId) -> Result<bool, LotError> {
+    async fn try_lock(&self, lease: LeaseId) -> Result<bool, LotError> {
         let key = LotKeys.sweeper();
         let batch = WriteBatch {
             when: vec![Comparison::Absent(key.clone())],
@@ -85,7 +85,11 @@
         let mut swept = 0;
         loop {
             let range = LotKeys.expired(self.lots.clock.now());
-            let answer = self.lots.retry.range(&self.lots.store, range, PAGE).await?;
+            let answer = self
+                .lots
+                .retry
+                .range(&self.lots.store, range, PAGE_SIZE)
+                .await?;
             for pair in &answer.pairs {
                 self.sweep_entry(pair).await?;
                 swept += 1;
@@ -108,13 +112,14 @@
             Some("content") => self.sweep_content(entry, id).await,
             Some("file") => self.sweep_file(entry, &customer, id).await,
             Some("lot") => self.sweep_lot(entry, &customer, id).await,
-            _ => self.drop_entry(entry).await,
+            _ => self.delete_entry(entry).await,
         }
     }
 
-    /// Handles an upload that was never completed. Its mark is replaced by an
-    /// entry that deletes the content in one transaction, since the upload may
-    /// be completing at this moment: it can do so only while its mark exists.
+    /// Handles an upload that was never completed. Its expiry entry is replaced
+    /// in one transaction by an entry that deletes the content. The upload may
+    /// be completing at this moment, which succeeds only while its expiry entry
+    /// exists.
     async fn sweep_upload(&self, entry: &KeyValue, content: &str) -> Result<(), LotError> {
         let now = self.lots.clock.now();
         let batch = WriteBatch {
@@ -148,16 +153,18 @@
                 let keys = (0..count).map(|it| LotKeys.input(content, it)).collect();
                 self.lots.files().delete_keys(keys).await?;
             }
-            None => self.delete_unknown(content).await?,
+            None => self.delete_all_inputs(content).await?,
         }
-        self.drop_entry(entry).await
+        self.delete_entry(entry).await
     }
 
-    async fn delete_unknown(&self, content: &str) -> Result<(), LotError> {
+    async fn delete_all_inputs(&self, content: &str) -> Result<(), LotError> {
         loop {
             let range = KeyRange::Prefix(LotKeys.inputs(content));
             let retry = self.lots.retry;
-            let answer = retry.range(&self.lots.store, range, INPUT_PAGE).await?;
+            let answer = retry
+                .range(&self.lots.store, range, INPUT_PAGE_SIZE)
+                .await?;
             let more = answer.more;
             let keys = answer.pairs.into_iter().map(|it| it.key).collect();
             self.lots.files().delete_keys(keys).await?;
@@ -168,7 +175,7 @@
     }
 
     async fn postpone(&self, entry: &KeyValue, content: &str) -> Result<(), LotError> {
-        let later = self.lots.clock.now() + POSTPONE;
+        let later = self.lots.clock.now() + RECHECK_DELAY;
         let batch = WriteBatch {
             then: vec![
                 Write::Delete(entry.key.clone()),
@@ -186,20 +193,28 @@
 
     async fn sweep_file(&self, entry: &KeyValue, customer: &str, id: &str) -> Result<(), LotError> {
         let key = LotKeys.file(customer, id);
-        if let Some(pair) = self.lots.retry.one(&self.lots.store, key).await? {
+        if let Some(pair) = self.lots.retry.read_key(&self.lots.store, key).await? {
             let file: FileRecord = from_json(&pair)?;
             // A file that was uploaded again has a later entry as well.
             if file.expires_at <= self.lots.clock.now() {
-                self.lots.files().drop_record(&file, pair.modified).await?;
+                self.lots
+                    .files()
+                    .delete_record(&file, pair.modified)
+                    .await?;
             }
         }
-        self.drop_entry(entry).await
+        self.delete_entry(entry).await
     }
 
     async fn sweep_lot(&self, entry: &KeyValue, customer: &str, id: &str) -> Result<(), LotError> {
         let key = LotKeys.record(customer, id);
-        let Some(pair) = self.lots.retry.one(&self.lots.store, key.clone()).await? else {
-            return self.drop_entry(entry).await;
+        let Some(pair) = self
+            .lots
+            .retry
+            .read_key(&self.lots.store, key.clone())
+            .await?
+        else {
+            return self.delete_entry(entry).await;
         };
         let record: LotRecord = from_json(&pair)?;
         let groups = record.outcome.iter().flat_map(|it| &it.groups);
@@ -207,27 +222,32 @@
             (0..usize::from(groups)).map(move |it| LotKeys.result(id, segment, it))
         });
         let mut keys: Vec<String> = results.collect();
-        keys.extend(self.own_job(customer, &record).await?);
+        keys.extend(self.owned_job_key(customer, &record).await?);
         keys.push(key);
         keys.push(entry.key.clone());
         self.lots.files().delete_keys(keys).await
     }
 
     /// Returns the job key of a lot, unless a later lot uses that key now.
-    async fn own_job(
+    async fn owned_job_key(
         &self,
         customer: &str,
         record: &LotRecord,
     ) -> Result<Option<String>, LotError> {
         let key = LotKeys.job(customer, &record.job);
-        let Some(pair) = self.lots.retry.one(&self.lots.store, key.clone()).await? else {
+        let Some(pair) = self
+            .lots
+            .retry
+            .read_key(&self.lots.store, key.clone())
+            .await?
+        else {
             return Ok(None);
         };
         let mark: JobMark = from_json(&pair)?;
         Ok((mark.lot == record.id).then_some(key))
     }
 
-    async fn drop_entry(&self, entry: &KeyValue) -> Result<(), LotError> {
+    async fn delete_entry(&self, entry: &KeyValue) -> Result<(), LotError> {
         self.lots.files().delete_keys(vec![entry.key.clone()]).await
     }
 }
--- a/crates/lots/src/worker/events.rs
+++ b/crates/lots/src/worker/events.rs
@@ -13,16 +13,16 @@
     ItemOutcome, ItemRunner, LotError, RecordedResult, ResultAnswer, SlotSource, WallClock,
     held_segment::{HeldSegment, ItemState},
     lot_record::{OpenMark, ResultError},
-    lot_watch::IndexNews,
+    lot_watch::IndexUpdate,
     segment_store::{LoadedSegment, RecordAnswer},
 };
 
 /// How long no segment is claimed after a claim failed or a segment couldn't be
 /// read.
-const CLAIM_PAUSE: std::time::Duration = std::time::Duration::from_secs(1);
+const CLAIM_BACKOFF: std::time::Duration = std::time::Duration::from_secs(1);
 /// The maximum number of segments whose unrecorded results are kept after their
 /// claim expired.
-const MAX_RESCUED: usize = 32;
+const MAX_RESCUED_SEGMENTS: usize = 32;
 /// Statuses from this one on are faults of the server.
 const FIRST_FAULT_STATUS: u16 = 500;
 /// Too Many Requests: the server has no capacity now.
@@ -84,25 +84,25 @@
             } => {
                 self.claiming.retain(|it| *it != lot);
                 match answer {
-                    Ok(Some(loaded)) => self.hold(loaded, mark, slot),
-                    Ok(None) => self.note_taken(&lot, segment),
+                    Ok(Some(loaded)) => self.add_segment(loaded, mark, slot),
+                    Ok(None) => self.mark_claimed(&lot, segment),
                     Err(error) => {
                         log::warn!("lots: claiming segment {segment} of lot {lot} failed: {error}");
-                        self.no_claim_before = self.now() + CLAIM_PAUSE;
+                        self.no_claim_before = self.now() + CLAIM_BACKOFF;
                     }
                 }
             }
-            WorkerEvent::Ended { run, outcome } => self.on_ended(run, outcome),
+            WorkerEvent::Ended { run, outcome } => self.on_item_ended(run, outcome),
             WorkerEvent::Recorded { key, answer } => self.on_recorded(key, answer),
         }
     }
 
-    pub(super) fn on_news(&mut self, news: IndexNews) {
-        match news {
-            IndexNews::Whole(pairs) => self.view.reset(&pairs),
-            IndexNews::Change(batch) => self.view.apply(&batch),
+    pub(super) fn on_index_update(&mut self, update: IndexUpdate) {
+        match update {
+            IndexUpdate::Snapshot(pairs) => self.view.reset(&pairs),
+            IndexUpdate::Change(batch) => self.view.apply(&batch),
         }
-        self.order_until = Timestamp::ZERO;
+        self.ranking_valid_until = Timestamp::ZERO;
         for segment in &mut self.held {
             let entry = self.view.get(&segment.claim.lot);
             if entry.is_none_or(|it| it.cancelled_at.is_some()) {
@@ -116,7 +116,7 @@
     pub(super) fn on_lease(&mut self) {
         let held = std::mem::take(&mut self.held);
         for segment in held {
-            if segment.claim.lease.lapsed.is_cancelled() {
+            if segment.claim.lease.expired.is_cancelled() {
                 self.rescue(segment);
             } else {
                 self.held.push(segment);
@@ -133,7 +133,7 @@
             "lots: lost the claim on segment {} of lot {lot}",
             segment.claim.segment
         );
-        self.view_released(&lot, segment.claim.segment);
+        self.mark_released(&lot, segment.claim.segment);
         let rescued = RescuedResults {
             lot,
             segment: segment.claim.segment,
@@ -142,17 +142,17 @@
         if rescued.results.is_empty() {
             return;
         }
-        if self.rescued.len() == MAX_RESCUED {
+        if self.rescued.len() == MAX_RESCUED_SEGMENTS {
             self.rescued.remove(0);
         }
         self.rescued.push(rescued);
     }
 
-    fn hold(&mut self, loaded: LoadedSegment, mark: Arc<OpenMark>, slot: R::Slot) {
+    fn add_segment(&mut self, loaded: LoadedSegment, mark: Arc<OpenMark>, slot: R::Slot) {
         let now = self.now();
         let claim = loaded.claim.clone();
         let (lot, segment) = (claim.lot.clone(), claim.segment);
-        self.note_taken(&lot, segment);
+        self.mark_claimed(&lot, segment);
         let customer = self.customer_key(&mark.customer);
         let key = self.next_key;
         self.next_key += 1;
@@ -161,14 +161,14 @@
             Ok(held) => held,
             Err(error) => {
                 log::error!("lots: segment {segment} of lot {lot} can't be read: {error}");
-                self.no_claim_before = now + CLAIM_PAUSE;
+                self.no_claim_before = now + CLAIM_BACKOFF;
                 return self.release(claim);
             }
         };
-        let own = |it: &RescuedResults| it.lot == lot && it.segment == segment;
-        if let Some(place) = self.rescued.iter().position(own) {
-            for result in self.rescued.remove(place).results {
-                held.take(result, now);
+        let is_same_segment = |it: &RescuedResults| it.lot == lot && it.segment == segment;
+        if let Some(index) = self.rescued.iter().position(is_same_segment) {
+            for result in self.rescued.remove(index).results {
+                held.add_result(result, now);
             }
         }
         log::info!("lots: claimed segment {segment} of lot {lot}");
@@ -177,7 +177,7 @@
         self.use_slot(&model, slot);
     }
 
-    fn on_ended(&mut self, run: ItemRun, outcome: ItemOutcome<R::Resume>) {
+    fn on_item_ended(&mut self, run: ItemRun, outcome: ItemOutcome<R::Resume>) {
         let now = self.now();
         self.suspects_running -= usize::from(run.is_suspect);
         let tokens = match &outcome {
@@ -186,7 +186,7 @@
             }
             _ => 0.0,
         };
-        self.settle(&run, tokens);
+        self.correct_charge(&run, tokens);
         let Some(held) = self.held_mut(run.key) else {
             return;
         };
@@ -237,17 +237,17 @@
     }
 
     fn on_fault(&mut self, run: ItemRun, message: &str, now: Timestamp) {
-        let Ok(place) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
+        let Ok(index) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
             return;
         };
-        let model = self.held[place].mark.model.clone();
+        let model = self.held[index].mark.model.clone();
         let others = self.model_count(&model).done - run.done_before;
-        let held = &mut self.held[place];
-        let tries = &mut held.items[run.item].tries;
+        let held = &mut self.held[index];
+        let attempts = &mut held.items[run.item].attempts;
         let verdict = self
             .config
-            .tries
-            .fault(tries, others, now, &mut self.random);
+            .attempts
+            .fault(attempts, others, now, &mut self.random);
         match verdict {
             TryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
             TryVerdict::GiveUp(reason) => {
@@ -260,10 +260,10 @@
     /// probe succeeded, the item itself caused its last fault; otherwise the
     /// server did.
     fn on_probe(&mut self, run: ItemRun, outcome: &ItemOutcome<R::Resume>, now: Timestamp) {
-        let Ok(place) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
+        let Ok(index) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
             return;
         };
-        let held = &mut self.held[place];
+        let held = &mut self.held[index];
         let was_stopped = matches!(
             outcome,
             ItemOutcome::Cancelled | ItemOutcome::SteppedAside { .. }
@@ -272,13 +272,12 @@
             held.items[run.item].state = ItemState::Waiting(now);
             return;
         }
-        let went_through =
-            matches!(outcome, ItemOutcome::Done { status, .. } if !is_fault(*status));
-        let tries = &mut held.items[run.item].tries;
+        let succeeded = matches!(outcome, ItemOutcome::Done { status, .. } if !is_fault(*status));
+        let attempts = &mut held.items[run.item].attempts;
         let verdict = self
             .config
-            .tries
-            .probe(tries, went_through, now, &mut self.random);
+            .attempts
+            .probe(attempts, succeeded, now, &mut self.random);
         match verdict {
             TryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
             TryVerdict::GiveUp(reason) => {
@@ -289,13 +288,13 @@
     }
 
     fn on_crash(&mut self, run: ItemRun, message: &str, now: Timestamp) {
-        let Ok(place) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
+        let Ok(index) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
             return;
         };
-        let held = &mut self.held[place];
-        let tries = &mut held.items[run.item].tries;
-        match self.config.tries.crash(tries, now, &mut self.random) {
-            TryVerdict::Retry(at) => held.crash_item(run.item, at),
+        let held = &mut self.held[index];
+        let attempts = &mut held.items[run.item].attempts;
+        match self.config.attempts.crash(attempts, now, &mut self.random) {
+            TryVerdict::Retry(at) => held.mark_crashed(run.item, at),
             TryVerdict::GiveUp(reason) => {
                 held.fail_item(run.item, give_up_error(reason, message), now);
             }
--- a/crates/lots/src/worker/mod.rs
+++ b/crates/lots/src/worker/mod.rs
@@ -19,23 +19,23 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    HeldLease, ItemRunner, LeaseKeeper, LotStore, SlotSource, WallClock,
+    HeldLease, ItemRunner, LeaseManager, LotStore, SlotSource, WallClock,
     held_segment::{HeldSegment, ItemResult},
     lot_view::LotView,
-    lot_watch::follow_index,
+    lot_watch::watch_index,
     segment_store::SegmentStore,
 };
 use events::WorkerEvent;
 
 /// The capacity of the worker's message queues.
-const QUEUE: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 /// The maximum time between two checks for due work.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const MAX_WAKEUP_INTERVAL: Duration = Duration::from_secs(1);
 /// The maximum number of segments a daemon holds at once. Each takes up to 1 MB
 /// for the inputs and as much for the results.
-const MAX_HELD: usize = 16;
+const MAX_HELD_SEGMENTS: usize = 16;
 /// How long a daemon that shuts down waits for its items to stop.
-const DRAIN_SPAN: Duration = Duration::from_secs(5);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Claims segments of open lots and runs their items.
 ///
@@ -56,7 +56,7 @@
     /// When groups of results are written.
     pub grouping: ResultGrouping,
     /// When items are retried or given up.
-    pub tries: TryPolicy,
+    pub attempts: TryPolicy,
     /// The order in which lots are run.
     pub ranking: LotRanking,
 }
@@ -76,7 +76,7 @@
             slots,
             owner: owner.to_owned(),
             grouping: ResultGrouping::default(),
-            tries: TryPolicy::default(),
+            attempts: TryPolicy::default(),
             ranking: LotRanking::default(),
         }
     }
@@ -84,18 +84,18 @@
     /// Runs items until `stop` is cancelled. Then stops running items, records
     /// the available results and releases all claims.
     pub async fn run(self, stop: CancellationToken) {
-        let keeper = LeaseKeeper::new(self.lots.store.clone());
-        let lease = keeper.subscribe();
-        let keeper_stop = CancellationToken::new();
-        let keeper = tokio::spawn(keeper.run(keeper_stop.clone()));
-        let (news_sender, news) = mpsc::channel(QUEUE);
-        tokio::spawn(follow_index(self.lots.store.clone(), news_sender));
+        let manager = LeaseManager::new(self.lots.store.clone());
+        let lease = manager.subscribe();
+        let manager_stop = CancellationToken::new();
+        let manager = tokio::spawn(manager.run(manager_stop.clone()));
+        let (update_sender, updates) = mpsc::channel(QUEUE_CAPACITY);
+        tokio::spawn(watch_index(self.lots.store.clone(), update_sender));
         let mut state = WorkerState::new(self, lease);
-        state.work(news, stop).await;
-        keeper_stop.cancel();
+        state.work(updates, stop).await;
+        manager_stop.cancel();
         // The manager's task ends by itself. A panic in it has already been
         // reported.
-        let _ = keeper.await;
+        let _ = manager.await;
     }
 }
 
@@ -131,8 +131,8 @@
     customers: Vec<Arc<str>>,
     models: Vec<ModelCount>,
     /// The open lots by rank, and how long that order is valid.
-    order: Vec<Arc<str>>,
-    order_until: Timestamp,
+    ranked_lots: Vec<Arc<str>>,
+    ranking_valid_until: Timestamp,
     suspects_running: usize,
     mean_tokens: f64,
     random: StdRng,
@@ -147,7 +147,7 @@
     G: SlotSource<Slot = R::Slot>,
 {
     fn new(config: LotWorker<S, C, R, G>, lease: watch::Receiver<Option<HeldLease>>) -> Self {
-        let (sender, events) = mpsc::channel(QUEUE);
+        let (sender, events) = mpsc::channel(QUEUE_CAPACITY);
         WorkerState {
             segments: SegmentStore {
                 store: config.lots.store.clone(),
@@ -165,10 +165,10 @@
             rescued: Vec::new(),
             customers: Vec::new(),
             models: Vec::new(),
-            order: Vec::new(),
-            order_until: Timestamp::ZERO,
+            ranked_lots: Vec::new(),
+            ranking_valid_until: Timestamp::ZERO,
             suspects_running: 0,
-            mean_tokens: picking::FIRST_MEAN_TOKENS,
+            mean_tokens: picking::INITIAL_MEAN_TOKENS,
             random: StdRng::from_os_rng(),
             origin: Instant::now(),
         }
@@ -176,25 +176,25 @@
 
     async fn work(
         &mut self,
-        mut news: mpsc::Receiver<crate::lot_watch::IndexNews>,
+        mut updates: mpsc::Receiver<crate::lot_watch::IndexUpdate>,
         stop: CancellationToken,
     ) {
         let slots = self.config.slots.clone();
         while !stop.is_cancelled() {
             let wanted = self.wanted_models();
-            let next_look = self.next_look();
+            let next_wakeup = self.next_wakeup();
             tokio::select! {
                 biased;
                 () = stop.cancelled() => {}
                 Ok(()) = self.lease.changed() => self.on_lease(),
-                Some(news) = news.recv() => self.on_news(news),
+                Some(update) = updates.recv() => self.on_index_update(update),
                 Some(event) = self.events.recv() => self.on_event(event),
-                () = tokio::time::sleep_until(next_look) => {}
-                (place, slot) = slots.acquire(&wanted), if !wanted.is_empty() => {
-                    self.use_slot(&wanted[place], slot);
+                () = tokio::time::sleep_until(next_wakeup) => {}
+                (index, slot) = slots.acquire(&wanted), if !wanted.is_empty() => {
+                    self.use_slot(&wanted[index], slot);
                 }
             }
-            self.look_round();
+            self.run_due_work();
         }
         self.drain().await;
     }
@@ -202,19 +202,19 @@
     /// Stops running items, records the available results and releases the
     /// claims.
     async fn drain(&mut self) {
-        let until = Instant::now() + DRAIN_SPAN;
+        let until = Instant::now() + DRAIN_TIMEOUT;
         for segment in &mut self.held {
             segment.is_closing = true;
             segment.stop.cancel();
         }
-        self.look_round();
+        self.run_due_work();
         while !self.held.is_empty() {
             tokio::select! {
                 Ok(()) = self.lease.changed() => self.on_lease(),
                 Some(event) = self.events.recv() => self.on_event(event),
                 () = tokio::time::sleep_until(until) => return,
             }
-            self.look_round();
+            self.run_due_work();
         }
     }
 
@@ -222,8 +222,9 @@
         Timestamp::ZERO + self.origin.elapsed()
     }
 
-    /// Performs the work that is due: writes, releases and closing of lots.
-    fn look_round(&mut self) {
+    /// Performs the work that is due: writing results, releasing claims and finishing
+    /// lots.
+    fn run_due_work(&mut self) {
         let now = self.now();
         self.close_idle(now);
         self.write_groups(now);
@@ -232,25 +233,25 @@
     }
 
     /// Returns when the next work may be due.
-    fn next_look(&self) -> Instant {
+    fn next_wakeup(&self) -> Instant {
         let now = self.now();
-        let mut next = now + LOOK_EVERY;
+        let mut next = now + MAX_WAKEUP_INTERVAL;
         for segment in &self.held {
             let due = segment.write_due(&self.config.grouping);
-            let wait = segment.next_wait().filter(|&it| it > now);
+            let wait = segment.next_ready_at().filter(|&it| it > now);
             next = due.into_iter().chain(wait).fold(next, Timestamp::min);
         }
         self.origin + next.since(Timestamp::ZERO)
     }
 
     fn held_mut(&mut self, key: u64) -> Option<&mut HeldSegment<R::Resume>> {
-        let place = self.held.binary_search_by_key(&key, |it| it.key).ok()?;
-        Some(&mut self.held[place])
+        let index = self.held.binary_search_by_key(&key, |it| it.key).ok()?;
+        Some(&mut self.held[index])
     }
 
     fn customer_key(&mut self, name: &str) -> CustomerId {
-        if let Some(place) = self.customers.iter().position(|it| **it == *name) {
-            return CustomerId(place as u32);
+        if let Some(index) = self.customers.iter().position(|it| **it == *name) {
+            return CustomerId(index as u32);
         }
         let customer = CustomerId(self.customers.len() as u32);
         self.customers.push(name.into());
@@ -258,17 +259,17 @@
     }
 
     fn model_count(&mut self, model: &str) -> &mut ModelCount {
-        let place = match self.models.binary_search_by(|it| (*it.model).cmp(model)) {
-            Ok(place) => place,
-            Err(place) => {
+        let index = match self.models.binary_search_by(|it| (*it.model).cmp(model)) {
+            Ok(index) => index,
+            Err(index) => {
                 let count = ModelCount {
                     model: model.into(),
                     done: 0,
                 };
-                self.models.insert(place, count);
-                place
+                self.models.insert(index, count);
+                index
             }
         };
-        &mut self.models[place]
+        &mut self.models[index]
     }
 }
--- a/crates/lots/src/worker/picking.rs
+++ b/crates/lots/src/worker/picking.rs
@@ -10,7 +10,7 @@
 use comfreyramp_store::PlatformStore;
 
 use super::{
-    MAX_HELD, WorkerState,
+    MAX_HELD_SEGMENTS, WorkerState,
     events::{ItemRun, WorkerEvent},
 };
 use crate::{
@@ -23,15 +23,15 @@
 
 /// How long a ranking of the lots is used. Sorting for each item would be too
 /// expensive with thousands of open lots.
-const ORDER_SPAN: Duration = Duration::from_millis(100);
+const RANKING_MAX_AGE: Duration = Duration::from_millis(100);
 /// The tokens an item is assumed to use before any item has ended.
-pub(super) const FIRST_MEAN_TOKENS: f64 = 200.0;
+pub(super) const INITIAL_MEAN_TOKENS: f64 = 200.0;
 /// The weight of one item in the moving average of tokens per item.
-const MEAN_PART: f64 = 0.05;
+const MEAN_WEIGHT: f64 = 0.05;
 
 /// What a slot can be used for in a lot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LotChance {
+enum SlotUse {
     /// Run this item of a held segment.
     Run { key: u64, item: usize },
     /// Claim a segment.
@@ -49,16 +49,16 @@
     /// first.
     pub(super) fn wanted_models(&mut self) -> Vec<Arc<str>> {
         let now = self.now();
-        self.refresh_order(now);
+        self.refresh_ranking(now);
         let mut wanted: Vec<Arc<str>> = Vec::new();
-        for id in &self.order {
+        for id in &self.ranked_lots {
             let Some(mark) = self.view.get(id).and_then(|it| it.mark.as_ref()) else {
                 continue;
             };
             if wanted.iter().any(|it| **it == *mark.model) {
                 continue;
             }
-            if self.chance(id, now).is_some() {
+            if self.slot_use(id, now).is_some() {
                 wanted.push(mark.model.as_str().into());
             }
         }
@@ -69,43 +69,43 @@
     /// it. Otherwise returns the slot.
     pub(super) fn use_slot(&mut self, model: &str, slot: R::Slot) {
         let now = self.now();
-        self.refresh_order(now);
-        let fitting = |it: &&Arc<str>| {
+        self.refresh_ranking(now);
+        let uses_model = |it: &&Arc<str>| {
             let mark = self.view.get(it).and_then(|it| it.mark.as_ref());
             mark.is_some_and(|it| it.model == model)
         };
-        let mut lots = self.order.iter().filter(fitting);
-        let found = lots.find_map(|id| Some((id.clone(), self.chance(id, now)?)));
+        let mut lots = self.ranked_lots.iter().filter(uses_model);
+        let found = lots.find_map(|id| Some((id.clone(), self.slot_use(id, now)?)));
         match found {
-            Some((_, LotChance::Run { key, item })) => self.start(key, item, slot, now),
-            Some((lot, LotChance::Claim)) => self.start_claim(&lot, slot),
+            Some((_, SlotUse::Run { key, item })) => self.start(key, item, slot, now),
+            Some((lot, SlotUse::Claim)) => self.start_claim(&lot, slot),
             None => drop(slot),
         }
     }
 
-    fn chance(&self, lot: &str, now: Timestamp) -> Option<LotChance> {
+    fn slot_use(&self, lot: &str, now: Timestamp) -> Option<SlotUse> {
         let allow_suspect = self.suspects_running == 0;
         let mut held = self.held.iter().filter(|it| *it.claim.lot == *lot);
         let ready = held.find_map(|it| Some((it.key, it.ready_item(allow_suspect, now)?)));
         if let Some((key, item)) = ready {
-            return Some(LotChance::Run { key, item });
+            return Some(SlotUse::Run { key, item });
         }
-        let may_claim = self.held.len() + self.claiming.len() < MAX_HELD
+        let may_claim = self.held.len() + self.claiming.len() < MAX_HELD_SEGMENTS
             && now >= self.no_claim_before
             && self.lease.borrow().is_some()
             && !self.claiming.iter().any(|it| **it == *lot);
         let entry = self.view.get(lot).filter(|_| may_claim)?;
-        entry.free_segments().next().map(|_| LotChance::Claim)
+        entry.free_segments().next().map(|_| SlotUse::Claim)
     }
 
     fn start(&mut self, key: u64, item: usize, slot: R::Slot, now: Timestamp) {
         let charged = self.mean_tokens;
-        let Ok(place) = self.held.binary_search_by_key(&key, |it| it.key) else {
+        let Ok(index) = self.held.binary_search_by_key(&key, |it| it.key) else {
             return;
         };
-        let model = self.held[place].mark.model.clone();
+        let model = self.held[index].mark.model.clone();
         let done_before = self.model_count(&model).done;
-        let held = &mut self.held[place];
+        let held = &mut self.held[index];
         held.running += 1;
         held.last_run = now;
         let run = ItemRun {
@@ -113,11 +113,11 @@
             item,
             customer: held.customer,
             done_before,
-            is_suspect: held.items[item].tries.crashes > 0,
-            is_probe: held.items[item].tries.needs_probe,
+            is_suspect: held.items[item].attempts.crashes > 0,
+            is_probe: held.items[item].attempts.needs_probe,
             charged,
         };
-        let order = ItemOrder {
+        let request = ItemOrder {
             lot: held.claim.lot.clone(),
             customer: held.mark.customer.as_str().into(),
             endpoint: held.mark.endpoint.as_str().into(),
@@ -134,23 +134,23 @@
         let stop = held.stop.child_token();
         self.suspects_running += usize::from(run.is_suspect);
         self.config.ranking.charge(run.customer, charged);
-        self.order_until = self.order_until.min(now + ORDER_SPAN);
+        self.ranking_valid_until = self.ranking_valid_until.min(now + RANKING_MAX_AGE);
         let runner = self.config.runner.clone();
         let sender = self.sender.clone();
         tokio::spawn(async move {
-            let outcome = runner.run(order, slot, stop).await;
+            let outcome = runner.run(request, slot, stop).await;
             // The receiver is gone only when the whole daemon shuts down.
             let _ = sender.send(WorkerEvent::Ended { run, outcome }).await;
         });
     }
 
     /// Replaces the tokens charged in advance by those actually used.
-    pub(super) fn settle(&mut self, run: &ItemRun, tokens: f64) {
+    pub(super) fn correct_charge(&mut self, run: &ItemRun, tokens: f64) {
         self.config
             .ranking
             .charge(run.customer, tokens - run.charged);
         if tokens > 0.0 {
-            self.mean_tokens += (tokens - self.mean_tokens) * MEAN_PART;
+            self.mean_tokens += (tokens - self.mean_tokens) * MEAN_WEIGHT;
         }
     }
 
@@ -199,31 +199,31 @@
         choice.pick(&mut self.random)
     }
 
-    fn refresh_order(&mut self, now: Timestamp) {
-        if now < self.order_until {
+    fn refresh_ranking(&mut self, now: Timestamp) {
+        if now < self.ranking_valid_until {
             return;
         }
-        self.order_until = now + ORDER_SPAN;
+        self.ranking_valid_until = now + RANKING_MAX_AGE;
         let wall = self.config.lots.clock.now();
         let mut ranked = Vec::new();
         let mut active = Vec::new();
-        for place in 0..self.view.lots.len() {
-            let Some(mark) = self.view.lots[place].mark.clone() else {
+        for index in 0..self.view.lots.len() {
+            let Some(mark) = self.view.lots[index].mark.clone() else {
                 continue;
             };
-            if self.view.lots[place].cancelled_at.is_some() {
+            if self.view.lots[index].cancelled_at.is_some() {
                 continue;
             }
             let customer = self.customer_key(&mark.customer);
-            let entry = &mut self.view.lots[place];
+            let entry = &mut self.view.lots[index];
             entry.meter.observe(entry.recorded(), now);
-            let needs = entry.meter.needs(entry.left(), now);
-            let due = now + mark.due_at.left(wall);
+            let needs = entry.meter.needs(entry.remaining(), now);
+            let due = now + mark.due_at.since(wall);
             // A lot without any result has no pace to base a forecast on.
             let pace = needs.filter(|_| entry.recorded() > 0);
-            entry.tell_lateness(LotForecast::judge(due, pace, now));
+            entry.report_lateness(LotForecast::judge(due, pace, now));
             ranked.push(RankedLot {
-                lot: LotKey(place as u32),
+                lot: LotKey(index as u32),
                 customer,
                 due,
                 needs: needs.unwrap_or_default(),
@@ -246,7 +246,7 @@
             let entry: &LotEntry = &self.view.lots[it.lot.0 as usize];
             entry.id.clone()
         };
-        self.order = ranked.iter().map(id).collect();
+        self.ranked_lots = ranked.iter().map(id).collect();
     }
 }
 
--- a/crates/lots/src/worker/recording.rs
+++ b/crates/lots/src/worker/recording.rs
@@ -1,4 +1,4 @@
-//! Recording of results, release of claims and closing of lots.
+//! Recording results, releasing claims and finishing lots.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,11 +14,11 @@
 
 /// A segment none of whose items has run for this long is released, so that a
 /// daemon with free slots can claim it.
-const IDLE_SPAN: Duration = Duration::from_secs(30);
-/// The daemon that recorded a lot's last result closes the lot at once. The
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The daemon that recorded a lot's last result finishes the lot at once. The
 /// others wait for this delay multiplied by a random factor from 1 to 2, in
 /// case that daemon has crashed.
-const FINISH_AFTER: Duration = Duration::from_secs(2);
+const FINISH_DELAY: Duration = Duration::from_secs(2);
 
 impl<S, C, R, G> WorkerState<S, C, R, G>
 where
@@ -29,7 +29,7 @@
 {
     pub(super) fn close_idle(&mut self, now: Timestamp) {
         for segment in &mut self.held {
-            let is_idle = segment.running == 0 && now.since(segment.last_run) >= IDLE_SPAN;
+            let is_idle = segment.running == 0 && now.since(segment.last_run) >= IDLE_TIMEOUT;
             segment.is_closing |= is_idle;
         }
     }
@@ -54,13 +54,13 @@
     }
 
     pub(super) fn on_recorded(&mut self, key: u64, answer: RecordAnswer) {
-        let Ok(place) = self.held.binary_search_by_key(&key, |it| it.key) else {
+        let Ok(index) = self.held.binary_search_by_key(&key, |it| it.key) else {
             return;
         };
         let RecordAnswer::Written(revision) = answer else {
-            return self.drop_fenced(place);
+            return self.discard_rejected(index);
         };
-        let held = &mut self.held[place];
+        let held = &mut self.held[index];
         let is_last = held.end_write(revision);
         let (lot, segment) = (held.claim.lot.clone(), held.claim.segment);
         let recorded = held.recorded();
@@ -69,22 +69,22 @@
         }
         if is_last {
             // The last write also deleted the claim.
-            self.held.remove(place);
-            self.view_released(&lot, segment);
+            self.held.remove(index);
+            self.mark_released(&lot, segment);
             self.finish_if_ending(&lot);
         }
     }
 
     /// Handles the rejection of results: the claim is lost or the lot
     /// cancelled.
-    fn drop_fenced(&mut self, place: usize) {
-        let held = &mut self.held[place];
+    fn discard_rejected(&mut self, index: usize) {
+        let held = &mut self.held[index];
         log::info!(
             "lots: results of lot {} are rejected, since the claim is lost or the lot cancelled",
             held.claim.lot
         );
         held.stop.cancel();
-        held.forget_results();
+        held.discard_results();
         held.is_closing = true;
     }
 
@@ -106,7 +106,7 @@
         tokio::spawn(async move { store.release(&claim).await });
     }
 
-    /// Closes lots that have ended. A random delay for each keeps daemons from
+    /// Finishes lots that have ended. A random delay for each keeps daemons from
     /// doing it all at the same time.
     pub(super) fn finish_lots(&mut self, now: Timestamp) {
         let mut due = Vec::new();
@@ -114,10 +114,10 @@
             if !entry.is_ending() {
                 continue;
             }
-            let part = self.random.random_range(1.0..2.0);
+            let factor = self.random.random_range(1.0..2.0);
             let at = *entry
                 .finish_at
-                .get_or_insert(now + FINISH_AFTER.mul_f64(part));
+                .get_or_insert(now + FINISH_DELAY.mul_f64(factor));
             if at <= now {
                 entry.finish_at = None;
                 due.push(entry.id.clone());
@@ -143,20 +143,20 @@
         let lot = lot.clone();
         tokio::spawn(async move {
             if let Err(error) = lots.finish(&mark.customer, &lot).await {
-                log::warn!("lots: closing lot {lot} failed and is retried later: {error}");
+                log::warn!("lots: finishing lot {lot} failed and is retried later: {error}");
             }
         });
     }
 
     /// Marks a segment as claimed in the view before the watch reports it.
-    pub(super) fn note_taken(&mut self, lot: &str, segment: usize) {
+    pub(super) fn mark_claimed(&mut self, lot: &str, segment: usize) {
         if let Some(entry) = self.view.get_mut(lot) {
             entry.segment(segment).is_claimed = true;
         }
     }
 
     /// Marks a segment as free in the view before the watch reports it.
-    pub(super) fn view_released(&mut self, lot: &str, segment: usize) {
+    pub(super) fn mark_released(&mut self, lot: &str, segment: usize) {
         if let Some(entry) = self.view.get_mut(lot) {
             entry.segment(segment).is_claimed = false;
         }
--- a/crates/lots/tests/acknowledgement.rs
+++ b/crates/lots/tests/acknowledgement.rs
@@ -54,8 +54,8 @@
     for step in 0..WRITES {
         for lands in [false, true] {
             let store = MemoryStore::default();
-            let dying = DaemonStore::new(&store).dies_at(step, lands);
-            let first = lots(&dying);
+            let crashing = DaemonStore::new(&store).crashes_at(step, lands);
+            let first = lots(&crashing);
             let submitting = submit(&first, CUSTOMER, ITEMS);
             let answer = tokio::time::timeout(MINUTE, submitting).await;
             assert!(answer.is_err(), "step {step} was past the acknowledgement");
@@ -72,7 +72,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_steps_are_all_there_are() {
     let store = MemoryStore::default();
-    let daemon = DaemonStore::new(&store).dies_at(WRITES, false);
+    let daemon = DaemonStore::new(&store).crashes_at(WRITES, false);
     let lots = lots(&daemon);
     let lot = submit(&lots, CUSTOMER, ITEMS).await.unwrap();
     assert_eq!(visible(&lots).await.unwrap().id, lot.id);
@@ -85,7 +85,7 @@
 async fn a_lost_answer_at_any_step_changes_nothing() {
     for step in 0..WRITES {
         let store = MemoryStore::default();
-        let lots = lots(&DaemonStore::new(&store).loses(step));
+        let lots = lots(&DaemonStore::new(&store).loses_answer_of(step));
         let lot = submit(&lots, CUSTOMER, ITEMS).await.unwrap();
         let seen = visible(&lots).await.unwrap();
         assert_eq!(seen.id, lot.id, "step {step}");
--- a/crates/lots/tests/cancel.rs
+++ b/crates/lots/tests/cancel.rs
@@ -108,19 +108,19 @@
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 64);
     let lot = submit(&one.lots, CUSTOMER, 64).await.unwrap();
     sleep(SECOND).await;
-    let deaf = comfreyramp_standins::platform::FaultChange {
+    let held_back = comfreyramp_standins::platform::FaultChange {
         hold_watches: Some(true),
         ..Default::default()
     };
-    store.platform.change_faults(deaf);
+    store.platform.change_faults(held_back);
     one.lots.cancel(CUSTOMER, &lot.id).await.unwrap();
     sleep(5 * SECOND).await;
     assert_eq!(service.running.load(Ordering::SeqCst), 0);
-    let hearing = comfreyramp_standins::platform::FaultChange {
+    let delivered = comfreyramp_standins::platform::FaultChange {
         hold_watches: Some(false),
         ..Default::default()
     };
-    store.platform.change_faults(hearing);
+    store.platform.change_faults(delivered);
     let lot = wait_for(&one.lots, &lot.id, BatchStatus::Cancelled, 20 * SECOND).await;
     assert_eq!(lot.request_counts.cancelled, 64);
     assert_eq!(check_results(&one.lots, &lot).await, (0, 0));
--- a/crates/lots/tests/files.rs
+++ b/crates/lots/tests/files.rs
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn all_faults_are_told_with_their_lines() {
+async fn all_faults_are_reported_with_their_lines() {
     let good = item("a");
     let lines = [
         good.clone(),
@@ -164,10 +164,10 @@
     }
     ids.reverse();
     let first = lots.list(CUSTOMER, None, 2).await.unwrap();
-    assert!(first.more);
+    assert!(first.has_more);
     let after = &first.lots[1].id;
     let rest = lots.list(CUSTOMER, Some(after), 10).await.unwrap();
-    assert!(!rest.more);
+    assert!(!rest.has_more);
     let listed = first.lots.iter().chain(&rest.lots);
     assert_eq!(listed.map(|it| it.id.clone()).collect::<Vec<_>>(), ids);
 }
--- a/crates/lots/tests/lot_run.rs
+++ b/crates/lots/tests/lot_run.rs
@@ -96,7 +96,7 @@
 // whether its claim is still valid, so it must stop by its own clock. Results
 // that it has recorded before must not change.
 #[tokio::test(start_paused = true)]
-async fn a_cut_off_owner_stops_before_its_lease_lapses() {
+async fn a_cut_off_owner_stops_before_its_lease_expires() {
     let store = MemoryStore::default();
     let own = TestService::taking(30 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &own, 50);
@@ -154,8 +154,8 @@
     let two = TestDaemon::start("two", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 600).await.unwrap();
     for _ in 0..3 {
-        for (lose, span) in [(LostAnswers::All(true), 20), (LostAnswers::All(false), 20)] {
-            sleep(span * SECOND).await;
+        for (lose, seconds) in [(LostAnswers::All(true), 20), (LostAnswers::All(false), 20)] {
+            sleep(seconds * SECOND).await;
             faults(
                 &store,
                 FaultChange {
@@ -178,7 +178,7 @@
     for write in 0..12 {
         let store = MemoryStore::default();
         let service = TestService::taking(2 * SECOND);
-        let losing = DaemonStore::new(&store).loses(write);
+        let losing = DaemonStore::new(&store).loses_answer_of(write);
         let one = TestDaemon::start("one", losing, &service, 8);
         let lot = submit(&one.lots, CUSTOMER, 200).await.unwrap();
         let lot = wait_for(&one.lots, &lot.id, BatchStatus::Completed, 10 * MINUTE).await;
@@ -275,14 +275,14 @@
 // A burst of live requests preempts all bulk streams. The items must resume
 // where they stopped once there is capacity again.
 #[tokio::test(start_paused = true)]
-async fn items_that_stepped_aside_are_resumed() {
+async fn preempted_items_are_resumed() {
     let store = MemoryStore::default();
     let service = TestService::taking(SECOND);
-    *service.steps_aside.lock().unwrap() = true;
+    *service.preempts.lock().unwrap() = true;
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 4);
     let lot = submit(&one.lots, CUSTOMER, 40).await.unwrap();
     sleep(5 * SECOND).await;
-    *service.steps_aside.lock().unwrap() = false;
+    *service.preempts.lock().unwrap() = false;
     let lot = wait_for(&one.lots, &lot.id, BatchStatus::Completed, 10 * MINUTE).await;
     assert_eq!(check_results(&one.lots, &lot).await, (40, 0));
     assert!(service.resumed.load(Ordering::SeqCst) > 0);
--- a/crates/lots/tests/retention.rs
+++ b/crates/lots/tests/retention.rs
@@ -54,8 +54,8 @@
 #[tokio::test(start_paused = true)]
 async fn an_abandoned_upload_is_swept() {
     let store = MemoryStore::default();
-    let dying = DaemonStore::new(&store).dies_at(2, true);
-    let submitting = lots(&dying);
+    let crashing = DaemonStore::new(&store).crashes_at(2, true);
+    let submitting = lots(&crashing);
     let submitting = submit(&submitting, CUSTOMER, 600);
     assert!(tokio::time::timeout(MINUTE, submitting).await.is_err());
     let sweeper = LotSweeper {
--- a/crates/lots/tests/support/mod.rs
+++ b/crates/lots/tests/support/mod.rs
@@ -58,11 +58,11 @@
     /// The total size of all written keys and values in bytes.
     pub(crate) bytes: Arc<AtomicUsize>,
     /// The daemon crashes at this write.
-    pub(crate) dies_at: Option<usize>,
+    pub(crate) crashes_at: Option<usize>,
     /// Whether the write at which the daemon crashes still takes effect.
     pub(crate) last_lands: bool,
     /// The write that takes effect but whose answer is lost.
-    pub(crate) loses: Option<usize>,
+    pub(crate) loses_answer_of: Option<usize>,
     /// Whether the daemon is cut off from the store.
     pub(crate) is_cut: Arc<Mutex<bool>>,
 }
@@ -75,14 +75,14 @@
         }
     }
 
-    pub(crate) fn dies_at(mut self, write: usize, last_lands: bool) -> Self {
-        self.dies_at = Some(write);
+    pub(crate) fn crashes_at(mut self, write: usize, last_lands: bool) -> Self {
+        self.crashes_at = Some(write);
         self.last_lands = last_lands;
         self
     }
 
-    pub(crate) fn loses(mut self, write: usize) -> Self {
-        self.loses = Some(write);
+    pub(crate) fn loses_answer_of(mut self, write: usize) -> Self {
+        self.loses_answer_of = Some(write);
         self
     }
 
@@ -110,15 +110,15 @@
         self.check()?;
         let write = self.writes.fetch_add(1, Ordering::SeqCst);
         self.bytes.fetch_add(length(&batch), Ordering::SeqCst);
-        if self.dies_at.is_some_and(|it| write >= it) {
-            if self.dies_at == Some(write) && self.last_lands {
+        if self.crashes_at.is_some_and(|it| write >= it) {
+            if self.crashes_at == Some(write) && self.last_lands {
                 self.inner.transact(batch.clone()).await?;
             }
             // A crashed daemon never continues.
             std::future::pending::<()>().await;
         }
         let answer = self.inner.transact(batch).await;
-        match self.loses == Some(write) {
+        match self.loses_answer_of == Some(write) {
             true => Err(StoreError::AnswerLost("the test lost it".to_owned())),
             false => answer,
         }
@@ -166,9 +166,9 @@
 
 impl WatchStream for DaemonWatch {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
-        let news = self.inner.next().await;
+        let batch = self.inner.next().await;
         if self.store.check().is_ok() {
-            return news;
+            return batch;
         }
         while self.store.check().is_err() {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -240,21 +240,21 @@
     /// The number of items running now.
     pub(crate) running: AtomicUsize,
     /// How long an item takes.
-    pub(crate) span: Mutex<Duration>,
+    pub(crate) duration: Mutex<Duration>,
     /// Whether every run ends with a fault of the servers.
     pub(crate) is_down: Mutex<bool>,
     /// The number of servers that crashed.
     pub(crate) crashes: AtomicUsize,
     /// Whether runs are preempted, as by a burst of live requests.
-    pub(crate) steps_aside: Mutex<bool>,
+    pub(crate) preempts: Mutex<bool>,
     /// The number of runs that were resumed.
     pub(crate) resumed: AtomicUsize,
 }
 
 impl TestService {
-    pub(crate) fn taking(span: Duration) -> Arc<Self> {
+    pub(crate) fn taking(duration: Duration) -> Arc<Self> {
         let service = TestService::default();
-        *service.span.lock().unwrap() = span;
+        *service.duration.lock().unwrap() = duration;
         Arc::new(service)
     }
 
@@ -289,26 +289,26 @@
 
     async fn run(
         &self,
-        order: ItemOrder<u32>,
+        request: ItemOrder<u32>,
         slot: OwnedSemaphorePermit,
         stop: CancellationToken,
     ) -> ItemOutcome<u32> {
         let _running = RunningGuard::new(&self.running);
         let run = {
             let mut runs = self.runs.lock().unwrap();
-            let run = runs.entry(order.id.clone()).or_default();
+            let run = runs.entry(request.id.clone()).or_default();
             *run += 1;
             *run
         };
         self.resumed
-            .fetch_add(usize::from(order.resume.is_some()), Ordering::SeqCst);
-        let span = *self.span.lock().unwrap();
+            .fetch_add(usize::from(request.resume.is_some()), Ordering::SeqCst);
+        let duration = *self.duration.lock().unwrap();
         tokio::select! {
-            () = tokio::time::sleep(span) => {}
+            () = tokio::time::sleep(duration) => {}
             () = stop.cancelled() => return ItemOutcome::Cancelled,
         }
         drop(slot);
-        let body = String::from_utf8(order.body.to_vec()).unwrap();
+        let body = String::from_utf8(request.body.to_vec()).unwrap();
         let message = "requested by the test".to_owned();
         if *self.is_down.lock().unwrap() || body.contains("faulty") {
             return ItemOutcome::ServerFault { message };
@@ -317,7 +317,7 @@
             self.crashes.fetch_add(1, Ordering::SeqCst);
             return ItemOutcome::ServerCrash { message };
         }
-        if *self.steps_aside.lock().unwrap() {
+        if *self.preempts.lock().unwrap() {
             return ItemOutcome::SteppedAside {
                 resume: Some(7),
                 tokens: 7,
@@ -404,9 +404,9 @@
     lots: &Lots,
     id: &str,
     status: BatchStatus,
-    span: Duration,
+    duration: Duration,
 ) -> BatchObject {
-    let until = Instant::now() + span;
+    let until = Instant::now() + duration;
     loop {
         let lot = lots.get(CUSTOMER, id).await;
         if let Ok(lot) = &lot
--- a/crates/lots/tests/write_budget.rs
+++ b/crates/lots/tests/write_budget.rs
@@ -84,10 +84,11 @@
 // would fail.
 #[tokio::test(start_paused = true)]
 async fn lots_stay_within_their_budget() {
-    for (items, slots, most) in [(10, 8, 8), (1000, 8, 60), (1000, 64, 30), (99_000, 8, 4500)] {
+    for (items, slots, max_writes) in [(10, 8, 8), (1000, 8, 60), (1000, 64, 30), (99_000, 8, 4500)]
+    {
         let cost = measure(items, slots).await;
         println!("{items} items, {slots} at a time: {cost:?}");
         let writes = cost.writes();
-        assert!(writes <= most, "{items} items took {writes} writes");
+        assert!(writes <= max_writes, "{items} items took {writes} writes");
     }
 }
