--- a/crates/lots/src/lot_store.rs
+++ b/crates/lots/src/lot_store.rs
@@ -373,7 +373,7 @@
     Err(LotError::Invalid {
         param: "metadata",
         message: format!(
-            "at max_writes {MAX_METADATA} pairs with keys of {MAX_METADATA_KEY} \
+            "at most {MAX_METADATA} pairs with keys of {MAX_METADATA_KEY} \
              and values of {MAX_METADATA_VALUE} bytes are allowed"
         ),
     })
--- a/crates/lots/src/worker/mod.rs
+++ b/crates/lots/src/worker/mod.rs
@@ -222,8 +222,8 @@
         Timestamp::ZERO + self.origin.elapsed()
     }
 
-    /// Performs the work that is due: writing results, releasing claims and finishing
-    /// lots.
+    /// Performs the work that is due: writing results, releasing claims and
+    /// finishing lots.
     fn run_due_work(&mut self) {
         let now = self.now();
         self.close_idle(now);
--- a/crates/lots/src/worker/recording.rs
+++ b/crates/lots/src/worker/recording.rs
@@ -106,8 +106,8 @@
         tokio::spawn(async move { store.release(&claim).await });
     }
 
-    /// Finishes lots that have ended. A random delay for each keeps daemons from
-    /// doing it all at the same time.
+    /// Finishes lots that have ended. A random delay for each keeps daemons
+    /// from doing it all at the same time.
     pub(super) fn finish_lots(&mut self, now: Timestamp) {
         let mut due = Vec::new();
         for entry in &mut self.view.lots {
