--- a/crates/lots/src/lot_store.rs
+++ b/crates/lots/src/lot_store.rs
@@ -355,7 +355,7 @@
         return Err(LotError::Invalid {
             param: "endpoint",
             message: format!(
-                "`{}` differs from the url `{}` of the file's items",
+                "`{}` differs from the url `{}` of the file's items; they must be equal",
                 new.endpoint, file.endpoint
             ),
         });
--- a/crates/lots/tests/lot_run.rs
+++ b/crates/lots/tests/lot_run.rs
@@ -143,9 +143,9 @@
     one.drain().await;
 }
 
-// For 20 seconds at a time every write takes effect but its answer is lost:
-// claims, results and lease renewals. A daemon that took a lost answer for a
-// failure would record results twice.
+// For a minute in total, 20 seconds at a time, every write takes effect but its
+// answer is lost: claims, results and lease renewals. A daemon that took a lost
+// answer for a failure would record results twice.
 #[tokio::test(start_paused = true)]
 async fn lost_answers_record_nothing_twice() {
     let store = MemoryStore::default();
