--- a/crates/lots/src/held_segment.rs
+++ b/crates/lots/src/held_segment.rs
@@ -300,7 +300,7 @@
 
     /// Returns the results that may not be recorded, so that they can be used
     /// if this daemon claims the segment again.
-    pub(crate) fn into_results(self) -> Vec<ItemResult> {
+    pub(crate) fn into_unrecorded(self) -> Vec<ItemResult> {
         let mut results = self.pending.map_or_else(Vec::new, |it| it.results);
         results.extend(self.group);
         results
--- a/crates/lots/src/lib.rs
+++ b/crates/lots/src/lib.rs
@@ -22,7 +22,7 @@
 mod held_segment;
 mod item_line;
 mod keys;
-mod lease_manager;
+mod lease_keeper;
 mod lot_finisher;
 mod lot_record;
 mod lot_store;
@@ -44,7 +44,7 @@
 pub use file_store::{FileStore, RetentionPolicy};
 pub use file_upload::FileUpload;
 pub use keys::LotKeys;
-pub use lease_manager::{HeldLease, LeaseManager};
+pub use lease_keeper::{HeldLease, LeaseManager};
 pub use lot_record::{
     LotCounts, LotOutcome, LotRecord, RecordedResult, ResultAnswer, ResultError, SegmentProgress,
 };
--- a/crates/lots/src/lot_view.rs
+++ b/crates/lots/src/lot_view.rs
@@ -88,7 +88,7 @@
     /// Returns whether all that is left is to write the lot's outcome. A
     /// cancelled lot isn't finished before its last claim is gone, since until
     /// then some of its items may be running.
-    pub(crate) fn is_ending(&self) -> bool {
+    pub(crate) fn is_ready_to_finish(&self) -> bool {
         if self.mark.is_none() {
             return false;
         }
--- a/crates/lots/src/worker/events.rs
+++ b/crates/lots/src/worker/events.rs
@@ -8,7 +8,7 @@
 };
 use comfreyramp_store::PlatformStore;
 
-use super::{RescuedResults, WorkerState};
+use super::{UnrecordedResults, WorkerState};
 use crate::{
     ItemOutcome, ItemRunner, LotError, RecordedResult, ResultAnswer, SlotSource, WallClock,
     held_segment::{HeldSegment, ItemState},
@@ -22,7 +22,7 @@
 const CLAIM_BACKOFF: std::time::Duration = std::time::Duration::from_secs(1);
 /// The maximum number of segments whose unrecorded results are kept after their
 /// claim expired.
-const MAX_RESCUED_SEGMENTS: usize = 32;
+const MAX_UNRECORDED_SEGMENTS: usize = 32;
 /// Statuses from this one on are faults of the server.
 const FIRST_FAULT_STATUS: u16 = 500;
 /// Too Many Requests: the server has no capacity now.
@@ -117,7 +117,7 @@
         let held = std::mem::take(&mut self.held);
         for segment in held {
             if segment.claim.lease.expired.is_cancelled() {
-                self.rescue(segment);
+                self.keep_unrecorded(segment);
             } else {
                 self.held.push(segment);
             }
@@ -127,25 +127,25 @@
     /// Keeps finished results whose claim has expired, in case this daemon
     /// claims the segment again. That is likely after an outage of the store
     /// and avoids running the items twice.
-    fn rescue(&mut self, segment: HeldSegment<R::Resume>) {
+    fn keep_unrecorded(&mut self, segment: HeldSegment<R::Resume>) {
         let lot = segment.claim.lot.clone();
         log::warn!(
             "lots: lost the claim on segment {} of lot {lot}",
             segment.claim.segment
         );
         self.mark_released(&lot, segment.claim.segment);
-        let rescued = RescuedResults {
+        let unrecorded = UnrecordedResults {
             lot,
             segment: segment.claim.segment,
-            results: segment.into_results(),
+            results: segment.into_unrecorded(),
         };
-        if rescued.results.is_empty() {
+        if unrecorded.results.is_empty() {
             return;
         }
-        if self.rescued.len() == MAX_RESCUED_SEGMENTS {
-            self.rescued.remove(0);
+        if self.unrecorded.len() == MAX_UNRECORDED_SEGMENTS {
+            self.unrecorded.remove(0);
         }
-        self.rescued.push(rescued);
+        self.unrecorded.push(unrecorded);
     }
 
     fn add_segment(&mut self, loaded: LoadedSegment, mark: Arc<OpenMark>, slot: R::Slot) {
@@ -165,9 +165,9 @@
                 return self.release(claim);
             }
         };
-        let is_same_segment = |it: &RescuedResults| it.lot == lot && it.segment == segment;
-        if let Some(index) = self.rescued.iter().position(is_same_segment) {
-            for result in self.rescued.remove(index).results {
+        let is_same_segment = |it: &UnrecordedResults| it.lot == lot && it.segment == segment;
+        if let Some(index) = self.unrecorded.iter().position(is_same_segment) {
+            for result in self.unrecorded.remove(index).results {
                 held.add_result(result, now);
             }
         }
--- a/crates/lots/src/worker/mod.rs
+++ b/crates/lots/src/worker/mod.rs
@@ -101,7 +101,7 @@
 
 /// Results whose claim expired before they could be recorded.
 #[derive(Debug)]
-struct RescuedResults {
+struct UnrecordedResults {
     lot: Arc<str>,
     segment: usize,
     results: Vec<ItemResult>,
@@ -126,7 +126,7 @@
     /// The lots with a claim in progress.
     claiming: Vec<Arc<str>>,
     no_claim_before: Timestamp,
-    rescued: Vec<RescuedResults>,
+    unrecorded: Vec<UnrecordedResults>,
     /// The customers; a customer's index in this list is its key.
     customers: Vec<Arc<str>>,
     models: Vec<ModelCount>,
@@ -162,7 +162,7 @@
             events,
             claiming: Vec::new(),
             no_claim_before: Timestamp::ZERO,
-            rescued: Vec::new(),
+            unrecorded: Vec::new(),
             customers: Vec::new(),
             models: Vec::new(),
             ranked_lots: Vec::new(),
--- a/crates/lots/src/worker/picking.rs
+++ b/crates/lots/src/worker/picking.rs
@@ -186,11 +186,11 @@
         // Segments for which this daemon has unrecorded results go first, since
         // any other daemon would have to run those items again.
         let entry = self.view.get(lot)?;
-        let rescued = self.rescued.iter().find(|rescued| {
-            *rescued.lot == *lot && entry.free_segments().any(|it| it.0 == rescued.segment)
+        let unrecorded = self.unrecorded.iter().find(|unrecorded| {
+            *unrecorded.lot == *lot && entry.free_segments().any(|it| it.0 == unrecorded.segment)
         });
-        if let Some(rescued) = rescued {
-            return Some(rescued.segment);
+        if let Some(unrecorded) = unrecorded {
+            return Some(unrecorded.segment);
         }
         let mut choice = SegmentChoice::default();
         for (segment, is_begun) in entry.free_segments() {
--- a/crates/lots/src/worker/recording.rs
+++ b/crates/lots/src/worker/recording.rs
@@ -71,7 +71,7 @@
             // The last write also deleted the claim.
             self.held.remove(index);
             self.mark_released(&lot, segment);
-            self.finish_if_ending(&lot);
+            self.finish_if_ready(&lot);
         }
     }
 
@@ -111,7 +111,7 @@
     pub(super) fn finish_lots(&mut self, now: Timestamp) {
         let mut due = Vec::new();
         for entry in &mut self.view.lots {
-            if !entry.is_ending() {
+            if !entry.is_ready_to_finish() {
                 continue;
             }
             let factor = self.random.random_range(1.0..2.0);
@@ -128,9 +128,9 @@
         }
     }
 
-    fn finish_if_ending(&mut self, lot: &Arc<str>) {
+    fn finish_if_ready(&mut self, lot: &Arc<str>) {
         let entry = self.view.get(lot);
-        if entry.is_some_and(|it| it.is_ending()) {
+        if entry.is_some_and(|it| it.is_ready_to_finish()) {
             self.finish(lot);
         }
     }
--- a/crates/lots/tests/acknowledgement.rs
+++ b/crates/lots/tests/acknowledgement.rs
@@ -31,7 +31,7 @@
 
 /// Submits the job again to another daemon and runs it to the end.
 async fn resend_and_run(store: &MemoryStore, seen: Option<&BatchObject>) {
-    let service = TestService::taking(Duration::from_secs(1));
+    let service = TestService::with_duration(Duration::from_secs(1));
     let daemon = TestDaemon::start("two", DaemonStore::new(store), &service, 64);
     let lot = submit(&daemon.lots, CUSTOMER, ITEMS).await.unwrap();
     if let Some(seen) = seen {
@@ -52,16 +52,20 @@
 #[tokio::test(start_paused = true)]
 async fn a_daemon_lost_at_any_step_leaves_all_or_nothing() {
     for step in 0..WRITES {
-        for lands in [false, true] {
+        for takes_effect in [false, true] {
             let store = MemoryStore::default();
-            let crashing = DaemonStore::new(&store).crashes_at(step, lands);
+            let crashing = DaemonStore::new(&store).crashes_at(step, takes_effect);
             let first = lots(&crashing);
             let submitting = submit(&first, CUSTOMER, ITEMS);
             let answer = tokio::time::timeout(MINUTE, submitting).await;
             assert!(answer.is_err(), "step {step} was past the acknowledgement");
             let seen = visible(&lots(&DaemonStore::new(&store))).await;
-            let is_whole = step == WRITES - 1 && lands;
-            assert_eq!(seen.is_some(), is_whole, "step {step}, lands: {lands}");
+            let is_whole = step == WRITES - 1 && takes_effect;
+            assert_eq!(
+                seen.is_some(),
+                is_whole,
+                "step {step}, takes effect: {takes_effect}"
+            );
             resend_and_run(&store, seen.as_ref()).await;
         }
     }
--- a/crates/lots/tests/cancel.rs
+++ b/crates/lots/tests/cancel.rs
@@ -17,7 +17,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_lot_stops_everywhere_at_once() {
     let store = MemoryStore::default();
-    let service = TestService::taking(20 * SECOND);
+    let service = TestService::with_duration(20 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 64);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &service, 64);
     let lot = submit(&one.lots, CUSTOMER, 1000).await.unwrap();
@@ -50,15 +50,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_cut_off_owner_stops_within_seconds() {
     let store = MemoryStore::default();
-    let service = TestService::taking(MINUTE);
+    let service = TestService::with_duration(MINUTE);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 64);
-    let other = TestService::taking(MINUTE);
+    let other = TestService::with_duration(MINUTE);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &other, 64);
     two.slots.0.forget_permits(64);
     let lot = submit(&two.lots, CUSTOMER, 64).await.unwrap();
     sleep(5 * SECOND).await;
     assert_eq!(service.running.load(Ordering::SeqCst), 64);
-    one.store.cut(true);
+    one.store.set_cut_off(true);
     let start = Instant::now();
     two.lots.cancel(CUSTOMER, &lot.id).await.unwrap();
     loop {
@@ -73,7 +73,7 @@
     let lot = wait_for(&two.lots, &lot.id, BatchStatus::Cancelled, 20 * SECOND).await;
     assert_eq!(lot.request_counts.cancelled, 64);
     // Once reconnected, the first daemon must not run any of its items.
-    one.store.cut(false);
+    one.store.set_cut_off(false);
     sleep(MINUTE).await;
     assert_eq!(service.total_runs(), 64);
     one.drain().await;
@@ -85,7 +85,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_lost_owner_does_not_hold_the_cancel_up() {
     let store = MemoryStore::default();
-    let service = TestService::taking(MINUTE);
+    let service = TestService::with_duration(MINUTE);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 64).await.unwrap();
     sleep(5 * SECOND).await;
@@ -104,7 +104,7 @@
 #[tokio::test(start_paused = true)]
 async fn late_results_of_a_cancelled_lot_are_refused() {
     let store = MemoryStore::default();
-    let service = TestService::taking(3 * SECOND);
+    let service = TestService::with_duration(3 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 64);
     let lot = submit(&one.lots, CUSTOMER, 64).await.unwrap();
     sleep(SECOND).await;
--- a/crates/lots/tests/files.rs
+++ b/crates/lots/tests/files.rs
@@ -145,8 +145,8 @@
         assert!(files.list(other, None, 10).await.unwrap().0.is_empty());
         assert!(lots.list(other, None, 10).await.unwrap().lots.is_empty());
     }
-    let reaching = format!("../{CUSTOMER}/{file}");
-    let found = lots.files().get("kitenge", &reaching).await;
+    let traversing = format!("../{CUSTOMER}/{file}");
+    let found = lots.files().get("kitenge", &traversing).await;
     assert_matches!(found, Err(LotError::NotFound(_)));
     // The same content uploaded by another customer is a separate file.
     let other = upload(&lots, "kitenge", &input(3)).await.unwrap();
--- a/crates/lots/tests/lot_run.rs
+++ b/crates/lots/tests/lot_run.rs
@@ -30,7 +30,7 @@
 #[tokio::test(start_paused = true)]
 async fn two_daemons_run_a_lot_to_its_end() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 16);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &service, 16);
     let lot = submit(&one.lots, CUSTOMER, 1000).await.unwrap();
@@ -48,7 +48,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_lost_daemon_costs_the_unrecorded_part_only() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 500).await.unwrap();
     sleep(50 * SECOND).await;
@@ -72,7 +72,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_paused_owner_is_refused_when_it_wakes() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 256);
     let lot = submit(&one.lots, CUSTOMER, 250).await.unwrap();
     sleep(SECOND).await;
@@ -98,14 +98,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_cut_off_owner_stops_before_its_lease_expires() {
     let store = MemoryStore::default();
-    let own = TestService::taking(30 * SECOND);
+    let own = TestService::with_duration(30 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &own, 50);
     let lot = submit(&one.lots, CUSTOMER, 200).await.unwrap();
     sleep(95 * SECOND).await;
-    one.store.cut(true);
+    one.store.set_cut_off(true);
     sleep(9 * SECOND).await;
     assert_eq!(own.running.load(Ordering::SeqCst), 0);
-    let other = TestService::taking(SECOND);
+    let other = TestService::with_duration(SECOND);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &other, 50);
     let before = two.lots.get(CUSTOMER, &lot.id).await.unwrap();
     assert!(before.request_counts.completed > 0);
@@ -113,7 +113,7 @@
     assert_eq!(check_results(&two.lots, &lot).await, (200, 0));
     let rerun = 200 - before.request_counts.completed;
     assert_eq!(other.total_runs(), rerun);
-    one.store.cut(false);
+    one.store.set_cut_off(false);
     one.drain().await;
     two.drain().await;
 }
@@ -124,7 +124,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_outage_in_the_middle_loses_nothing() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 300).await.unwrap();
     sleep(30 * SECOND).await;
@@ -149,7 +149,7 @@
 #[tokio::test(start_paused = true)]
 async fn lost_answers_record_nothing_twice() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 600).await.unwrap();
@@ -177,7 +177,7 @@
 async fn one_lost_answer_runs_nothing_twice() {
     for write in 0..12 {
         let store = MemoryStore::default();
-        let service = TestService::taking(2 * SECOND);
+        let service = TestService::with_duration(2 * SECOND);
         let losing = DaemonStore::new(&store).loses_answer_of(write);
         let one = TestDaemon::start("one", losing, &service, 8);
         let lot = submit(&one.lots, CUSTOMER, 200).await.unwrap();
@@ -196,7 +196,7 @@
         ..FaultChange::default()
     };
     faults(&store, slow(3 * SECOND));
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 16);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &service, 16);
     let lot = submit(&one.lots, CUSTOMER, 600).await.unwrap();
@@ -212,7 +212,7 @@
 #[tokio::test(start_paused = true)]
 async fn impossible_items_get_an_error_and_the_lot_ends() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let content = input(200)
         .replace("verse 20\"", "impossible\"")
@@ -239,7 +239,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_crash_is_remembered_when_the_daemon_is_lost() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     let content = input(1).replace("verse 0\"", "crashing\"");
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 1);
     let file = upload(&one.lots, CUSTOMER, &content).await.unwrap();
@@ -261,7 +261,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_outage_of_the_servers_fails_no_item() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     *service.is_down.lock().unwrap() = true;
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 50).await.unwrap();
@@ -277,7 +277,7 @@
 #[tokio::test(start_paused = true)]
 async fn preempted_items_are_resumed() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     *service.preempts.lock().unwrap() = true;
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 4);
     let lot = submit(&one.lots, CUSTOMER, 40).await.unwrap();
@@ -294,7 +294,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_long_lot_does_not_hold_up_a_short_one() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 4);
     submit(&one.lots, "kitenge", 5000).await.unwrap();
     sleep(MINUTE).await;
@@ -307,7 +307,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_planned_stop_records_what_is_done_and_hands_over() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 4);
     let lot = submit(&one.lots, CUSTOMER, 100).await.unwrap();
     sleep(10 * SECOND + SECOND / 2).await;
--- a/crates/lots/tests/open_lots.rs
+++ b/crates/lots/tests/open_lots.rs
@@ -25,7 +25,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_lot_that_will_be_late_is_visible_early() {
     let store = MemoryStore::default();
-    let service = TestService::taking(Duration::from_secs(10));
+    let service = TestService::with_duration(Duration::from_secs(10));
     let daemon = TestDaemon::start("one", DaemonStore::new(&store), &service, 4);
     let lots = &daemon.lots;
     let file = upload(lots, CUSTOMER, &input(1000)).await.unwrap();
--- a/crates/lots/tests/retention.rs
+++ b/crates/lots/tests/retention.rs
@@ -23,7 +23,7 @@
 }
 
 async fn run_to_end(store: &MemoryStore, items: usize) -> (Lots, String) {
-    let service = TestService::taking(Duration::from_secs(1));
+    let service = TestService::with_duration(Duration::from_secs(1));
     let daemon = TestDaemon::start("one", DaemonStore::new(store), &service, 64);
     let lot = submit(&daemon.lots, CUSTOMER, items).await.unwrap();
     wait_for(&daemon.lots, &lot.id, BatchStatus::Completed, 10 * MINUTE).await;
@@ -98,7 +98,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_deleted_file_serves_its_open_lots_to_their_end() {
     let store = MemoryStore::default();
-    let service = TestService::taking(Duration::from_secs(1));
+    let service = TestService::with_duration(Duration::from_secs(1));
     let lots = lots(&DaemonStore::new(&store));
     let lot = submit(&lots, CUSTOMER, 600).await.unwrap();
     let files = lots.files();
--- a/crates/lots/tests/support/mod.rs
+++ b/crates/lots/tests/support/mod.rs
@@ -60,7 +60,7 @@
     /// The daemon crashes at this write.
     pub(crate) crashes_at: Option<usize>,
     /// Whether the write at which the daemon crashes still takes effect.
-    pub(crate) last_lands: bool,
+    pub(crate) last_takes_effect: bool,
     /// The write that takes effect but whose answer is lost.
     pub(crate) loses_answer_of: Option<usize>,
     /// Whether the daemon is cut off from the store.
@@ -75,9 +75,9 @@
         }
     }
 
-    pub(crate) fn crashes_at(mut self, write: usize, last_lands: bool) -> Self {
+    pub(crate) fn crashes_at(mut self, write: usize, last_takes_effect: bool) -> Self {
         self.crashes_at = Some(write);
-        self.last_lands = last_lands;
+        self.last_takes_effect = last_takes_effect;
         self
     }
 
@@ -86,7 +86,7 @@
         self
     }
 
-    pub(crate) fn cut(&self, is_cut: bool) {
+    pub(crate) fn set_cut_off(&self, is_cut: bool) {
         *self.is_cut.lock().unwrap() = is_cut;
     }
 
@@ -111,7 +111,7 @@
         let write = self.writes.fetch_add(1, Ordering::SeqCst);
         self.bytes.fetch_add(length(&batch), Ordering::SeqCst);
         if self.crashes_at.is_some_and(|it| write >= it) {
-            if self.crashes_at == Some(write) && self.last_lands {
+            if self.crashes_at == Some(write) && self.last_takes_effect {
                 self.inner.transact(batch.clone()).await?;
             }
             // A crashed daemon never continues.
@@ -252,7 +252,7 @@
 }
 
 impl TestService {
-    pub(crate) fn taking(duration: Duration) -> Arc<Self> {
+    pub(crate) fn with_duration(duration: Duration) -> Arc<Self> {
         let service = TestService::default();
         *service.duration.lock().unwrap() = duration;
         Arc::new(service)
@@ -389,7 +389,7 @@
 
     /// Simulates the loss of the daemon's VM: it stops and writes nothing more.
     pub(crate) fn kill(self) {
-        self.store.cut(true);
+        self.store.set_cut_off(true);
         self.task.abort();
     }
 
--- a/crates/lots/tests/write_budget.rs
+++ b/crates/lots/tests/write_budget.rs
@@ -37,7 +37,7 @@
 async fn measure(items: usize, slots: usize) -> LotCost {
     let store = MemoryStore::default();
     let calls = || store.platform.calls();
-    let service = TestService::taking(Duration::from_secs(5));
+    let service = TestService::with_duration(Duration::from_secs(5));
     let daemon = TestDaemon::start("one", DaemonStore::new(&store), &service, slots);
     sleep(Duration::from_secs(1)).await;
     let idle = calls();
@@ -46,14 +46,14 @@
     let lots = daemon.lots.clone();
     // Each status request costs two reads while the lot is open and one when it
     // has ended.
-    let mut following = 1;
+    let mut status_reads = 1;
     loop {
         sleep(Duration::from_secs(60)).await;
         let seen = lots.get(CUSTOMER, &lot.id).await.unwrap();
         if seen.status == BatchStatus::Completed {
             break;
         }
-        following += 2;
+        status_reads += 2;
     }
     let ran = calls();
     let bytes_written = daemon.store.bytes.load(Ordering::SeqCst);
@@ -72,7 +72,7 @@
         submit_writes: submitted.txn - idle.txn,
         run_writes: ran.txn - submitted.txn,
         sweep_writes: swept.txn - read.txn,
-        run_reads: ran.range - submitted.range - following,
+        run_reads: ran.range - submitted.range - status_reads,
         result_reads: read.range - before.range,
         sweep_reads: swept.range - read.range,
         bytes_written,
