--- a/crates/lots/src/completion_window.rs
+++ b/crates/lots/src/completion_window.rs
@@ -1,4 +1,4 @@
-//! How long a lot may take.
+//! The time a lot may take from creation to its due time.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -6,25 +6,26 @@
 
 use crate::LotError;
 
-/// The shortest window.
-const MIN_SPAN: Duration = Duration::from_secs(1);
-/// The longest window: 60 days.
-const MAX_SPAN: Duration = Duration::from_secs(60 * 86_400);
+/// The shortest window that a caller may request.
+const MIN_WINDOW: Duration = Duration::from_secs(1);
+/// The longest window that a caller may request: 60 days.
+const MAX_WINDOW: Duration = Duration::from_secs(60 * 86_400);
 
-/// The time between a lot's creation and when it is due, as its caller wrote it.
+/// The time from a lot's creation to its due time. Keeps the text that the
+/// caller wrote, which API responses repeat.
 ///
 /// ```
 /// use std::time::Duration;
 /// use comfreyramp_lots::CompletionWindow;
 ///
 /// let window: CompletionWindow = "1h30m".parse().unwrap();
-/// assert_eq!(window.span, Duration::from_secs(5400));
+/// assert_eq!(window.duration, Duration::from_secs(5400));
 /// assert_eq!(window.to_string(), "1h30m");
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, SerializeDisplay, DeserializeFromStr)]
 pub struct CompletionWindow {
-    /// Its length.
-    pub span: Duration,
+    /// The length of the window.
+    pub duration: Duration,
     text: String,
 }
 
@@ -32,18 +33,18 @@
     type Err = LotError;
 
     fn from_str(text: &str) -> Result<Self, LotError> {
-        let span = parse_span(text).ok_or_else(|| {
+        let duration = parse_duration(text).ok_or_else(|| {
             invalid(format!(
-                "`{text}` is no duration; write for example 24h, 90m, 7d or 1h30m"
+                "`{text}` is not a valid duration; examples: 24h, 90m, 7d, 1h30m"
             ))
         })?;
-        if !(MIN_SPAN..=MAX_SPAN).contains(&span) {
+        if !(MIN_WINDOW..=MAX_WINDOW).contains(&duration) {
             return Err(invalid(format!(
-                "`{text}` is out of range; from 1s to 60d is right"
+                "`{text}` is out of range; it must be between 1s and 60d"
             )));
         }
         let text = text.to_owned();
-        Ok(CompletionWindow { span, text })
+        Ok(CompletionWindow { duration, text })
     }
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-fn parse_span(text: &str) -> Option<Duration> {
+fn parse_duration(text: &str) -> Option<Duration> {
     let mut seconds: u64 = 0;
     let mut rest = text;
     while !rest.is_empty() {
--- a/crates/lots/src/lease_keeper.rs
+++ b/crates/lots/src/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! One lease for all that a daemon claims.
+//! Maintains the one lease that all claims of a daemon are attached to.
 
 use std::time::Duration;
 
@@ -9,61 +9,64 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// How long the platform keeps the lease after its last renewal.
-const TTL: Duration = Duration::from_secs(10);
-/// How much earlier its holder takes it for lapsed.
-const MARGIN: Duration = Duration::from_secs(2);
-/// How often it is renewed.
-const RENEW_EVERY: Duration = Duration::from_secs(4);
-/// The pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(500);
+/// How long the store keeps the lease after the last renewal.
+const LEASE_TTL: Duration = Duration::from_secs(10);
+/// How much earlier than the store the holder considers the lease expired.
+const EXPIRY_MARGIN: Duration = Duration::from_secs(2);
+/// The interval between renewals.
+const RENEW_INTERVAL: Duration = Duration::from_secs(4);
+/// The delay after a failed request.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A lease that holds until its token is cancelled.
+/// A lease that is valid until its token is cancelled.
 #[derive(Clone, Debug)]
 pub struct HeldLease {
-    /// The lease.
+    /// The id of the lease in the store.
     pub id: LeaseId,
-    /// Cancelled once the lease may have lapsed by the holder's own clock.
-    pub lapsed: CancellationToken,
+    /// Cancelled once the lease may have expired according to the holder's
+    /// clock.
+    pub expired: CancellationToken,
 }
 
-/// Keeps a lease alive, and says when it no longer holds.
+/// Keeps a lease alive and publishes when it is no longer valid.
 ///
-/// The holder counts from before it sent its last successful renewal, and stops
-/// a margin early. So it takes its lease for lapsed before the platform does,
-/// also when it is cut off. A process that was paused finds out when it wakes;
-/// what it writes before that is refused by the fence.
+/// The holder measures the lifetime from before it sent the last successful
+/// renewal and subtracts a safety margin. It therefore considers the lease
+/// expired before the store does, even when it is cut off from the store. A
+/// process that was suspended notices this only when it resumes; what it writes
+/// before that is rejected by the fencing number.
 #[derive(Debug)]
-pub struct LeaseKeeper<S> {
+pub struct LeaseManager<S> {
     store: S,
     sender: watch::Sender<Option<HeldLease>>,
 }
 
-impl<S: PlatformStore> LeaseKeeper<S> {
-    /// A keeper of one lease of this store.
+impl<S: PlatformStore> LeaseManager<S> {
+    /// Creates a manager for one lease in this store.
     pub fn new(store: S) -> Self {
         let (sender, _) = watch::channel(None);
-        LeaseKeeper { store, sender }
+        LeaseManager { store, sender }
     }
 
-    /// Tells of the lease: nothing while none holds.
+    /// Returns a receiver of the current lease, which is `None` while no lease
+    /// is valid.
     pub fn subscribe(&self) -> watch::Receiver<Option<HeldLease>> {
         self.sender.subscribe()
     }
 
-    /// Keeps a lease until `stop` is cancelled, then revokes it.
+    /// Maintains a lease until `stop` is cancelled, then revokes it.
     pub async fn run(self, stop: CancellationToken) {
         while !stop.is_cancelled() {
             let sent = Instant::now();
             let granted = tokio::select! {
-                granted = self.store.grant(TTL) => granted,
+                granted = self.store.grant(LEASE_TTL) => granted,
                 () = stop.cancelled() => return,
             };
             match granted {
                 Ok(id) => self.keep(id, sent, &stop).await,
                 Err(error) => {
-                    log::warn!("lots: no lease yet: {error}");
-                    sleep(PAUSE).await;
+                    log::warn!("lots: no lease granted: {error}");
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -72,40 +75,40 @@
     async fn keep(&self, id: LeaseId, sent: Instant, stop: &CancellationToken) {
         let lease = HeldLease {
             id,
-            lapsed: CancellationToken::new(),
+            expired: CancellationToken::new(),
         };
-        let mut holds_until = sent + TTL - MARGIN;
-        if Instant::now() < holds_until {
+        let mut valid_until = sent + LEASE_TTL - EXPIRY_MARGIN;
+        if Instant::now() < valid_until {
             self.sender.send_replace(Some(lease.clone()));
         }
-        let mut renew_at = sent + RENEW_EVERY;
+        let mut renew_at = sent + RENEW_INTERVAL;
         loop {
             tokio::select! {
-                () = sleep_until(renew_at.min(holds_until)) => {}
+                () = sleep_until(renew_at.min(valid_until)) => {}
                 () = stop.cancelled() => break,
             }
             let sent = Instant::now();
-            if sent >= holds_until {
-                log::warn!("lots: the lease lapsed before it could be renewed");
+            if sent >= valid_until {
+                log::warn!("lots: the lease expired before it could be renewed");
                 break;
             }
-            match timeout_at(holds_until, self.store.renew(id)).await {
+            match timeout_at(valid_until, self.store.renew(id)).await {
                 Ok(Ok(_)) => {
-                    holds_until = sent + TTL - MARGIN;
-                    renew_at = sent + RENEW_EVERY;
+                    valid_until = sent + LEASE_TTL - EXPIRY_MARGIN;
+                    renew_at = sent + RENEW_INTERVAL;
                 }
                 Ok(Err(StoreError::LeaseLapsed)) => {
-                    log::warn!("lots: the platform dropped the lease");
+                    log::warn!("lots: the store reports the lease as expired");
                     break;
                 }
-                Ok(Err(_)) | Err(_) => renew_at = sent + PAUSE,
+                Ok(Err(_)) | Err(_) => renew_at = sent + RETRY_DELAY,
             }
         }
-        lease.lapsed.cancel();
+        lease.expired.cancel();
         self.sender.send_replace(None);
         if stop.is_cancelled() {
-            // Should this fail, the lease lapses by itself.
-            let _ = timeout_at(Instant::now() + MARGIN, self.store.revoke(id)).await;
+            // If this fails, the lease expires by itself.
+            let _ = timeout_at(Instant::now() + EXPIRY_MARGIN, self.store.revoke(id)).await;
         }
     }
 }
--- a/crates/lots/src/lot_watch.rs
+++ b/crates/lots/src/lot_watch.rs
@@ -1,4 +1,4 @@
-//! Following the index of open lots.
+//! Watching the index of open lots.
 
 use std::time::Duration;
 
@@ -9,39 +9,39 @@
 
 use crate::LotKeys;
 
-/// How many pairs are read at once.
-const PAGE: usize = 500;
-/// The pause before a broken watch is opened again.
-const PAUSE: Duration = Duration::from_millis(500);
+/// The number of key-value pairs per read.
+const PAGE_SIZE: usize = 500;
+/// The delay before a broken watch is reopened.
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
 
-/// News of the index.
+/// An update of the index.
 #[derive(Debug)]
-pub(crate) enum IndexNews {
-    /// All of it, read afresh.
-    Whole(Vec<KeyValue>),
-    /// What changed since.
+pub(crate) enum IndexUpdate {
+    /// A full read of the index, which replaces what was known.
+    Snapshot(Vec<KeyValue>),
+    /// Changes since the previous update.
     Change(WatchBatch),
 }
 
-/// Sends the index and its changes until the receiver is gone.
-pub(crate) async fn follow_index<S: PlatformStore>(store: S, sender: mpsc::Sender<IndexNews>) {
+/// Sends the index and then its changes until the receiver is closed.
+pub(crate) async fn watch_index<S: PlatformStore>(store: S, sender: mpsc::Sender<IndexUpdate>) {
     while !sender.is_closed() {
-        let Err(error) = follow_once(&store, &sender).await else {
+        let Err(error) = watch_once(&store, &sender).await else {
             return;
         };
-        log::warn!("lots: the view of open lots may be old: {error}");
-        sleep(PAUSE).await;
+        log::warn!("lots: the view of open lots may be out of date: {error}");
+        sleep(REOPEN_DELAY).await;
     }
 }
 
-async fn follow_once<S: PlatformStore>(
+async fn watch_once<S: PlatformStore>(
     store: &S,
-    sender: &mpsc::Sender<IndexNews>,
+    sender: &mpsc::Sender<IndexUpdate>,
 ) -> Result<(), StoreError> {
     let (pairs, revision) = read_index(store).await?;
     let range = KeyRange::Prefix(LotKeys.index());
     let mut watch = RenewedWatch::open(store.clone(), range, revision + 1).await?;
-    if sender.send(IndexNews::Whole(pairs)).await.is_err() {
+    if sender.send(IndexUpdate::Snapshot(pairs)).await.is_err() {
         return Ok(());
     }
     loop {
@@ -49,21 +49,22 @@
             batch = watch.next() => batch?,
             () = sender.closed() => return Ok(()),
         };
-        if sender.send(IndexNews::Change(batch)).await.is_err() {
+        if sender.send(IndexUpdate::Change(batch)).await.is_err() {
             return Ok(());
         }
     }
 }
 
-/// The lot that a key of the index belongs to.
-pub(crate) fn lot_of(key: &str) -> Option<&str> {
+/// Returns the id of the lot that an index key belongs to.
+pub(crate) fn lot_id_of(key: &str) -> Option<&str> {
     let rest = key.strip_prefix(LotKeys.index().as_str())?;
     rest.split_once('/').map(|it| it.0)
 }
 
-/// Reads the whole index page by page. The pages are of different revisions:
-/// the watch goes on from the first one's, so that nothing is missed, and what
-/// is then told twice does no harm.
+/// Reads the whole index page by page. The pages may be of different revisions.
+/// The watch therefore starts at the revision of the first page, so that no
+/// change is missed; changes that are already in a later page are applied
+/// twice, which has no effect.
 pub(crate) async fn read_index<S: PlatformStore>(
     store: &S,
 ) -> Result<(Vec<KeyValue>, Revision), StoreError> {
@@ -74,7 +75,7 @@
     let mut revision = None;
     loop {
         let range = KeyRange::Between(start, end.clone());
-        let mut answer = store.range(range, PAGE).await?;
+        let mut answer = store.range(range, PAGE_SIZE).await?;
         revision.get_or_insert(answer.revision);
         pairs.append(&mut answer.pairs);
         match pairs.last().filter(|_| answer.more) {
--- a/crates/lots/src/retry.rs
+++ b/crates/lots/src/retry.rs
@@ -1,4 +1,4 @@
-//! Repeating calls to the platform.
+//! Retries of requests to the key-value store.
 
 use std::time::Duration;
 
@@ -6,39 +6,41 @@
     KeyRange, KeyValue, PlatformStore, RangeAnswer, StoreError, TransactionAnswer, WriteBatch,
 };
 
-/// How often and how patiently a caller's operation asks the platform.
+/// How often and after which delay a failed request to the store is retried.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryPlan {
-    /// How often a call is made at most.
-    pub tries: u32,
-    /// The pause before the second try; it doubles from then on.
-    pub pause: Duration,
+pub struct RetryPolicy {
+    /// The maximum number of attempts, the first one included.
+    pub max_attempts: u32,
+    /// The delay before the second attempt. It doubles with each further
+    /// attempt.
+    pub initial_delay: Duration,
 }
 
-impl Default for RetryPlan {
+impl Default for RetryPolicy {
     fn default() -> Self {
-        RetryPlan {
-            tries: 4,
-            pause: Duration::from_millis(50),
+        RetryPolicy {
+            max_attempts: 4,
+            initial_delay: Duration::from_millis(50),
         }
     }
 }
 
-impl RetryPlan {
+impl RetryPolicy {
     /// Runs a transaction that is safe to repeat.
     ///
-    /// After a lost answer the repetition may be refused by the first try's own
-    /// effect: the caller has to tell that from what `read_back` found. When
-    /// every try failed, a lost answer among them is reported as such, since a
-    /// later "unreachable" doesn't undo it.
+    /// After a lost answer the repetition may be rejected because the first
+    /// attempt took effect. The caller has to recognize that from what
+    /// `read_back` returned. If all attempts fail and one of them lost its
+    /// answer, that error is returned, since the transaction may have taken
+    /// effect whatever the later errors say.
     pub(crate) async fn transact<S: PlatformStore>(
         self,
         store: &S,
         batch: WriteBatch,
     ) -> Result<TransactionAnswer, StoreError> {
         let mut lost = None;
-        let mut pause = self.pause;
-        for left in (0..self.tries).rev() {
+        let mut delay = self.initial_delay;
+        for remaining in (0..self.max_attempts).rev() {
             let error = match store.transact(batch.clone()).await {
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
@@ -46,38 +48,38 @@
             let repeat = is_transient(&error);
             if matches!(error, StoreError::AnswerLost(_)) {
                 lost = Some(error);
-            } else if left == 0 || !repeat {
+            } else if remaining == 0 || !repeat {
                 return Err(lost.unwrap_or(error));
             }
-            if left > 0 {
-                tokio::time::sleep(pause).await;
-                pause *= 2;
+            if remaining > 0 {
+                tokio::time::sleep(delay).await;
+                delay *= 2;
             }
         }
-        Err(lost.unwrap_or_else(|| StoreError::Unreachable("no try was made".to_owned())))
+        Err(lost.unwrap_or_else(|| StoreError::Unreachable("no attempt was made".to_owned())))
     }
 
-    /// Reads a range.
+    /// Reads a range of keys.
     pub(crate) async fn range<S: PlatformStore>(
         self,
         store: &S,
         range: KeyRange,
         limit: usize,
     ) -> Result<RangeAnswer, StoreError> {
-        let mut pause = self.pause;
-        for _ in 1..self.tries {
+        let mut delay = self.initial_delay;
+        for _ in 1..self.max_attempts {
             match store.range(range.clone(), limit).await {
                 Err(error) if is_transient(&error) => {}
                 answer => return answer,
             }
-            tokio::time::sleep(pause).await;
-            pause *= 2;
+            tokio::time::sleep(delay).await;
+            delay *= 2;
         }
         store.range(range, limit).await
     }
 
     /// Reads one key.
-    pub(crate) async fn one<S: PlatformStore>(
+    pub(crate) async fn read_key<S: PlatformStore>(
         self,
         store: &S,
         key: String,
--- a/crates/lots/src/worker/events.rs
+++ b/crates/lots/src/worker/events.rs
@@ -1,4 +1,4 @@
-//! What the worker's tasks report, and what follows from it.
+//! Events from the worker's tasks and how they change its state.
 
 use std::sync::Arc;
 
@@ -8,46 +8,48 @@
 };
 use comfreyramp_store::PlatformStore;
 
-use super::{RescuedResults, WorkerState};
+use super::{UnrecordedResults, WorkerState};
 use crate::{
     ItemOutcome, ItemRunner, LotError, RecordedResult, ResultAnswer, SlotSource, WallClock,
     held_segment::{HeldSegment, ItemState},
     lot_record::{OpenMark, ResultError},
-    lot_watch::IndexNews,
+    lot_watch::IndexUpdate,
     segment_store::{LoadedSegment, RecordAnswer},
 };
 
-/// The pause of claims after the platform failed.
-const CLAIM_PAUSE: std::time::Duration = std::time::Duration::from_secs(1);
-/// For so many segments, results are kept whose claim lapsed.
-const MAX_RESCUED: usize = 32;
-/// From this status on an answer is the server's fault.
+/// How long no segment is claimed after a claim failed or a segment couldn't be
+/// read.
+const CLAIM_BACKOFF: std::time::Duration = std::time::Duration::from_secs(1);
+/// The maximum number of segments whose unrecorded results are kept after their
+/// claim expired.
+const MAX_UNRECORDED_SEGMENTS: usize = 32;
+/// Statuses from this one on are faults of the server.
 const FIRST_FAULT_STATUS: u16 = 500;
-/// Too many requests: the server has no room now.
+/// Too Many Requests: the server has no capacity now.
 const BUSY_STATUS: u16 = 429;
 
-/// An item's run.
+/// A run of an item.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ItemRun {
-    /// The held segment.
+    /// The key of the held segment.
     pub(super) key: u64,
-    /// The item's place in it.
+    /// The index of the item in the segment.
     pub(super) item: usize,
-    /// Whose it is.
+    /// The customer that owns the lot.
     pub(super) customer: CustomerId,
-    /// How many items of its model had gone through when it began.
+    /// How many items of the model had succeeded when the run started.
     pub(super) done_before: u64,
-    /// Whether it ran as a suspect.
+    /// Whether the item ran as a suspect.
     pub(super) is_suspect: bool,
-    /// Whether a probe ran in its place.
+    /// Whether a probe was sent instead of the item.
     pub(super) is_probe: bool,
     /// The tokens charged in advance.
     pub(super) charged: f64,
 }
 
-/// What a task of the worker reports.
+/// An event from one of the worker's tasks.
 pub(super) enum WorkerEvent<R: ItemRunner> {
-    /// A claim was tried.
+    /// An attempt to claim a segment ended.
     Claimed {
         lot: Arc<str>,
         segment: usize,
@@ -55,12 +57,12 @@
         slot: R::Slot,
         answer: Result<Option<LoadedSegment>, LotError>,
     },
-    /// An item's run ended.
+    /// A run of an item ended.
     Ended {
         run: ItemRun,
         outcome: ItemOutcome<R::Resume>,
     },
-    /// A group was written, or refused.
+    /// A group of results was recorded or rejected.
     Recorded { key: u64, answer: RecordAnswer },
 }
 
@@ -82,25 +84,25 @@
             } => {
                 self.claiming.retain(|it| *it != lot);
                 match answer {
-                    Ok(Some(loaded)) => self.hold(loaded, mark, slot),
-                    Ok(None) => self.note_taken(&lot, segment),
+                    Ok(Some(loaded)) => self.add_segment(loaded, mark, slot),
+                    Ok(None) => self.mark_claimed(&lot, segment),
                     Err(error) => {
-                        log::warn!("lots: segment {segment} of {lot} wasn't claimed: {error}");
-                        self.no_claim_before = self.now() + CLAIM_PAUSE;
+                        log::warn!("lots: claiming segment {segment} of lot {lot} failed: {error}");
+                        self.no_claim_before = self.now() + CLAIM_BACKOFF;
                     }
                 }
             }
-            WorkerEvent::Ended { run, outcome } => self.on_ended(run, outcome),
+            WorkerEvent::Ended { run, outcome } => self.on_item_ended(run, outcome),
             WorkerEvent::Recorded { key, answer } => self.on_recorded(key, answer),
         }
     }
 
-    pub(super) fn on_news(&mut self, news: IndexNews) {
-        match news {
-            IndexNews::Whole(pairs) => self.view.reset(&pairs),
-            IndexNews::Change(batch) => self.view.apply(&batch),
+    pub(super) fn on_index_update(&mut self, update: IndexUpdate) {
+        match update {
+            IndexUpdate::Snapshot(pairs) => self.view.reset(&pairs),
+            IndexUpdate::Change(batch) => self.view.apply(&batch),
         }
-        self.order_until = Timestamp::ZERO;
+        self.ranking_valid_until = Timestamp::ZERO;
         for segment in &mut self.held {
             let entry = self.view.get(&segment.claim.lot);
             if entry.is_none_or(|it| it.cancelled_at.is_some()) {
@@ -110,43 +112,47 @@
         }
     }
 
-    /// The lease lapsed or a new one holds. Claims don't outlive their lease.
+    /// Handles a change of the lease. Claims don't outlive their lease.
     pub(super) fn on_lease(&mut self) {
         let held = std::mem::take(&mut self.held);
         for segment in held {
-            if segment.claim.lease.lapsed.is_cancelled() {
-                self.rescue(segment);
+            if segment.claim.lease.expired.is_cancelled() {
+                self.keep_unrecorded(segment);
             } else {
                 self.held.push(segment);
             }
         }
     }
 
-    /// Keeps finished results whose claim lapsed, should the segment be claimed
-    /// again here: after an outage that is likely, and saves running them twice.
-    fn rescue(&mut self, segment: HeldSegment<R::Resume>) {
+    /// Keeps finished results whose claim has expired, in case this daemon
+    /// claims the segment again. That is likely after an outage of the store
+    /// and avoids running the items twice.
+    fn keep_unrecorded(&mut self, segment: HeldSegment<R::Resume>) {
         let lot = segment.claim.lot.clone();
-        log::warn!("lots: lost segment {} of {lot}", segment.claim.segment);
-        self.view_released(&lot, segment.claim.segment);
-        let rescued = RescuedResults {
+        log::warn!(
+            "lots: lost the claim on segment {} of lot {lot}",
+            segment.claim.segment
+        );
+        self.mark_released(&lot, segment.claim.segment);
+        let unrecorded = UnrecordedResults {
             lot,
             segment: segment.claim.segment,
-            results: segment.into_results(),
+            results: segment.into_unrecorded(),
         };
-        if rescued.results.is_empty() {
+        if unrecorded.results.is_empty() {
             return;
         }
-        if self.rescued.len() == MAX_RESCUED {
-            self.rescued.remove(0);
+        if self.unrecorded.len() == MAX_UNRECORDED_SEGMENTS {
+            self.unrecorded.remove(0);
         }
-        self.rescued.push(rescued);
+        self.unrecorded.push(unrecorded);
     }
 
-    fn hold(&mut self, loaded: LoadedSegment, mark: Arc<OpenMark>, slot: R::Slot) {
+    fn add_segment(&mut self, loaded: LoadedSegment, mark: Arc<OpenMark>, slot: R::Slot) {
         let now = self.now();
         let claim = loaded.claim.clone();
         let (lot, segment) = (claim.lot.clone(), claim.segment);
-        self.note_taken(&lot, segment);
+        self.mark_claimed(&lot, segment);
         let customer = self.customer_key(&mark.customer);
         let key = self.next_key;
         self.next_key += 1;
@@ -154,24 +160,24 @@
         let mut held = match HeldSegment::new(key, loaded, mark, customer, now) {
             Ok(held) => held,
             Err(error) => {
-                log::error!("lots: segment {segment} of {lot}: {error}");
-                self.no_claim_before = now + CLAIM_PAUSE;
+                log::error!("lots: segment {segment} of lot {lot} can't be read: {error}");
+                self.no_claim_before = now + CLAIM_BACKOFF;
                 return self.release(claim);
             }
         };
-        let own = |it: &RescuedResults| it.lot == lot && it.segment == segment;
-        if let Some(place) = self.rescued.iter().position(own) {
-            for result in self.rescued.remove(place).results {
-                held.take(result, now);
+        let is_same_segment = |it: &UnrecordedResults| it.lot == lot && it.segment == segment;
+        if let Some(index) = self.unrecorded.iter().position(is_same_segment) {
+            for result in self.unrecorded.remove(index).results {
+                held.add_result(result, now);
             }
         }
-        log::info!("lots: claimed segment {segment} of {lot}");
+        log::info!("lots: claimed segment {segment} of lot {lot}");
         held.is_closing = held.is_done();
         self.held.push(held);
         self.use_slot(&model, slot);
     }
 
-    fn on_ended(&mut self, run: ItemRun, outcome: ItemOutcome<R::Resume>) {
+    fn on_item_ended(&mut self, run: ItemRun, outcome: ItemOutcome<R::Resume>) {
         let now = self.now();
         self.suspects_running -= usize::from(run.is_suspect);
         let tokens = match &outcome {
@@ -180,7 +186,7 @@
             }
             _ => 0.0,
         };
-        self.settle(&run, tokens);
+        self.correct_charge(&run, tokens);
         let Some(held) = self.held_mut(run.key) else {
             return;
         };
@@ -231,17 +237,17 @@
     }
 
     fn on_fault(&mut self, run: ItemRun, message: &str, now: Timestamp) {
-        let Ok(place) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
+        let Ok(index) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
             return;
         };
-        let model = self.held[place].mark.model.clone();
+        let model = self.held[index].mark.model.clone();
         let others = self.model_count(&model).done - run.done_before;
-        let held = &mut self.held[place];
-        let tries = &mut held.items[run.item].tries;
+        let held = &mut self.held[index];
+        let attempts = &mut held.items[run.item].attempts;
         let verdict = self
             .config
-            .tries
-            .fault(tries, others, now, &mut self.random);
+            .attempts
+            .fault(attempts, others, now, &mut self.random);
         match verdict {
             TryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
             TryVerdict::GiveUp(reason) => {
@@ -250,13 +256,14 @@
         }
     }
 
-    /// A probe ran in the item's place; whether it went through tells whose
-    /// fault the item's last one was.
+    /// Handles the outcome of a probe that ran instead of the item. If the
+    /// probe succeeded, the item itself caused its last fault; otherwise the
+    /// server did.
     fn on_probe(&mut self, run: ItemRun, outcome: &ItemOutcome<R::Resume>, now: Timestamp) {
-        let Ok(place) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
+        let Ok(index) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
             return;
         };
-        let held = &mut self.held[place];
+        let held = &mut self.held[index];
         let was_stopped = matches!(
             outcome,
             ItemOutcome::Cancelled | ItemOutcome::SteppedAside { .. }
@@ -265,30 +272,29 @@
             held.items[run.item].state = ItemState::Waiting(now);
             return;
         }
-        let went_through =
-            matches!(outcome, ItemOutcome::Done { status, .. } if !is_fault(*status));
-        let tries = &mut held.items[run.item].tries;
+        let succeeded = matches!(outcome, ItemOutcome::Done { status, .. } if !is_fault(*status));
+        let attempts = &mut held.items[run.item].attempts;
         let verdict = self
             .config
-            .tries
-            .probe(tries, went_through, now, &mut self.random);
+            .attempts
+            .probe(attempts, succeeded, now, &mut self.random);
         match verdict {
             TryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
             TryVerdict::GiveUp(reason) => {
-                let error = give_up_error(reason, "a probe went through meanwhile");
+                let error = give_up_error(reason, "a probe succeeded meanwhile");
                 held.fail_item(run.item, error, now);
             }
         }
     }
 
     fn on_crash(&mut self, run: ItemRun, message: &str, now: Timestamp) {
-        let Ok(place) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
+        let Ok(index) = self.held.binary_search_by_key(&run.key, |it| it.key) else {
             return;
         };
-        let held = &mut self.held[place];
-        let tries = &mut held.items[run.item].tries;
-        match self.config.tries.crash(tries, now, &mut self.random) {
-            TryVerdict::Retry(at) => held.crash_item(run.item, at),
+        let held = &mut self.held[index];
+        let attempts = &mut held.items[run.item].attempts;
+        match self.config.attempts.crash(attempts, now, &mut self.random) {
+            TryVerdict::Retry(at) => held.mark_crashed(run.item, at),
             TryVerdict::GiveUp(reason) => {
                 held.fail_item(run.item, give_up_error(reason, message), now);
             }
@@ -304,7 +310,7 @@
     let (code, what) = match reason {
         GiveUpReason::FailsAlone => (
             "item_fails",
-            "it failed each time while other items went through",
+            "the item failed in every attempt while other items succeeded",
         ),
         GiveUpReason::CrashesServers => (
             "item_crashes_servers",
--- a/crates/lots/tests/lot_run.rs
+++ b/crates/lots/tests/lot_run.rs
@@ -1,4 +1,4 @@
-//! Lots run by one or more daemons, on virtual time.
+//! Lots run by one or more daemons in virtual time.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
 
@@ -30,7 +30,7 @@
 #[tokio::test(start_paused = true)]
 async fn two_daemons_run_a_lot_to_its_end() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 16);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &service, 16);
     let lot = submit(&one.lots, CUSTOMER, 1000).await.unwrap();
@@ -43,12 +43,12 @@
     two.drain().await;
 }
 
-// A daemon is lost with items in flight. The lot must go on elsewhere, and only
-// what wasn't yet recorded may run again.
+// A daemon crashes with items in flight. Another daemon must continue the lot,
+// and only items without a recorded result may run again.
 #[tokio::test(start_paused = true)]
 async fn a_lost_daemon_costs_the_unrecorded_part_only() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 500).await.unwrap();
     sleep(50 * SECOND).await;
@@ -64,14 +64,15 @@
     two.drain().await;
 }
 
-// A daemon is paused for longer than its lease, its clock with it. Meanwhile
-// another daemon takes its segment over. The first one wakes, still believes
-// that it owns the segment, and writes its results. Both ran each item; the
-// caller must see one result of each, and the same at every reading.
+// A daemon is suspended, with its clock, for longer than its lease. Meanwhile
+// another daemon takes over its segment. The first one resumes, still believes
+// that it owns the segment, and writes its results. Both daemons ran every
+// item; the caller must see one result for each, and the same one at every
+// read.
 #[tokio::test(start_paused = true)]
 async fn a_paused_owner_is_refused_when_it_wakes() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 256);
     let lot = submit(&one.lots, CUSTOMER, 250).await.unwrap();
     sleep(SECOND).await;
@@ -91,20 +92,20 @@
     two.drain().await;
 }
 
-// A daemon is cut off from the platform while its items run. It can't learn
-// whether it still owns them, so that it stops by its own clock; results that it
-// had recorded stay as they are.
+// A daemon is cut off from the store while its items run. It can't learn
+// whether its claim is still valid, so it must stop by its own clock. Results
+// that it has recorded before must not change.
 #[tokio::test(start_paused = true)]
-async fn a_cut_off_owner_stops_before_its_lease_lapses() {
+async fn a_cut_off_owner_stops_before_its_lease_expires() {
     let store = MemoryStore::default();
-    let own = TestService::taking(30 * SECOND);
+    let own = TestService::with_duration(30 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &own, 50);
     let lot = submit(&one.lots, CUSTOMER, 200).await.unwrap();
     sleep(95 * SECOND).await;
-    one.store.cut(true);
+    one.store.set_cut_off(true);
     sleep(9 * SECOND).await;
     assert_eq!(own.running.load(Ordering::SeqCst), 0);
-    let other = TestService::taking(SECOND);
+    let other = TestService::with_duration(SECOND);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &other, 50);
     let before = two.lots.get(CUSTOMER, &lot.id).await.unwrap();
     assert!(before.request_counts.completed > 0);
@@ -112,17 +113,18 @@
     assert_eq!(check_results(&two.lots, &lot).await, (200, 0));
     let rerun = 200 - before.request_counts.completed;
     assert_eq!(other.total_runs(), rerun);
-    one.store.cut(false);
+    one.store.set_cut_off(false);
     one.drain().await;
     two.drain().await;
 }
 
-// The platform is down for five minutes in the middle of a lot. What had ended
-// before and couldn't be recorded is recorded afterwards, not run again.
+// The store is unavailable for five minutes while a lot runs. Results that
+// couldn't be recorded then must be recorded afterwards, without running the
+// items again.
 #[tokio::test(start_paused = true)]
 async fn an_outage_in_the_middle_loses_nothing() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 300).await.unwrap();
     sleep(30 * SECOND).await;
@@ -136,23 +138,24 @@
     faults(&store, outage(false));
     let lot = wait_for(&one.lots, &lot.id, BatchStatus::Completed, 10 * MINUTE).await;
     assert_eq!(check_results(&one.lots, &lot).await, (300, 0));
-    // Only the eight that were stopped run again.
+    // Only the eight items that were stopped run again.
     assert!(service.total_runs() <= 308, "{}", service.total_runs());
     one.drain().await;
 }
 
-// For a minute each write takes effect and each answer is lost: claims, results,
-// renewals. A daemon that took a lost answer for a failure would record twice.
+// For a minute in total, 20 seconds at a time, every write takes effect but its
+// answer is lost: claims, results and lease renewals. A daemon that took a lost
+// answer for a failure would record results twice.
 #[tokio::test(start_paused = true)]
 async fn lost_answers_record_nothing_twice() {
     let store = MemoryStore::default();
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 600).await.unwrap();
     for _ in 0..3 {
-        for (lose, span) in [(LostAnswers::All(true), 20), (LostAnswers::All(false), 20)] {
-            sleep(span * SECOND).await;
+        for (lose, seconds) in [(LostAnswers::All(true), 20), (LostAnswers::All(false), 20)] {
+            sleep(seconds * SECOND).await;
             faults(
                 &store,
                 FaultChange {
@@ -168,14 +171,14 @@
     two.drain().await;
 }
 
-// The answer to one write is lost, a different one each time. The write took
-// effect, so that nothing of it may run again.
+// The answer to one write is lost, a different one in each round. The write
+// took effect, so no item may run again.
 #[tokio::test(start_paused = true)]
 async fn one_lost_answer_runs_nothing_twice() {
     for write in 0..12 {
         let store = MemoryStore::default();
-        let service = TestService::taking(2 * SECOND);
-        let losing = DaemonStore::new(&store).loses(write);
+        let service = TestService::with_duration(2 * SECOND);
+        let losing = DaemonStore::new(&store).loses_answer_of(write);
         let one = TestDaemon::start("one", losing, &service, 8);
         let lot = submit(&one.lots, CUSTOMER, 200).await.unwrap();
         let lot = wait_for(&one.lots, &lot.id, BatchStatus::Completed, 10 * MINUTE).await;
@@ -193,7 +196,7 @@
         ..FaultChange::default()
     };
     faults(&store, slow(3 * SECOND));
-    let service = TestService::taking(2 * SECOND);
+    let service = TestService::with_duration(2 * SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 16);
     let two = TestDaemon::start("two", DaemonStore::new(&store), &service, 16);
     let lot = submit(&one.lots, CUSTOMER, 600).await.unwrap();
@@ -203,13 +206,13 @@
     two.drain().await;
 }
 
-// Some items can never be done: the service refuses one, fails at another each
-// time, and crashes over a third. The lot must end, with their errors recorded,
-// and the third may take two servers with it and no more.
+// Some items can never succeed: the service rejects one, fails on another each
+// time, and crashes on a third. The lot must end with their errors recorded,
+// and the third item may crash two servers but no more.
 #[tokio::test(start_paused = true)]
 async fn impossible_items_get_an_error_and_the_lot_ends() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let content = input(200)
         .replace("verse 20\"", "impossible\"")
@@ -230,13 +233,13 @@
     one.drain().await;
 }
 
-// An item crashes a server, and the daemon that saw it is lost before it tries
-// again. The next owner must know of the first crash: else each lost daemon
-// would grant the item two more servers.
+// An item crashes a server, and the daemon that saw it crashes before the next
+// attempt. The next owner must know of the first server crash; otherwise the
+// item could crash two more servers after each lost daemon.
 #[tokio::test(start_paused = true)]
 async fn a_crash_is_remembered_when_the_daemon_is_lost() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     let content = input(1).replace("verse 0\"", "crashing\"");
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 1);
     let file = upload(&one.lots, CUSTOMER, &content).await.unwrap();
@@ -253,12 +256,12 @@
     two.drain().await;
 }
 
-// All servers are down for ten minutes. Their faults aren't the items' faults:
+// All servers are down for ten minutes. This isn't the fault of the items, so
 // none may be recorded as failed.
 #[tokio::test(start_paused = true)]
 async fn an_outage_of_the_servers_fails_no_item() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     *service.is_down.lock().unwrap() = true;
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 8);
     let lot = submit(&one.lots, CUSTOMER, 50).await.unwrap();
@@ -269,33 +272,34 @@
     one.drain().await;
 }
 
-// A live burst makes all bulk streams step aside. Their items must go on from
-// where they stood once there is room again.
+// A burst of live requests preempts all bulk streams. The items must resume
+// where they stopped once there is capacity again.
 #[tokio::test(start_paused = true)]
-async fn items_that_stepped_aside_are_resumed() {
+async fn preempted_items_are_resumed() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
-    *service.steps_aside.lock().unwrap() = true;
+    let service = TestService::with_duration(SECOND);
+    *service.preempts.lock().unwrap() = true;
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 4);
     let lot = submit(&one.lots, CUSTOMER, 40).await.unwrap();
     sleep(5 * SECOND).await;
-    *service.steps_aside.lock().unwrap() = false;
+    *service.preempts.lock().unwrap() = false;
     let lot = wait_for(&one.lots, &lot.id, BatchStatus::Completed, 10 * MINUTE).await;
     assert_eq!(check_results(&one.lots, &lot).await, (40, 0));
     assert!(service.resumed.load(Ordering::SeqCst) > 0);
     one.drain().await;
 }
 
-// One customer's lot of 5,000 items is under way when another's lot of 20 comes.
+// A customer submits a lot of 20 items while another customer's lot of 5,000
+// items runs.
 #[tokio::test(start_paused = true)]
 async fn a_long_lot_does_not_hold_up_a_short_one() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 4);
     submit(&one.lots, "kitenge", 5000).await.unwrap();
     sleep(MINUTE).await;
     let lot = submit(&one.lots, CUSTOMER, 20).await.unwrap();
-    // Alone it would take 5 seconds, at half the slots 10.
+    // Alone it would take 5 seconds, with half of the slots 10.
     wait_for(&one.lots, &lot.id, BatchStatus::Completed, 15 * SECOND).await;
     one.drain().await;
 }
@@ -303,7 +307,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_planned_stop_records_what_is_done_and_hands_over() {
     let store = MemoryStore::default();
-    let service = TestService::taking(SECOND);
+    let service = TestService::with_duration(SECOND);
     let one = TestDaemon::start("one", DaemonStore::new(&store), &service, 4);
     let lot = submit(&one.lots, CUSTOMER, 100).await.unwrap();
     sleep(10 * SECOND + SECOND / 2).await;
--- a/crates/lots/tests/support/mod.rs
+++ b/crates/lots/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests of this crate share: a clock, a store that dies, a service.
+//! Shared helpers of these tests: a clock, a store with faults, a service, a
+//! daemon.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -32,7 +33,7 @@
 pub(crate) const MODEL: &str = "small";
 pub(crate) const CHAT: &str = "/v1/chat/completions";
 
-/// A time of day that runs with tokio's paused clock.
+/// A wall clock that follows tokio's paused clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TestClock(Instant);
 
@@ -48,21 +49,21 @@
     }
 }
 
-/// A store as one daemon sees it. It can be cut off, be killed at a chosen
-/// write, and lose that write's answer.
+/// The store as seen by one daemon. The daemon can be cut off from it, crash at
+/// a given write, or lose the answer to a given write.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DaemonStore {
     pub(crate) inner: MemoryStore,
     pub(crate) writes: Arc<AtomicUsize>,
-    /// Bytes of all keys and values written.
+    /// The total size of all written keys and values in bytes.
     pub(crate) bytes: Arc<AtomicUsize>,
-    /// From this write on the daemon is dead.
-    pub(crate) dies_at: Option<usize>,
-    /// Whether the write at which it dies still takes effect.
-    pub(crate) last_lands: bool,
-    /// The write whose answer is lost after it took effect.
-    pub(crate) loses: Option<usize>,
-    /// Whether it is cut off from the platform.
+    /// The daemon crashes at this write.
+    pub(crate) crashes_at: Option<usize>,
+    /// Whether the write at which the daemon crashes still takes effect.
+    pub(crate) last_takes_effect: bool,
+    /// The write that takes effect but whose answer is lost.
+    pub(crate) loses_answer_of: Option<usize>,
+    /// Whether the daemon is cut off from the store.
     pub(crate) is_cut: Arc<Mutex<bool>>,
 }
 
@@ -74,18 +75,18 @@
         }
     }
 
-    pub(crate) fn dies_at(mut self, write: usize, last_lands: bool) -> Self {
-        self.dies_at = Some(write);
-        self.last_lands = last_lands;
+    pub(crate) fn crashes_at(mut self, write: usize, last_takes_effect: bool) -> Self {
+        self.crashes_at = Some(write);
+        self.last_takes_effect = last_takes_effect;
         self
     }
 
-    pub(crate) fn loses(mut self, write: usize) -> Self {
-        self.loses = Some(write);
+    pub(crate) fn loses_answer_of(mut self, write: usize) -> Self {
+        self.loses_answer_of = Some(write);
         self
     }
 
-    pub(crate) fn cut(&self, is_cut: bool) {
+    pub(crate) fn set_cut_off(&self, is_cut: bool) {
         *self.is_cut.lock().unwrap() = is_cut;
     }
 
@@ -109,15 +110,15 @@
         self.check()?;
         let write = self.writes.fetch_add(1, Ordering::SeqCst);
         self.bytes.fetch_add(length(&batch), Ordering::SeqCst);
-        if self.dies_at.is_some_and(|it| write >= it) {
-            if self.dies_at == Some(write) && self.last_lands {
+        if self.crashes_at.is_some_and(|it| write >= it) {
+            if self.crashes_at == Some(write) && self.last_takes_effect {
                 self.inner.transact(batch.clone()).await?;
             }
-            // A dead daemon never goes on.
+            // A crashed daemon never continues.
             std::future::pending::<()>().await;
         }
         let answer = self.inner.transact(batch).await;
-        match self.loses == Some(write) {
+        match self.loses_answer_of == Some(write) {
             true => Err(StoreError::AnswerLost("the test lost it".to_owned())),
             false => answer,
         }
@@ -155,8 +156,8 @@
     batch.then.iter().map(put).sum()
 }
 
-/// A watch of a daemon. While the daemon is cut off it hears nothing, and once
-/// it is back the watch is broken.
+/// A watch of a daemon. It delivers nothing while the daemon is cut off, and is
+/// broken once the daemon is connected again.
 #[derive(Debug)]
 pub(crate) struct DaemonWatch {
     inner: MemoryWatch,
@@ -165,9 +166,9 @@
 
 impl WatchStream for DaemonWatch {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
-        let news = self.inner.next().await;
+        let batch = self.inner.next().await;
         if self.store.check().is_ok() {
-            return news;
+            return batch;
         }
         while self.store.check().is_err() {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -182,7 +183,7 @@
     LotStore::new(store.clone(), TestClock::default())
 }
 
-/// A file of so many items, whose prompts name them.
+/// Generates a file with this many items, each with its number in the prompt.
 pub(crate) fn input(items: usize) -> String {
     let line = |it| {
         format!(
@@ -211,7 +212,7 @@
     }
 }
 
-/// Uploads the items and creates the lot, as a client does.
+/// Uploads a file with this many items and creates a lot, as a client does.
 pub(crate) async fn submit(
     lots: &Lots,
     customer: &str,
@@ -231,29 +232,29 @@
     Ok(String::from_utf8(content).unwrap())
 }
 
-/// What the service does with an item, by a word in its body.
+/// A service whose behaviour for an item depends on a word in the item's body.
 #[derive(Debug, Default)]
 pub(crate) struct TestService {
-    /// The runs begun, by item.
+    /// The number of runs started, by item.
     pub(crate) runs: Mutex<BTreeMap<String, u32>>,
-    /// Items running now.
+    /// The number of items running now.
     pub(crate) running: AtomicUsize,
     /// How long an item takes.
-    pub(crate) span: Mutex<Duration>,
-    /// Whether every run meets a fault of the servers.
+    pub(crate) duration: Mutex<Duration>,
+    /// Whether every run ends with a fault of the servers.
     pub(crate) is_down: Mutex<bool>,
-    /// Servers that crashed.
+    /// The number of servers that crashed.
     pub(crate) crashes: AtomicUsize,
-    /// Whether runs step aside, as for a live burst.
-    pub(crate) steps_aside: Mutex<bool>,
-    /// Runs that were resumed.
+    /// Whether runs are preempted, as by a burst of live requests.
+    pub(crate) preempts: Mutex<bool>,
+    /// The number of runs that were resumed.
     pub(crate) resumed: AtomicUsize,
 }
 
 impl TestService {
-    pub(crate) fn taking(span: Duration) -> Arc<Self> {
+    pub(crate) fn with_duration(duration: Duration) -> Arc<Self> {
         let service = TestService::default();
-        *service.span.lock().unwrap() = span;
+        *service.duration.lock().unwrap() = duration;
         Arc::new(service)
     }
 
@@ -266,7 +267,7 @@
     }
 }
 
-/// Counts an item as running for as long as its future lives.
+/// Counts an item as running as long as this guard lives.
 struct RunningGuard<'a>(&'a AtomicUsize);
 
 impl<'a> RunningGuard<'a> {
@@ -288,27 +289,27 @@
 
     async fn run(
         &self,
-        order: ItemOrder<u32>,
+        request: ItemOrder<u32>,
         slot: OwnedSemaphorePermit,
         stop: CancellationToken,
     ) -> ItemOutcome<u32> {
         let _running = RunningGuard::new(&self.running);
         let run = {
             let mut runs = self.runs.lock().unwrap();
-            let run = runs.entry(order.id.clone()).or_default();
+            let run = runs.entry(request.id.clone()).or_default();
             *run += 1;
             *run
         };
         self.resumed
-            .fetch_add(usize::from(order.resume.is_some()), Ordering::SeqCst);
-        let span = *self.span.lock().unwrap();
+            .fetch_add(usize::from(request.resume.is_some()), Ordering::SeqCst);
+        let duration = *self.duration.lock().unwrap();
         tokio::select! {
-            () = tokio::time::sleep(span) => {}
+            () = tokio::time::sleep(duration) => {}
             () = stop.cancelled() => return ItemOutcome::Cancelled,
         }
         drop(slot);
-        let body = String::from_utf8(order.body.to_vec()).unwrap();
-        let message = "asked for".to_owned();
+        let body = String::from_utf8(request.body.to_vec()).unwrap();
+        let message = "requested by the test".to_owned();
         if *self.is_down.lock().unwrap() || body.contains("faulty") {
             return ItemOutcome::ServerFault { message };
         }
@@ -316,7 +317,7 @@
             self.crashes.fetch_add(1, Ordering::SeqCst);
             return ItemOutcome::ServerCrash { message };
         }
-        if *self.steps_aside.lock().unwrap() {
+        if *self.preempts.lock().unwrap() {
             return ItemOutcome::SteppedAside {
                 resume: Some(7),
                 tokens: 7,
@@ -356,7 +357,7 @@
     }
 }
 
-/// A daemon that works on lots.
+/// A daemon that runs lots.
 pub(crate) struct TestDaemon {
     pub(crate) store: DaemonStore,
     pub(crate) lots: Lots,
@@ -386,9 +387,9 @@
         }
     }
 
-    /// Loses the daemon's VM: it is heard of no more.
+    /// Simulates the loss of the daemon's VM: it stops and writes nothing more.
     pub(crate) fn kill(self) {
-        self.store.cut(true);
+        self.store.set_cut_off(true);
         self.task.abort();
     }
 
@@ -398,14 +399,14 @@
     }
 }
 
-/// Waits until a lot shows this status.
+/// Waits until a lot has this status.
 pub(crate) async fn wait_for(
     lots: &Lots,
     id: &str,
     status: BatchStatus,
-    span: Duration,
+    duration: Duration,
 ) -> BatchObject {
-    let until = Instant::now() + span;
+    let until = Instant::now() + duration;
     loop {
         let lot = lots.get(CUSTOMER, id).await;
         if let Ok(lot) = &lot
@@ -419,7 +420,8 @@
 }
 
 /// Checks that each item has exactly one line in the two files together, and
-/// that what was answered is the item's own answer. Returns the lines' number.
+/// that each answer belongs to its item. Returns the number of lines in the
+/// output and the error file.
 pub(crate) async fn check_results(lots: &Lots, lot: &BatchObject) -> (usize, usize) {
     let output = lot.output_file_id.as_ref().unwrap();
     let output = read(lots, CUSTOMER, output).await.unwrap();
