--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -1,14 +1,15 @@
-//! Whether a customer's rate lets a request in.
+//! Admission of requests by the customer's rate.
 
 use comfreyramp_http::{ErrorAnswer, StatusCode};
 
 use crate::{callers::Caller, shared::SharedState};
 
 impl SharedState {
-    /// Lets a request in, or says when to come back.
+    /// Admits a request, or returns the error answer with the time after which
+    /// the caller may retry.
     ///
-    /// This waits for other daemons only where this one has no token of the
-    /// customer, and not for tokens that are still to come.
+    /// Waits for other daemons only if this one has no token of the customer
+    /// left, and never for tokens that are yet to be refilled.
     pub async fn admit(&self, caller: &Caller) -> Result<(), ErrorAnswer> {
         let customer = &caller.customer.name;
         let Err(retry_after) = self.rates.admit(customer, || self.snapshot()).await else {
--- a/crates/daemon/src/announcer.rs
+++ b/crates/daemon/src/announcer.rs
@@ -1,8 +1,9 @@
-//! Tells servers' home daemons of live requests on their way.
+//! Notifies home daemons of live requests that are about to reach their servers.
 //!
-//! A home daemon that learns of other daemons' live requests from its servers'
-//! reports learns of them a report's age late. For so long they would wait for
-//! a place that bulk work holds. See docs/DESIGN.md.
+//! Without the notice, a home daemon would learn of other daemons' live requests
+//! only from its servers' load reports, and so as late as the report's age. Until
+//! then the requests would wait for a slot that bulk work holds. See
+//! docs/DESIGN.md.
 
 use std::{
     collections::BTreeMap,
@@ -18,10 +19,11 @@
 
 use crate::shared::SharedState;
 
-/// How long a home may take to answer. A later answer would tell of bulk work
-/// that is gone.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
-/// Announcements that wait at most. Beyond it the homes learn by report.
+/// How long a home daemon may take to answer. The bulk work that a later answer
+/// counts would have ended already.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+/// The most announcements that wait to be sent. Further ones are dropped; the
+/// home daemons then learn of the requests from the servers' load reports.
 const MAX_WAITING: usize = 1024;
 
 /// The announcements that wait to be sent.
@@ -33,12 +35,12 @@
 }
 
 impl LiveAnnouncer {
-    /// Gives it the way to other daemons. Until then nothing is announced.
+    /// Sets the link to other daemons. Without one, nothing is announced.
     pub fn connect(&self, link: PeerLink) {
         *self.link.lock().unwrap_or_else(PoisonError::into_inner) = Some(link);
     }
 
-    /// Announces a live request that is about to be sent to a server.
+    /// Queues an announcement of a live request that is about to be sent to a server.
     pub fn note(&self, server: ServerId) {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         if waiting.len() < MAX_WAITING {
@@ -58,7 +60,7 @@
     }
 }
 
-/// Sends announcements until `stop` is cancelled.
+/// Sends the queued announcements until `stop` is cancelled.
 pub async fn run_announcer(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
     loop {
         tokio::select! {
@@ -74,7 +76,8 @@
     }
 }
 
-/// Tells one home, and takes in how much bulk work its servers still have.
+/// Announces requests to one home daemon and records how much bulk work its
+/// servers still run, which the answer says.
 async fn announce(
     state: Arc<SharedState>,
     link: PeerLink,
@@ -82,7 +85,7 @@
     servers: Vec<(ServerId, LiveNotice)>,
 ) {
     let notices = servers.iter().map(|it| it.1).collect();
-    let Ok(bulk) = link.announce(home, notices, ANSWER_TIME).await else {
+    let Ok(bulk) = link.announce(home, notices, ANSWER_TIMEOUT).await else {
         return;
     };
     let now = state.clock.now();
@@ -91,8 +94,8 @@
     }
 }
 
-/// The announcements by home; a server whose home is this daemon has none, as
-/// its gate was told already.
+/// Groups the announcements by home daemon. Servers whose home is this daemon are
+/// left out, because their bulk limiter already counts the requests.
 fn group_by_home(
     state: &SharedState,
     servers: &[ServerId],
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,10 +1,10 @@
-//! The one place where the daemon reads its clock.
+//! The daemon's monotonic clock. No other module reads it directly.
 
 use tokio::time::Instant;
 
 use comfreyramp_policy::Timestamp;
 
-/// The process's monotonic clock, counted from its start.
+/// A monotonic clock that counts from the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     origin: Instant,
@@ -19,7 +19,7 @@
 }
 
 impl ProcessClock {
-    /// The present time.
+    /// Returns the time since the clock was created.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO + self.origin.elapsed()
     }
--- a/crates/daemon/src/event_stream.rs
+++ b/crates/daemon/src/event_stream.rs
@@ -1,22 +1,23 @@
-//! What the events of an engine's stream mean.
+//! Classification of the events in an engine's stream.
 
 use comfreyramp_http::event_data;
 use serde::Deserialize;
 
-/// What an event of an engine's stream means.
+/// What an event in an engine's stream carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// It carries generated text.
+    /// Generated text.
     Token,
-    /// It carries something else: a role, a finish reason, usage, a comment.
+    /// Anything else: a role, a finish reason, usage, a comment.
     Other,
-    /// The engine reports an error in the middle of the stream.
+    /// An error that the engine reports in the middle of the stream.
     Error,
-    /// The whole answer has been sent.
+    /// The end of the answer: all of it has been sent.
     Done,
 }
 
-/// Tells what an event means.
+/// Returns what an event carries. Data that isn't valid JSON counts as
+/// [`EventKind::Other`].
 pub fn classify_event(event: &[u8]) -> EventKind {
     let Some(data) = event_data(event) else {
         return EventKind::Other;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,27 +1,28 @@
-//! The entry daemon: doors for callers and operators, and everything behind them.
+//! The entry daemon: HTTP servers for callers and operators, and what they depend on.
 //!
-//! A tour, in the order of a live request:
+//! The modules, in the order in which a live request passes through them:
 //!
-//! 1. [`callers`] recognises the key, reads the request and answers it.
-//! 2. [`snapshot`] is what the request path knows of the operators' settings.
-//! 3. [`admission`] asks [`rates`], which lends and borrows with other daemons.
+//! 1. [`callers`] authenticates the key, reads the request and answers it.
+//! 2. [`snapshot`] holds the operators' settings, indexed for the request path.
+//! 3. [`admission`] applies the customer's rate. [`rates`] holds this daemon's
+//!    share of it and borrows from other daemons.
 //! 4. [`claims`] records a call that must not run twice, before it is sent.
-//! 5. [`live_queue`] holds it back while the servers are full, and [`suspects`]
-//!    while it is suspected of crashing them.
-//! 6. [`server_pool`] picks the backend server, and [`announcer`] tells the
-//!    server's home daemon, so that bulk work makes room.
-//! 7. [`event_stream`] cuts the answer into events; [`attempts`] decides what
-//!    follows when it breaks.
-//! 8. [`traces`] keeps what became of it, and [`metrics`] counts it.
+//! 5. [`live_queue`] queues the request while the servers are full, and
+//!    [`suspects`] while it is suspected of crashing them.
+//! 6. [`server_pool`] picks the backend server, and [`announcer`] notifies the
+//!    server's home daemon, so that bulk work frees capacity.
+//! 7. [`event_stream`] classifies the events of the answer, and [`attempts`]
+//!    decides whether to retry when the answer breaks off.
+//! 8. [`traces`] records the request's steps, and [`metrics`] counts it.
 //!
-//! Lots are kept by `comfreyramp-lots`; [`lot_work`] runs their items through the
-//! gates of this daemon's home servers.
+//! `comfreyramp-lots` stores lots (batch jobs). [`lot_work`] runs their items,
+//! within the bulk limits of the servers whose home is this daemon.
 //!
-//! Beside the requests run the slow parts, under one [`supervisor`]:
-//! [`settings_link`] and [`settings_keeper`] bring the settings into force,
-//! [`platform_link`] follows the VM list, [`operators`] answers the tool.
-//! [`EntryDaemon`] starts and stops all of it; [`shared`] is what the parts share.
-//! The decisions themselves live in `comfreyramp-policy`.
+//! Background tasks run under one [`supervisor`]: [`settings_link`] and
+//! [`settings_keeper`] fetch and publish the settings, and [`platform_link`]
+//! polls the VM list. [`operators`] serves the operators' tool. [`EntryDaemon`]
+//! starts and stops all of them, and [`shared`] is the state that they share.
+//! The decision logic itself, without I/O, is in `comfreyramp-policy`.
 
 pub mod admission;
 pub mod announcer;
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,4 +1,5 @@
-//! Log lines: short sentences with a fixed prefix per part, for people or as JSON.
+//! Logging setup. Log lines are short sentences with a fixed prefix per
+//! component, as plain text or as JSON.
 
 use anyhow::bail;
 use comfreyramp_settings::{LogFormat, LogSettings};
@@ -8,7 +9,7 @@
     record::{Level, LevelFilter},
 };
 
-/// Starts logging as the settings say.
+/// Installs the logger that the settings describe. Fails if the level is unknown.
 pub fn start(settings: &LogSettings) -> anyhow::Result<()> {
     let level = match settings.level.as_deref() {
         None | Some("info") => Level::Info,
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,5 @@
-//! `comfreyrampd`, the entry daemon.
+//! The `comfreyrampd` binary: reads the settings file and runs the entry daemon until it is
+//! signalled to stop.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -38,13 +39,13 @@
     let stop = CancellationToken::new();
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let asked = stop.clone();
+    let stop_requested = stop.clone();
     tokio::spawn(async move {
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
         }
-        asked.cancel();
+        stop_requested.cancel();
     });
     EntryDaemon::bind(settings).await?.run(stop).await
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts, for `/metrics`. See docs/OPERATIONS.md.
+//! Prometheus metrics, served at `/metrics`. See docs/OPERATIONS.md.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
     TextEncoder,
 };
 
-/// Buckets for waits, in seconds: fine around the goals of 29 ms between
-/// tokens and 1.5 s to the first.
+/// Histogram buckets for durations, in seconds. They are fine around the goals:
+/// 29 ms between tokens and 1.5 s to the first token.
 const WAIT_BUCKETS: &[f64] = &[
     0.001, 0.0025, 0.005, 0.01, 0.015, 0.02, 0.025, 0.029, 0.035, 0.05, 0.075, 0.1, 0.15, 0.25,
     0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0, 60.0, 120.0,
@@ -19,16 +19,16 @@
 /// The class a request was served in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServedClass {
-    /// Somebody waits.
+    /// A request of an engine whose caller waits for the answer.
     Live,
-    /// A call to a plain service.
+    /// A call to a plain HTTP service.
     Plain,
     /// An item of a lot.
     Bulk,
 }
 
 impl ServedClass {
-    /// The label value.
+    /// Returns the value of the `class` label.
     pub fn as_str(self) -> &'static str {
         match self {
             ServedClass::Live => "live",
@@ -40,8 +40,8 @@
 
 /// All metrics of a daemon.
 ///
-/// Label values are customers, classes and fixed words: all bounded by the
-/// settings, none chosen by a caller.
+/// Label values are customers, classes and fixed words. The settings bound their
+/// number, and callers can't choose any of them.
 #[derive(Clone, Debug)]
 pub struct DaemonMetrics {
     registry: Registry,
@@ -57,7 +57,7 @@
 }
 
 impl DaemonMetrics {
-    /// Registers all metrics.
+    /// Registers all metrics. Fails if two have the same name.
     pub fn new() -> anyhow::Result<Self> {
         let registry = Registry::new();
         let histogram = |name: &str, help: &str| -> anyhow::Result<HistogramVec> {
@@ -111,47 +111,47 @@
         })
     }
 
-    /// Records the wait for the first token.
+    /// Records the time from a request's arrival to its first token.
     pub fn first_token(&self, customer: &str, class: ServedClass, wait: Duration) {
         observe(&self.first_token, customer, class, wait);
     }
 
-    /// Records a gap between two tokens.
+    /// Records the time between two tokens of an answer.
     pub fn between_tokens(&self, customer: &str, class: ServedClass, gap: Duration) {
         observe(&self.between_tokens, customer, class, gap);
     }
 
-    /// Records the wait before the first send.
+    /// Records the time from a request's arrival until it is first sent to a server.
     pub fn queue_wait(&self, customer: &str, class: ServedClass, wait: Duration) {
         observe(&self.queue_wait, customer, class, wait);
     }
 
-    /// Records a whole request.
+    /// Records the time from a request's arrival to the end of its answer.
     pub fn whole(&self, customer: &str, class: ServedClass, duration: Duration) {
         observe(&self.whole, customer, class, duration);
     }
 
-    /// Counts a refusal. `customer` is empty where no key was recognised.
+    /// Counts a refused request. `customer` is empty if the key wasn't recognised.
     pub fn refusal(&self, customer: &str, reason: &str) {
         self.refusals.with_label_values(&[customer, reason]).inc();
     }
 
-    /// Counts a further try.
+    /// Counts a further attempt at a request.
     pub fn retry(&self, reason: &str) {
         self.retries.with_label_values(&[reason]).inc();
     }
 
-    /// Sets a present value.
+    /// Sets the gauge called `name`.
     pub fn set(&self, name: &str, value: i64) {
         self.gauges.with_label_values(&[name]).set(value);
     }
 
-    /// Forgets the shares, so that removed customers don't stay.
+    /// Removes all share gauges, so that those of removed customers don't stay.
     pub fn clear_shares(&self) {
         self.shares.reset();
     }
 
-    /// Sets what the daemon holds of a customer's rate.
+    /// Sets the gauges for what the daemon holds of a customer's rate.
     pub fn set_share(&self, customer: &str, level: ShareLevel) {
         let parts = [
             ("slots", f64::from(level.slots)),
@@ -163,11 +163,11 @@
         }
     }
 
-    /// Everything in the text format of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::error!("metrics: can't be written: {error}");
+            log::error!("metrics: the metrics can't be encoded: {error}");
         }
         text
     }
@@ -189,8 +189,8 @@
     }
 }
 
-fn observe(family: &HistogramVec, customer: &str, class: ServedClass, span: Duration) {
+fn observe(family: &HistogramVec, customer: &str, class: ServedClass, duration: Duration) {
     family
         .with_label_values(&[customer, class.as_str()])
-        .observe(span.as_secs_f64());
+        .observe(duration.as_secs_f64());
 }
--- a/crates/daemon/src/operators/lot_routes.rs
+++ b/crates/daemon/src/operators/lot_routes.rs
@@ -1,11 +1,11 @@
-//! Lots of all customers: list, show, cancel.
+//! Routes for the lots (batch jobs) of all customers: list, show, cancel.
 
 use comfreyramp_http::{ErrorAnswer, Method, StatusCode};
 
 use super::{Answer, json};
 use crate::{callers::lot_answers::lot_error, shared::SharedState};
 
-/// Answers a request below `/lots`.
+/// Answers a request for `/lots` or a path below it.
 pub(super) async fn route(state: &SharedState, method: &Method, path: &str) -> Answer {
     let rest = path.trim_start_matches("/lots").trim_matches('/');
     match (method, rest.split_once('/')) {
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' door: settings, status, metrics, planned stop.
+//! The HTTP API for operators: settings, status, metrics, traces, lots, planned stop.
 
 mod lot_routes;
 mod settings_routes;
@@ -16,7 +16,7 @@
 
 use crate::{callers::methods::refuse_unless, shared::SharedState, traces::KEPT_TRACES};
 
-/// Answers one request at the operators' door.
+/// Answers a request to the operators' API.
 pub async fn answer(state: Arc<SharedState>, request: Request<Incoming>) -> Response<MessageBody> {
     match route(&state, request).await {
         Ok(response) => response,
@@ -45,8 +45,8 @@
         (Method::GET, "/status") => Ok(json(&status::fleet_status(state))),
         (Method::GET, path) if path.starts_with("/explain/") => explain(state, path),
         (Method::POST, "/drain") => {
-            log::info!("operators: a planned stop was asked for");
-            state.drain_asked.cancel();
+            log::info!("operators: a planned stop was requested");
+            state.drain_requested.cancel();
             Ok(json(&serde_json::json!({ "draining": true })))
         }
         (method, path) if path == "/lots" || path.starts_with("/lots/") => {
@@ -58,18 +58,18 @@
         _ => Err(ErrorAnswer::new(
             StatusCode::NOT_FOUND,
             "unknown_path",
-            format!("The operators' door has no {path}. See docs/API.md."),
+            format!("The operators' API has no {path}. See docs/API.md."),
         )),
     }
 }
 
-/// Tells what became of a request.
+/// Returns the trace of the request whose id the path names.
 fn explain(state: &SharedState, path: &str) -> Answer {
     let id = path.trim_start_matches("/explain/");
     let Some(trace) = state.traces.find(id) else {
         let text = format!(
-            "Daemon {} doesn't know this request. It keeps the last {KEPT_TRACES} of its own \
-             since it was started.",
+            "Daemon {} has no trace of this request. It keeps those of its last {KEPT_TRACES} \
+             requests since it was started.",
             state.settings.name
         );
         return Err(ErrorAnswer::new(
@@ -83,7 +83,8 @@
     Ok(json(&view))
 }
 
-/// The methods of a path. Paths that aren't known are left to their own answer.
+/// Returns the methods that a path allows, or none for paths that aren't known or
+/// that their route checks itself.
 fn allowed_methods(path: &str) -> Option<&'static str> {
     let segments: Vec<&str> = path.strip_prefix('/')?.split('/').collect();
     match segments.as_slice() {
@@ -96,16 +97,16 @@
 }
 
 fn check_token(state: &SharedState, headers: &HeaderMap) -> Result<(), ErrorAnswer> {
-    let shown = headers
+    let presented = headers
         .get(header::AUTHORIZATION)
         .and_then(|it| it.to_str().ok())
         .and_then(|it| it.strip_prefix("Bearer "))
         .unwrap_or_default();
     let expected = state.settings.operators_token.as_bytes();
-    if bool::from(shown.as_bytes().ct_eq(expected)) {
+    if bool::from(presented.as_bytes().ct_eq(expected)) {
         return Ok(());
     }
-    let text = "Show the operators' token as `Authorization: Bearer <token>`.";
+    let text = "Send the operators' token as `Authorization: Bearer <token>`.";
     Err(ErrorAnswer::new(
         StatusCode::UNAUTHORIZED,
         "wrong_token",
@@ -129,15 +130,15 @@
 }
 
 fn metrics(state: &SharedState) -> Response<MessageBody> {
-    set_present_values(state);
+    update_gauges(state);
     let mut response = Response::new(state.metrics.render().into());
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
     response
 }
 
-/// Sets the values that are known when they are asked for.
-fn set_present_values(state: &SharedState) {
+/// Updates the gauges whose values are computed only when metrics are requested.
+fn update_gauges(state: &SharedState) {
     let now = state.clock.now();
     let slots = state.bulk.slots(now);
     let open: u32 = slots.iter().map(|it| it.1.open).sum();
@@ -164,7 +165,7 @@
     Response::new(line.to_owned().into())
 }
 
-/// A JSON answer.
+/// Returns an answer with `value` as its JSON body.
 pub(crate) fn json(value: &impl serde::Serialize) -> Response<MessageBody> {
     let mut response = Response::new(json_body(value));
     let kind = HeaderValue::from_static("application/json");
--- a/crates/daemon/src/operators/settings_routes.rs
+++ b/crates/daemon/src/operators/settings_routes.rs
@@ -1,4 +1,4 @@
-//! Reading and changing the teams' subtrees.
+//! Routes for reading and changing the teams' settings subtrees.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,26 +21,28 @@
     shared::SharedState,
 };
 
-/// The platform holds values up to a megabyte.
-const SUBTREE_LIMIT: usize = 1_000_000;
+/// The largest subtree in bytes. The platform holds values of up to a megabyte.
+const MAX_SUBTREE_BYTES: usize = 1_000_000;
 
-/// The longest name of an operator and the longest id of a change.
-const LONGEST_NAME: usize = 64;
-/// The name of an operator who gave none.
-const NAMELESS: &str = "unknown";
-/// The header that makes a change that is sent again the same one.
+/// The greatest length of an operator's name, in characters, and of a change's id,
+/// in bytes.
+const MAX_NAME_LENGTH: usize = 64;
+/// The name recorded for an operator who gave none.
+const DEFAULT_OPERATOR_NAME: &str = "unknown";
+/// The header with the id of a change, by which a change that is sent again is
+/// recognised.
 const CHANGE_ID_HEADER: &str = "idempotency-key";
 
 /// A change of a team's subtree.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubtreeChange<'a> {
-    /// The revision that the operator saw, 0 for a new subtree.
+    /// The revision on which the change is based; 0 for a new subtree.
     revision: Revision,
-    /// Who makes the change.
+    /// The name of the operator who makes the change.
     #[serde(default)]
     by: Option<String>,
-    /// The whole subtree as it shall be.
+    /// The complete new subtree.
     #[serde(borrow)]
     settings: &'a RawValue,
 }
@@ -53,7 +55,7 @@
     settings: &'a RawValue,
 }
 
-/// Answers `/settings` and what is below it.
+/// Answers a request for `/settings` or a path below it.
 pub(super) async fn route(
     state: &Arc<SharedState>,
     method: Method,
@@ -85,7 +87,7 @@
         .store
         .range(range, 0)
         .await
-        .map_err(|it| unread(&it))?;
+        .map_err(|it| read_error(&it))?;
     let teams: Vec<_> = answer
         .pairs
         .iter()
@@ -99,7 +101,7 @@
 
 async fn read_team(state: &SharedState, team: &str) -> Answer {
     let answer = state.store.range(KeyRange::One(team_key(team)), 1).await;
-    let answer = answer.map_err(|it| unread(&it))?;
+    let answer = answer.map_err(|it| read_error(&it))?;
     let Some(pair) = answer.pairs.first() else {
         let text = format!("Team {team} has no settings yet. Write them with revision 0.");
         return Err(ErrorAnswer::new(
@@ -113,7 +115,7 @@
 
 fn view(team: &str, pair: &KeyValue) -> Answer {
     let settings: &RawValue = serde_json::from_slice(&pair.value).map_err(|error| {
-        let text = format!("The stored subtree of team {team} is no JSON: {error}");
+        let text = format!("The stored subtree of team {team} isn't valid JSON: {error}");
         ErrorAnswer::new(StatusCode::INTERNAL_SERVER_ERROR, "broken_subtree", text)
     })?;
     Ok(json(&SubtreeView {
@@ -126,7 +128,7 @@
 async fn check_team(state: &SharedState, team: &str, request: Request<Incoming>) -> Answer {
     check_team_name(team)?;
     let body = read_body(request).await?;
-    refuse_findings(state, team, &body)?;
+    check_settings(state, team, &body)?;
     Ok(json(&serde_json::json!({ "findings": [] })))
 }
 
@@ -136,11 +138,11 @@
     let body = read_body(request).await?;
     let change = read_change(&body)?;
     let value = Bytes::copy_from_slice(change.settings.get().as_bytes());
-    let settings = refuse_findings(state, team, &value)?;
+    let settings = check_settings(state, team, &value)?;
     let change = TeamChange {
         id: change_digest(&id, change.revision, &value),
         by: operator_name(change.by)?,
-        seen: change.revision,
+        base: change.revision,
         value,
         settings,
     };
@@ -151,59 +153,60 @@
     ))
 }
 
-/// Reads a change. A list is refused: it would be read as the fields in order.
+/// Parses a change. A JSON array is refused, since it would be parsed as the fields
+/// in their order.
 fn read_change(body: &Bytes) -> Result<SubtreeChange<'_>, ErrorAnswer> {
     const FORM: &str = "Send {\"revision\": n, \"by\": \"name\", \"settings\": {…}}";
     let refusal = |text: String| ErrorAnswer::new(StatusCode::BAD_REQUEST, "broken_json", text);
     if body.trim_ascii_start().first() != Some(&b'{') {
-        return Err(refusal(format!("{FORM}: this is no object.")));
+        return Err(refusal(format!("{FORM}: the body isn't a JSON object.")));
     }
     serde_json::from_slice(body).map_err(|error| {
-        // What the parser says may repeat a text of the body, and with it a
-        // key that stands in the wrong place. The place is enough.
+        // The parser's message may repeat text from the body, and with it a key in
+        // the wrong place. The line and column are enough.
         let (line, column) = (error.line(), error.column());
         refusal(format!("{FORM}: wrong at line {line}, column {column}."))
     })
 }
 
 fn operator_name(by: Option<String>) -> Result<String, ErrorAnswer> {
-    let by = by.unwrap_or_else(|| NAMELESS.to_owned());
+    let by = by.unwrap_or_else(|| DEFAULT_OPERATOR_NAME.to_owned());
     let count = by.chars().count();
-    if (1..=LONGEST_NAME).contains(&count) && !by.chars().any(char::is_control) {
+    if (1..=MAX_NAME_LENGTH).contains(&count) && !by.chars().any(char::is_control) {
         return Ok(by);
     }
-    let text = format!("Give 1 to {LONGEST_NAME} printable characters as `by`.");
+    let text = format!("Give 1 to {MAX_NAME_LENGTH} printable characters as `by`.");
     Err(ErrorAnswer::new(StatusCode::BAD_REQUEST, "bad_operator_name", text).param("by"))
 }
 
-/// What a change is recognised by. Its content is part of it: an operator who
-/// uses an id twice must not be told that the second change took effect when
-/// only the first one did.
-fn change_digest(id: &str, seen: Revision, value: &Bytes) -> String {
+/// Returns the digest by which a change is recognised. It covers the content: an
+/// operator who uses an id twice must not be told that the second change took effect
+/// when only the first one did.
+fn change_digest(id: &str, base: Revision, value: &Bytes) -> String {
     let mut digest = Sha256::new();
     digest.update(id.as_bytes());
     digest.update([0]);
-    digest.update(seen.to_be_bytes());
+    digest.update(base.to_be_bytes());
     digest.update(value);
     hex::encode(&digest.finalize()[..16])
 }
 
-/// The id of a change: the operator's own, or one that nobody else has.
+/// Returns the id of a change: the operator's, or a new unique one.
 fn change_id(state: &SharedState, headers: &HeaderMap) -> Result<String, ErrorAnswer> {
     let Some(value) = headers.get(CHANGE_ID_HEADER) else {
         let number: u128 = rand::random();
         return Ok(format!("{}-{number:032x}", state.settings.name));
     };
     let id = value.to_str().unwrap_or_default();
-    if (1..=LONGEST_NAME).contains(&id.len()) {
+    if (1..=MAX_NAME_LENGTH).contains(&id.len()) {
         return Ok(id.to_owned());
     }
-    let text = format!("Give 1 to {LONGEST_NAME} printable characters as `Idempotency-Key`.");
+    let text = format!("Give 1 to {MAX_NAME_LENGTH} printable characters as `Idempotency-Key`.");
     Err(ErrorAnswer::new(StatusCode::BAD_REQUEST, "bad_change_id", text).param("idempotency-key"))
 }
 
 async fn read_body(request: Request<Incoming>) -> Result<Bytes, ErrorAnswer> {
-    collect_limited(request.into_body(), SUBTREE_LIMIT)
+    collect_limited(request.into_body(), MAX_SUBTREE_BYTES)
         .await
         .map_err(|error| {
             ErrorAnswer::new(
@@ -214,8 +217,9 @@
         })
 }
 
-/// Checks a subtree as a whole, and against what other teams have.
-fn refuse_findings(
+/// Checks a subtree by itself and against those of the other teams. Returns the parsed
+/// settings, or an error answer that lists the findings.
+fn check_settings(
     state: &SharedState,
     team: &str,
     value: &Bytes,
@@ -240,15 +244,17 @@
     if !team.is_empty() && team.len() <= 64 && team.chars().all(fits) {
         return Ok(());
     }
-    let text = format!("{team:?} is no team name: use 1 to 64 of a-z, 0-9 and -.");
+    let text = format!("{team:?} isn't a valid team name: use 1 to 64 of a-z, 0-9 and -.");
     Err(ErrorAnswer::new(StatusCode::BAD_REQUEST, "bad_team_name", text).param("team"))
 }
 
-pub(super) fn unread(error: &StoreError) -> ErrorAnswer {
-    unwritten(error, RunState::No)
+/// Returns the answer for a read that the platform failed.
+pub(super) fn read_error(error: &StoreError) -> ErrorAnswer {
+    platform_error(error, RunState::No)
 }
 
-pub(super) fn unwritten(error: &StoreError, ran: RunState) -> ErrorAnswer {
+/// Returns the answer for a platform error. `ran` says whether a write took effect.
+pub(super) fn platform_error(error: &StoreError, ran: RunState) -> ErrorAnswer {
     let text = format!("The platform didn't answer: {error}");
     ErrorAnswer::new(
         StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -1,15 +1,15 @@
-//! What the daemon knows of the fleet, for one screen.
+//! A summary of the fleet's state as this daemon knows it.
 
 use comfreyramp_policy::{ServerId, Timestamp};
 use serde::Serialize;
 
 use crate::{lot_work::SlotView, server_pool::ServerView, shared::SharedState};
 
-/// The age from which a view of the settings counts as old, in milliseconds.
-/// While all is well it is up to 3 s. See docs/FRESHNESS.md.
-const OLD_VIEW_MS: u64 = 5000;
+/// The age in milliseconds from which the view of the settings is reported as
+/// degraded. Without failures it is up to 3 s. See docs/FRESHNESS.md.
+const STALE_VIEW_MS: u64 = 5000;
 
-/// The fleet as one daemon sees it.
+/// The state of the fleet as seen by one daemon.
 #[derive(Debug, Serialize)]
 pub(super) struct FleetStatus {
     daemon: String,
@@ -22,7 +22,7 @@
     customers: usize,
     services: usize,
     servers: Vec<ServerStatus>,
-    /// What isn't as it should be, a sentence each.
+    /// The problems found, a sentence each.
     degraded: Vec<String>,
 }
 
@@ -31,11 +31,11 @@
 struct ServerStatus {
     #[serde(flatten)]
     view: ServerView,
-    /// None at a daemon that isn't the server's home.
+    /// The slots for bulk work; none if this daemon isn't the server's home.
     bulk: Option<SlotView>,
 }
 
-/// Gathers the status.
+/// Returns the current status.
 pub(super) fn fleet_status(state: &SharedState) -> FleetStatus {
     let now = state.clock.now();
     let snapshot = state.snapshot();
@@ -44,7 +44,7 @@
         region: state.settings.region.clone(),
         zone: state.settings.zone.clone(),
         ready: state.is_ready(),
-        draining: state.drain_asked.is_cancelled(),
+        draining: state.drain_requested.is_cancelled(),
         settings_revision: snapshot.revision,
         settings_age_ms: state.settings_age(now).as_millis() as u64,
         customers: snapshot.customers.len(),
@@ -83,10 +83,10 @@
     fn find_degraded(&self) -> Vec<String> {
         let mut found = Vec::new();
         if self.draining {
-            found.push("the daemon finishes what it has and stops".to_owned());
+            found.push("the daemon finishes its requests and stops".to_owned());
         } else if self.settings_revision == 0 {
             found.push("the daemon has no settings yet and refuses all callers".to_owned());
-        } else if self.settings_age_ms > OLD_VIEW_MS {
+        } else if self.settings_age_ms > STALE_VIEW_MS {
             let seconds = self.settings_age_ms / 1000;
             found.push(format!(
                 "the settings are {seconds} s old: nobody in reach has the platform"
@@ -97,7 +97,9 @@
             if *state != "live" {
                 found.push(format!("server {name} is {state} and gets no new work"));
             } else if !server.view.is_usable() {
-                found.push(format!("server {name} failed too often and rests"));
+                found.push(format!(
+                    "server {name} failed too often and gets no requests for now"
+                ));
             }
         }
         found
--- a/crates/daemon/src/operators/team_history.rs
+++ b/crates/daemon/src/operators/team_history.rs
@@ -1,34 +1,34 @@
-//! Who changed a team's subtree, when and what. See docs/SETTINGS.md.
+//! The history of changes to a team's settings subtree. See docs/SETTINGS.md.
 
 use comfreyramp_http::{ErrorAnswer, StatusCode};
 use comfreyramp_settings::{ChangeHistory, SettingsDifference};
 use comfreyramp_store::{KeyRange, KeyValue, PlatformStore, Revision};
 use serde::Serialize;
 
-use super::settings_routes::unread;
+use super::settings_routes::read_error;
 use crate::{
     settings_keeper::{history_key, team_key},
     shared::SharedState,
 };
 
-/// One change as operators see it.
+/// A change in the form in which operators see it.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct ChangeView {
-    /// The revision that it led to.
+    /// The revision that the change led to.
     pub(super) revision: Revision,
-    /// Who made it.
+    /// The operator who made it.
     pub(super) by: String,
-    /// When, in milliseconds since 1970.
+    /// When it was made, in milliseconds since 1970.
     pub(super) at_ms: u64,
-    /// The revision that it replaced.
+    /// The revision of the subtree that it replaced.
     pub(super) replaced: Revision,
-    /// What it changed.
+    /// The differences it made.
     pub(super) differences: Vec<SettingsDifference>,
-    /// How many further differences were not kept.
+    /// The number of further differences, which were not recorded.
     pub(super) more: usize,
 }
 
-/// A team's history as operators see it, newest change first.
+/// A team's history in the form in which operators see it, newest change first.
 #[derive(Debug, Serialize)]
 pub(super) struct HistoryView {
     team: String,
@@ -36,14 +36,14 @@
     changes: Vec<ChangeView>,
 }
 
-/// What the platform holds of a team.
+/// A team's subtree and its history as the platform's store has them.
 #[derive(Debug, Default)]
 pub(super) struct StoredTeam {
-    /// The subtree.
+    /// The subtree; none if it was never written.
     pub(super) subtree: Option<KeyValue>,
-    /// Its history.
+    /// The history of the subtree.
     pub(super) history: ChangeHistory,
-    /// The revision at which the history was written, 0 if there is none.
+    /// The revision at which the history was written; 0 if there is none.
     pub(super) history_revision: Revision,
 }
 
@@ -52,13 +52,14 @@
     pub(super) async fn read(state: &SharedState, team: &str) -> Result<Self, ErrorAnswer> {
         let subtree = state.store.range(KeyRange::One(team_key(team)), 1);
         let history = state.store.range(KeyRange::One(history_key(team)), 1);
-        let (subtree, history) = tokio::try_join!(subtree, history).map_err(|it| unread(&it))?;
+        let (subtree, history) =
+            tokio::try_join!(subtree, history).map_err(|it| read_error(&it))?;
         let mut pairs = subtree.pairs;
         pairs.extend(history.pairs);
         Ok(Self::of_pairs(team, pairs))
     }
 
-    /// Takes what a transaction read back.
+    /// Parses the pairs that a transaction read back.
     pub(super) fn of_pairs(team: &str, pairs: Vec<KeyValue>) -> Self {
         let mut stored = StoredTeam::default();
         for pair in pairs {
@@ -66,8 +67,8 @@
                 stored.subtree = Some(pair);
             } else if pair.key == history_key(team) {
                 stored.history_revision = pair.modified;
-                // A history that can't be read must not keep an operator from
-                // changing the settings: it begins anew.
+                // A history that can't be read must not prevent operators from
+                // changing the settings, so an empty one replaces it.
                 stored.history = serde_json::from_slice(&pair.value).unwrap_or_else(|error| {
                     log::warn!("operators: the history of team {team} can't be read: {error}");
                     ChangeHistory::default()
@@ -77,12 +78,12 @@
         stored
     }
 
-    /// The revision of the subtree, 0 if there is none.
+    /// Returns the revision of the subtree; 0 if there is none.
     pub(super) fn revision(&self) -> Revision {
         self.subtree.as_ref().map_or(0, |it| it.modified)
     }
 
-    /// The changes from an index on, oldest first.
+    /// Returns the changes from index `from` on, oldest first.
     pub(super) fn views(&self, from: usize) -> Vec<ChangeView> {
         let changes = self.history.changes.iter().enumerate().skip(from);
         changes
@@ -98,7 +99,8 @@
     }
 }
 
-/// Reads a team's history.
+/// Reads a team's history. Fails if the team has no settings or the platform doesn't
+/// answer.
 pub(super) async fn read_history(
     state: &SharedState,
     team: &str,
--- a/crates/daemon/src/platform_link.rs
+++ b/crates/daemon/src/platform_link.rs
@@ -1,5 +1,5 @@
-//! The tasks that follow the platform: the settings through their link, the VM
-//! list by reading it.
+//! The tasks that fetch data from the platform: the settings, through
+//! [`SettingsLink`], and the VM list, by polling.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 
 use crate::{
     server_pool::ENTRY_GROUP,
-    settings_keeper::{SettingsKeeper, WholeRead},
+    settings_keeper::{SettingsManager, SettingsRead},
     settings_link::{LinkSettings, PeerSource, SettingsLink},
     shared::SharedState,
 };
@@ -19,7 +19,8 @@
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
 
 impl SharedState {
-    /// A link to the operators' settings by way of these peers.
+    /// Creates a link to the operators' settings that uses `peers` as further
+    /// sources beside the platform.
     pub fn settings_link<P: PeerSource>(
         &self,
         peers: P,
@@ -32,28 +33,30 @@
         SettingsLink::new(self.store.clone(), peers, self.clock, age, settings)
     }
 
-    /// How old the view of the settings may be.
+    /// Returns how long ago the settings in force were last known to be current.
     pub fn settings_age(&self, now: Timestamp) -> Duration {
         self.settings_age.age(now)
     }
 }
 
-/// Follows the operators' settings until `stop` is cancelled, and gives what
-/// is in force to the keeper.
+/// Follows the operators' settings until `stop` is cancelled, and sends each view
+/// in force to the [`SettingsManager`].
 pub async fn follow_settings<S: PlatformStore, P: PeerSource>(
     link: SettingsLink<S, P>,
-    keeper: Address<SettingsKeeper>,
+    manager: Address<SettingsManager>,
     stop: CancellationToken,
 ) -> anyhow::Result<()> {
     let mut in_force = link.in_force();
-    // After a restart of this task the keeper is told again what it has; it
-    // leaves what it has already.
+    // After a restart of this task the same view is sent once more; the receiver
+    // ignores subtrees that it already has.
     in_force.mark_changed();
     let publish = async {
         while in_force.changed().await.is_ok() {
             let view = in_force.borrow_and_update().clone();
             if view.revision > 0 {
-                keeper.send(WholeRead(RangeAnswer::from(&*view))).await?;
+                manager
+                    .send(SettingsRead(RangeAnswer::from(&*view)))
+                    .await?;
             }
         }
         Ok(())
@@ -64,7 +67,8 @@
     }
 }
 
-/// Follows the VM list until `stop` is cancelled.
+/// Polls the VM list until `stop` is cancelled, and passes it to the server pool
+/// and the rates.
 pub async fn follow_vms(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
     let mut ticks = tokio::time::interval(VM_LIST_INTERVAL);
     let mut failing = false;
@@ -78,10 +82,10 @@
             Ok(vms) => {
                 failing = false;
                 state.servers.update(&vms, &state.settings.zone, now);
-                state.rates.take_list(live_daemons(&vms));
+                state.rates.set_live_daemons(live_daemons(&vms));
             }
-            // What was listed last stays in use: an outage of the list says
-            // nothing about the VMs.
+            // The last list stays in use, because an outage of the list says
+            // nothing about the VMs. Only the first failure in a row is logged.
             Err(error) if !failing => {
                 failing = true;
                 log::warn!("platform: the VM list can't be read: {error}");
@@ -94,13 +98,13 @@
     }
 }
 
-/// The names of the daemons that are in service.
+/// Returns the names of the entry daemons whose VMs are live.
 fn live_daemons(vms: &[ListedVm]) -> Vec<String> {
     let daemons = vms.iter().filter(|vm| vm.group == ENTRY_GROUP);
     let live = daemons.filter(|vm| vm.state == VmState::Live);
     live.map(|vm| vm.name.clone()).collect()
 }
 
-fn millis(span: Duration) -> i64 {
-    i64::try_from(span.as_millis()).unwrap_or(i64::MAX)
+fn millis(duration: Duration) -> i64 {
+    i64::try_from(duration.as_millis()).unwrap_or(i64::MAX)
 }
--- a/crates/daemon/src/rates/board_state.rs
+++ b/crates/daemon/src/rates/limiter_state.rs
@@ -1,4 +1,4 @@
-//! What the board's lock guards.
+//! The rate limiter's state, which its lock guards.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,59 +14,62 @@
 
 use super::RosterView;
 
-/// How long a member must have been silent before it may be marked as expelled.
-const SILENCE: Duration = Duration::from_secs(5);
+/// How long a member must have been silent, that is without answers, before it may
+/// be marked as expelled.
+const MIN_SILENCE: Duration = Duration::from_secs(5);
 
-/// A daemon that this one has heard of.
+/// Another daemon, or this one at index 0, as far as it is known.
 #[derive(Clone, Debug, Default)]
 pub struct KnownDaemon {
     /// Its name.
     pub name: String,
-    /// Its zone's number, if it stands on a roster.
+    /// The number of the zone on whose roster it is an active member, if any.
     pub zone: Option<usize>,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub address: Option<SocketAddr>,
-    /// Since when it hasn't answered; nothing if it did when last asked.
+    /// Since when it hasn't answered; none if it answered the last request.
     pub silent_since: Option<Timestamp>,
 }
 
-/// What the board's lock guards. Nothing that runs under it can fail half-way.
+/// The state that the rate limiter's lock guards. No code that runs under the lock
+/// can fail half-way and leave the state inconsistent.
 #[derive(Debug)]
-pub(super) struct BoardState {
+pub(super) struct LimiterState {
     pub(super) name: String,
     pub(super) zone: String,
     pub(super) address: String,
     pub(super) incarnation: u64,
     pub(super) ledger: Option<ShareLedger>,
-    /// The daemons by id; this one is number 0.
+    /// The daemons by id; this one has id 0.
     pub(super) daemons: Vec<KnownDaemon>,
     pub(super) view: RosterView,
     /// When the view was last known to be current.
     pub(super) verified: Option<Timestamp>,
-    /// A revision of the rosters that a peer acts by.
-    pub(super) heard_revision: i64,
+    /// The highest revision of the rosters that a peer has reported.
+    pub(super) peer_revision: i64,
     pub(super) rates: Vec<CustomerRate>,
-    /// The daemons that the VM list names as live, if it could be read.
+    /// The daemons that the VM list names as live; empty if it couldn't be read.
     pub(super) listed: Vec<String>,
     pub(super) watch: ExpulsionWatch,
     pub(super) leaving: bool,
 }
 
-/// A change of the own zone's roster that is about to be written.
+/// A change of this zone's roster that is about to be written.
 #[derive(Debug)]
 pub(super) struct PlannedChange {
-    /// The own zone.
+    /// The number of this daemon's zone.
     pub(super) zone: usize,
     pub(super) change: RosterChange,
-    /// The slots that had no holder before; a bit each.
-    pub(super) first: u64,
+    /// The slots that had no holder before, as a bit mask.
+    pub(super) first_held: u64,
     pub(super) batch: WriteBatch,
-    /// The slots that it gives away and that weren't on their way before.
+    /// The slots that the change gives away and that weren't being handed over
+    /// already.
     pub(super) given: Vec<u8>,
 }
 
-impl BoardState {
-    /// The id of the daemon called `name`, which gets one if it has none.
+impl LimiterState {
+    /// Returns the id of the daemon called `name`, and assigns one if it is new.
     pub(super) fn id_of(&mut self, name: &str) -> DaemonId {
         let found = self.daemons.iter().position(|daemon| daemon.name == name);
         let index = found.unwrap_or_else(|| {
@@ -80,14 +83,21 @@
         DaemonId(index as u32)
     }
 
-    /// The number of this daemon's zone, once it is on the list.
+    /// Returns the number of this daemon's zone, or none if the list of zones
+    /// doesn't have it yet.
     pub(super) fn own_zone(&self) -> Option<usize> {
         self.view.zone(&self.zone)
     }
 
-    /// Acts by a view that was current at `at`. The slots in `first` had no
-    /// holder before this daemon.
-    pub(super) fn apply(&mut self, view: RosterView, first: u64, at: Timestamp, now: Timestamp) {
+    /// Applies a view of the rosters that was current at `at`. The slots in
+    /// `first_held` had no holder before this daemon. Older views are ignored.
+    pub(super) fn apply(
+        &mut self,
+        view: RosterView,
+        first_held: u64,
+        at: Timestamp,
+        now: Timestamp,
+    ) {
         if view.revision < self.view.revision {
             return;
         }
@@ -98,13 +108,13 @@
             return;
         };
         if changed {
-            self.learn_members();
-            self.feed_ledger(own, first, now);
+            self.update_members();
+            self.update_ledger(own, first_held, now);
         }
         self.watch.note(&self.view.records[own].roster, now);
     }
 
-    /// The next change that the own zone's roster needs.
+    /// Returns the next change that this zone's roster needs, if any.
     fn next_change(&self, now: Timestamp) -> Option<RosterChange> {
         let roster = &self.view.records[self.own_zone()?].roster;
         if self.leaving {
@@ -117,19 +127,21 @@
             state: MemberState::Active,
         };
         let expulsion = LedgerTiming::default().expulsion;
-        let gone = |name: &str| self.is_gone(name);
+        let delisted = |name: &str| self.is_delisted(name);
         let silent = |name: &str| self.is_silent(name, now);
-        roster.next_change(&me, &self.watch, expulsion, gone, silent, now)
+        roster.next_change(&me, &self.watch, expulsion, delisted, silent, now)
     }
 
-    /// Plans the write of the next change, and notes the slots that it gives away.
+    /// Prepares the write of the next roster change, if one is needed, and records
+    /// in the ledger the slots that it gives away.
     pub(super) fn plan_change(&mut self, now: Timestamp) -> anyhow::Result<Option<PlannedChange>> {
         let Some((zone, change)) = self.own_zone().zip(self.next_change(now)) else {
             return Ok(None);
         };
-        // Another zone that still divides by fewer may use this one's part.
+        // Another zone that doesn't count this one yet divides the rate by fewer
+        // zones, and may still use this one's share of it.
         let is_alone = self.view.zones.len() == 1;
-        let first = match is_alone {
+        let first_held = match is_alone {
             true => change.roster.used & !self.view.records[zone].roster.used,
             false => 0,
         };
@@ -138,7 +150,7 @@
         Ok(Some(PlannedChange {
             zone,
             change,
-            first,
+            first_held,
             batch,
             given,
         }))
@@ -160,7 +172,8 @@
         fresh
     }
 
-    /// Goes on using slots: the write that would have given them away has not run.
+    /// Resumes the use of slots after the write that would have given them away
+    /// failed.
     pub(super) fn take_slots_back(&mut self, slots: &[u8], now: Timestamp) {
         if let Some(ledger) = &mut self.ledger {
             for slot in slots {
@@ -169,7 +182,7 @@
         }
     }
 
-    /// The other active members of the own zone.
+    /// Returns the other active members of this zone's roster.
     pub(super) fn zone_peers(&self) -> Vec<DaemonId> {
         let own = self.own_zone();
         let peers = self.daemons.iter().enumerate().skip(1);
@@ -177,19 +190,20 @@
         peers.map(|(index, _)| DaemonId(index as u32)).collect()
     }
 
-    /// Whether the VM list, where it could be read, no longer has a daemon.
-    pub(super) fn is_gone(&self, name: &str) -> bool {
+    /// Returns whether a daemon is missing from the VM list. False while the list
+    /// couldn't be read.
+    pub(super) fn is_delisted(&self, name: &str) -> bool {
         !self.listed.is_empty() && !self.listed.iter().any(|listed| listed == name)
     }
 
     fn is_silent(&self, name: &str, now: Timestamp) -> bool {
         let daemon = self.daemons.iter().find(|daemon| daemon.name == name);
         let since = daemon.and_then(|daemon| daemon.silent_since);
-        since.is_some_and(|since| now.since(since) >= SILENCE)
+        since.is_some_and(|since| now.since(since) >= MIN_SILENCE)
     }
 
-    /// Stops using all slots.
-    pub(super) fn stop_all(&mut self, now: Timestamp) {
+    /// Stops using all slots, before this daemon leaves the roster.
+    pub(super) fn release_all_slots(&mut self, now: Timestamp) {
         self.leaving = true;
         let Some(own) = self.own_zone() else {
             return;
@@ -201,7 +215,7 @@
         }
     }
 
-    fn learn_members(&mut self) {
+    fn update_members(&mut self) {
         for daemon in &mut self.daemons {
             daemon.zone = None;
         }
@@ -219,7 +233,7 @@
         self.view.records = records;
     }
 
-    fn feed_ledger(&mut self, own: usize, first: u64, now: Timestamp) {
+    fn update_ledger(&mut self, own: usize, first_held: u64, now: Timestamp) {
         let zones = self.view.zones.len();
         let peers = self.zone_peers();
         let holders: Vec<_> = (0..zones).map(|zone| self.holders(zone)).collect();
@@ -230,16 +244,17 @@
         });
         ledger.set_zones(zones);
         for (zone, holders) in holders.iter().enumerate() {
-            let first = if zone == own { first } else { 0 };
-            ledger.set_holders(zone, holders, first, now);
+            let first_held = if zone == own { first_held } else { 0 };
+            ledger.set_holders(zone, holders, first_held, now);
         }
         ledger.note_roster(self.view.records[own].modified, now);
         ledger.set_rates(&self.rates, now);
         ledger.set_members(&peers);
     }
 
-    /// The holder of each slot. Where the record names this daemon but not its
-    /// process, another one has taken its place, and it holds nothing.
+    /// Returns the holder of each slot of a zone. If the roster names this daemon
+    /// with another incarnation, another process has taken its place, and this
+    /// one holds no slot.
     fn holders(&self, zone: usize) -> [Option<DaemonId>; SLOTS] {
         let roster = &self.view.records[zone].roster;
         let current = roster.is_current(&self.name, self.incarnation) && !self.leaving;
--- a/crates/daemon/src/rates/peer_desk.rs
+++ b/crates/daemon/src/rates/peer_request_handler.rs
@@ -1,4 +1,4 @@
-//! What other daemons ask of this one.
+//! The handler of requests from other daemons.
 
 use std::sync::Arc;
 
@@ -16,27 +16,27 @@
     shared::SharedState,
 };
 
-/// Answers the other daemons.
+/// Answers requests of the other daemons.
 #[derive(Clone, Debug)]
-pub struct PeerDesk<S, P> {
+pub struct PeerRequestHandler<S, P> {
     state: Arc<SharedState>,
     settings: SettingsLink<S, P>,
 }
 
-impl<S, P> PeerDesk<S, P> {
-    /// A desk that answers for this daemon.
+impl<S, P> PeerRequestHandler<S, P> {
+    /// Creates a handler that answers from this daemon's state and settings.
     pub fn new(state: Arc<SharedState>, settings: SettingsLink<S, P>) -> Self {
-        PeerDesk { state, settings }
+        PeerRequestHandler { state, settings }
     }
 }
 
-impl<S: PlatformStore, P: PeerSource> PeerHandler for PeerDesk<S, P> {
+impl<S: PlatformStore, P: PeerSource> PeerHandler for PeerRequestHandler<S, P> {
     fn own_beat(&self) -> PeerBeat {
         self.state.own_beat()
     }
 
     fn take_beat(&self, beat: &PeerBeat) {
-        self.state.rates.take_beat(beat);
+        self.state.rates.record_heartbeat(beat);
     }
 
     fn rates(&self, from: &PeerBeat, ask: &RateAsk) -> RateAnswer {
@@ -61,7 +61,7 @@
     }
 
     fn suspects(&self, _from: &PeerBeat, _notice: SuspectNotice) -> NoticeAck {
-        // Nothing is noted, and the answer says so.
+        // The notice is not recorded; the empty acknowledgement says so.
         NoticeAck::default()
     }
 
@@ -76,8 +76,8 @@
 }
 
 impl SharedState {
-    /// What this daemon says of itself to others.
+    /// Returns the heartbeat that this daemon sends to others.
     pub fn own_beat(&self) -> PeerBeat {
-        self.rates.own_beat(self.snapshot().revision)
+        self.rates.own_heartbeat(self.snapshot().revision)
     }
 }
--- a/crates/daemon/src/rates/rate_board.rs
+++ b/crates/daemon/src/rates/rate_limiter.rs
@@ -1,4 +1,5 @@
-//! The ledger behind its lock, and the way of a request through it.
+//! The rate limiter: the share ledger behind a lock, and the admission of requests
+//! by it.
 
 use std::{
     net::SocketAddr,
@@ -20,33 +21,34 @@
 
 use crate::{clock::ProcessClock, shared::SharedState, snapshot::SettingsSnapshot};
 
-use super::{KnownDaemon, RosterView, board_state::BoardState};
+use super::{KnownDaemon, RosterView, limiter_state::LimiterState};
 
-/// How often the ledger ends what has lapsed and renews what is lent to it.
-const TICK: Duration = Duration::from_millis(250);
+/// How often the ledger removes expired loans and renews those it has borrowed.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// When a caller may come back while the rosters aren't known yet.
-const UNKNOWN_RETRY: Duration = Duration::from_secs(1);
+/// When a caller may retry while the rosters aren't known yet.
+const NO_ROSTER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The rates of all customers at this daemon.
+/// Applies the rates of all customers at this daemon.
 #[derive(Debug)]
-pub struct RateBoard {
+pub struct RateLimiter {
     pub(super) clock: ProcessClock,
-    state: Mutex<BoardState>,
+    state: Mutex<LimiterState>,
     link: OnceLock<PeerLink>,
     wake: Notify,
 }
 
-impl RateBoard {
-    /// A board that knows no rosters yet and lets nobody in.
+impl RateLimiter {
+    /// Creates a rate limiter that knows no rosters yet and so rejects all
+    /// requests.
     pub fn new(settings: &DaemonSettings, incarnation: Incarnation, clock: ProcessClock) -> Self {
         let own = KnownDaemon {
             name: settings.name.clone(),
             ..KnownDaemon::default()
         };
-        RateBoard {
+        RateLimiter {
             clock,
-            state: Mutex::new(BoardState {
+            state: Mutex::new(LimiterState {
                 name: settings.name.clone(),
                 zone: settings.zone.clone(),
                 address: settings.peers.to_string(),
@@ -55,7 +57,7 @@
                 daemons: vec![own],
                 view: RosterView::default(),
                 verified: None,
-                heard_revision: 0,
+                peer_revision: 0,
                 rates: Vec::new(),
                 listed: Vec::new(),
                 watch: Default::default(),
@@ -66,14 +68,14 @@
         }
     }
 
-    /// Connects the board with the other daemons, who reach it at `address`.
+    /// Sets the link to the other daemons, which reach this one at `address`.
     pub fn connect(&self, link: PeerLink, address: SocketAddr) {
         self.lock().address = address.to_string();
-        // A second link would be a second door; there is one.
+        // A daemon has one peer server, so a second link is never set.
         let _ = self.link.set(link);
     }
 
-    /// Whether the rosters are known, so that requests can be let in.
+    /// Returns whether the rosters are known well enough to admit requests.
     pub fn is_ready(&self) -> bool {
         let now = self.clock.now();
         let state = self.lock();
@@ -81,10 +83,12 @@
         ledger.is_some_and(|ledger| ledger.may_spend(now))
     }
 
-    /// Lets in a request of a customer, or says when to come back.
+    /// Admits a request of a customer, or fails with the time after which the
+    /// caller may retry.
     ///
-    /// A caller whose customer was created a moment ago may come before the
-    /// ledger has heard of it; then it takes the settings that let the key pass.
+    /// A request can arrive before the ledger knows its customer, if that was
+    /// created a moment ago. The ledger then takes the rates from `settings`, with
+    /// which the key was accepted.
     pub async fn admit(
         &self,
         customer: &str,
@@ -107,7 +111,7 @@
         }
     }
 
-    /// What this daemon holds of a customer's rate.
+    /// Returns what this daemon holds of a customer's rate.
     pub fn level(&self, customer: &str) -> ShareLevel {
         let state = self.lock();
         let ledger = state.ledger.as_ref();
@@ -116,13 +120,13 @@
         })
     }
 
-    /// Answers an ask of another daemon.
+    /// Answers a rate request of the daemon called `from`.
     pub fn handle(&self, from: &str, ask: &RateAsk) -> RateAnswer {
         let now = self.clock.now();
         let mut state = self.lock();
         let from = state.id_of(from);
         let Some(ledger) = &mut state.ledger else {
-            return unknown(ask);
+            return answer_without_ledger(ask);
         };
         let answer = ledger.handle(from, ask, now);
         drop(state);
@@ -130,13 +134,13 @@
         answer
     }
 
-    /// Takes the names of the daemons that the VM list shows as live.
-    pub fn take_list(&self, live: Vec<String>) {
+    /// Sets the names of the daemons that the VM list shows as live.
+    pub fn set_live_daemons(&self, live: Vec<String>) {
         self.lock().listed = live;
     }
 
-    /// What this daemon says of itself.
-    pub fn own_beat(&self, settings_revision: i64) -> PeerBeat {
+    /// Returns the heartbeat that this daemon sends to its peers.
+    pub fn own_heartbeat(&self, settings_revision: i64) -> PeerBeat {
         let now = self.clock.now();
         let state = self.lock();
         let view_age = state.verified.map(|at| now.since(at));
@@ -154,12 +158,12 @@
         }
     }
 
-    /// Takes in what another daemon said of itself.
-    pub fn take_beat(&self, beat: &PeerBeat) {
+    /// Records the heartbeat of another daemon.
+    pub fn record_heartbeat(&self, beat: &PeerBeat) {
         let mut state = self.lock();
         let id = state.id_of(&beat.member.name);
         let revision = beat.roster_revision;
-        state.heard_revision = state.heard_revision.max(revision);
+        state.peer_revision = state.peer_revision.max(revision);
         let daemon = &mut state.daemons[id.index()];
         daemon.silent_since = None;
         if let Ok(address) = beat.member.address.parse() {
@@ -167,7 +171,8 @@
         }
     }
 
-    /// The daemons on rosters, this one left out.
+    /// Returns the other daemons that are on rosters, and whether each is in the
+    /// same zone as this one.
     pub fn peers(&self) -> Vec<(DaemonId, KnownDaemon, bool)> {
         let state = self.lock();
         let own = state.own_zone();
@@ -180,17 +185,18 @@
         peers.collect()
     }
 
-    /// The link to the other daemons, and where one of them is reached.
-    pub fn way_to(&self, daemon: DaemonId) -> Option<(PeerLink, SocketAddr)> {
+    /// Returns the link to the other daemons and the address of one of them, or
+    /// none if either isn't known.
+    pub fn link_to(&self, daemon: DaemonId) -> Option<(PeerLink, SocketAddr)> {
         let address = self.lock().daemons.get(daemon.index())?.address?;
         Some((self.link.get()?.clone(), address))
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, BoardState> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, LimiterState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts the customers' rates as the settings in force say.
+    /// Sets the customers' rates from the settings in force.
     fn set_rates(&self, snapshot: &SettingsSnapshot) {
         let customers = snapshot.customers.iter();
         let rates = customers.map(|customer| CustomerRate {
@@ -207,7 +213,8 @@
         state.rates = rates;
     }
 
-    /// Confirms to the ledger what is known to be current, and ticks it.
+    /// Ticks the ledger and confirms to it up to when rosters and settings are known
+    /// to be current.
     fn tick(&self, settings_age: Duration) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -225,11 +232,11 @@
     }
 
     async fn borrow(&self, to: DaemonId, ask: TokenAsk, attempt: Attempt) -> Decision {
-        let Some((link, address)) = self.way_to(to) else {
+        let Some((link, address)) = self.link_to(to) else {
             return self.decide(|ledger, now| ledger.unreachable(attempt, now));
         };
-        let within = LedgerTiming::default().answer;
-        let answer = link.rates(address, RateAsk::Tokens(ask), within).await;
+        let timeout = LedgerTiming::default().answer;
+        let answer = link.rates(address, RateAsk::Tokens(ask), timeout).await;
         self.decide(|ledger, now| match answer {
             Ok(RateAnswer::Tokens(answer)) => ledger.take(attempt, answer, now),
             Err(PeerError::Unreachable(_)) => ledger.unreachable(attempt, now),
@@ -241,7 +248,7 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let Some(ledger) = &mut state.ledger else {
-            let retry_after = UNKNOWN_RETRY;
+            let retry_after = NO_ROSTER_RETRY_AFTER;
             return Decision::Refused { retry_after };
         };
         let decision = step(ledger, now);
@@ -257,12 +264,13 @@
     }
 
     async fn send(&self, message: Outgoing) {
-        let Some((link, address)) = self.way_to(message.to) else {
+        let Some((link, address)) = self.link_to(message.to) else {
             return;
         };
-        let within = LedgerTiming::default().answer;
-        // A lost message loses tokens for a moment; the ledger counts on that.
-        let Ok(RateAnswer::Slices(offers)) = link.rates(address, message.ask, within).await else {
+        let timeout = LedgerTiming::default().answer;
+        // A lost message makes tokens unavailable for a moment, which the ledger
+        // allows for.
+        let Ok(RateAnswer::Slices(offers)) = link.rates(address, message.ask, timeout).await else {
             return;
         };
         let now = self.clock.now();
@@ -272,8 +280,8 @@
     }
 }
 
-/// The answer of a daemon that has no ledger yet.
-fn unknown(ask: &RateAsk) -> RateAnswer {
+/// Returns the answer to a request that arrives before this daemon has a ledger.
+fn answer_without_ledger(ask: &RateAsk) -> RateAnswer {
     match ask {
         RateAsk::Tokens(_) => RateAnswer::Tokens(comfreyramp_policy::rates::TokenAnswer::Stale),
         RateAsk::Slices(_) => RateAnswer::Slices(Vec::new()),
@@ -281,9 +289,9 @@
     }
 }
 
-/// Ticks the ledger and gives it the rates in force, until `stop` is cancelled.
+/// Ticks the ledger and passes it the rates in force, until `stop` is cancelled.
 pub async fn run_ledger(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     let mut snapshots = state.snapshots.clone();
     snapshots.mark_changed();
     loop {
@@ -301,7 +309,7 @@
     }
 }
 
-/// Sends what the ledger wants sent, until `stop` is cancelled.
+/// Sends the ledger's messages to other daemons, until `stop` is cancelled.
 pub async fn send_messages(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
     loop {
         tokio::select! {
--- a/crates/daemon/src/rates/roster_keeper.rs
+++ b/crates/daemon/src/rates/roster_sync.rs
@@ -1,4 +1,4 @@
-//! The task that follows the rosters and keeps this daemon on its own.
+//! The task that follows the rosters and keeps this daemon on its zone's roster.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,33 +10,37 @@
 
 use crate::shared::SharedState;
 
-use super::{RosterView, board_state::PlannedChange};
+use super::{RosterView, limiter_state::PlannedChange};
 
-/// How often the rosters are confirmed.
+/// How often the daemon checks that its view of the rosters is current.
 const CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Above this age of the view a daemon asks the platform itself, and its peers
-/// for the age of theirs.
-const OLD_VIEW: Duration = Duration::from_millis(2_200);
+/// The age from which the view of the rosters is stale. A daemon with a stale view
+/// queries the platform itself, and its peers for the age of their views.
+const STALE_VIEW_AGE: Duration = Duration::from_millis(2_200);
 
 /// How long a peer may take to answer.
-const PEER_ANSWER: Duration = Duration::from_millis(500);
+const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Daemons that don't answer are asked again each time after so many rounds.
+/// After how many rounds of [`CONFIRM_INTERVAL`] silent daemons are probed again.
 const PROBE_ROUNDS: u64 = 10;
 
-/// The daemons of a zone that ask the platform; the others ask these.
-const WATCHERS: usize = 2;
+/// How many daemons of a zone query the platform. The others query these daemons.
+const WATCHERS_PER_ZONE: usize = 2;
 
-/// The most changes of the roster in a row; each needs the one before.
+/// The most roster changes in one round. Each depends on the one before.
 const MAX_CHANGES: usize = 6;
 
 /// Follows the rosters until `stop` is cancelled.
 ///
-/// The platform and the peers are asked side by side: in an outage a call of
-/// the platform may take seconds, and a daemon that doesn't hear of its peers
-/// meanwhile would stop for fear that it is alone in trouble.
-pub async fn keep_roster(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
+/// The platform and the peers are queried concurrently. In an outage a request to
+/// the platform may take seconds, and a daemon without answers from its peers in
+/// that time would stop admitting requests, because it couldn't tell the outage
+/// from being cut off alone.
+pub async fn run_roster_sync(
+    state: Arc<SharedState>,
+    stop: CancellationToken,
+) -> anyhow::Result<()> {
     tokio::select! {
         () = stop.cancelled() => {}
         () = follow_platform(&state) => {}
@@ -50,7 +54,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        if let Err(error) = step(state).await {
+        if let Err(error) = sync_rosters(state).await {
             log::debug!("rates: the rosters can't be followed: {error}");
         }
     }
@@ -62,45 +66,46 @@
     for round in 0_u64.. {
         ticks.tick().await;
         if let Some(watcher) = state.rates.watcher(&state.settings.zone) {
-            vouched(state, watcher).await;
+            confirm_by_watcher(state, watcher).await;
         }
-        if state.rates.age() > OLD_VIEW || state.rates.is_giving() {
-            ask_zone(state).await;
+        if state.rates.age() > STALE_VIEW_AGE || state.rates.is_giving() {
+            query_zone_peers(state).await;
         }
         probe(state, round.is_multiple_of(PROBE_ROUNDS)).await;
     }
 }
 
-/// Takes this daemon off the roster, before a planned stop.
+/// Removes this daemon from its zone's roster, before a planned stop. A failure is
+/// logged only.
 pub async fn leave_roster(state: &SharedState) {
     let now = state.clock.now();
-    state.rates.lock().stop_all(now);
+    state.rates.lock().release_all_slots(now);
     if let Err(error) = change_roster(state).await {
-        // The others find out that it is gone and free its slots themselves.
-        log::warn!("rates: the slots can't be given up: {error}");
+        // The other daemons detect that this one is gone and free its slots.
+        log::warn!("rates: this daemon's slots can't be released: {error}");
     }
-    ask_zone(state).await;
+    query_zone_peers(state).await;
 }
 
-async fn step(state: &SharedState) -> anyhow::Result<()> {
+async fn sync_rosters(state: &SharedState) -> anyhow::Result<()> {
     let rates = &state.rates;
     if rates.is_behind() {
-        read(state).await?;
+        read_rosters(state).await?;
     }
     if !rates.zones().contains(&state.settings.zone) {
         let batch = rates.lock().view.add_zone(&state.settings.zone)?;
         state.store.transact(batch).await?;
-        read(state).await?;
+        read_rosters(state).await?;
     }
     change_roster(state).await?;
-    if rates.watcher(&state.settings.zone).is_none() || rates.age() > OLD_VIEW {
-        check(state).await?;
+    if rates.watcher(&state.settings.zone).is_none() || rates.age() > STALE_VIEW_AGE {
+        check_rosters(state).await?;
     }
     Ok(())
 }
 
 /// Reads the rosters from the platform.
-async fn read(state: &SharedState) -> anyhow::Result<()> {
+async fn read_rosters(state: &SharedState) -> anyhow::Result<()> {
     let sent = state.clock.now();
     let answer = state.store.range(RosterView::range(), 0).await?;
     let view = RosterView::read(&answer)?;
@@ -109,18 +114,19 @@
     Ok(())
 }
 
-/// Asks the platform whether the rosters are still the same.
-async fn check(state: &SharedState) -> anyhow::Result<()> {
+/// Checks with the platform whether the rosters are unchanged, and reads them if
+/// not.
+async fn check_rosters(state: &SharedState) -> anyhow::Result<()> {
     let sent = state.clock.now();
     let batch = state.rates.lock().view.check();
     match state.store.transact(batch).await? {
         TransactionAnswer::Written(_) => state.rates.verify(sent),
-        TransactionAnswer::Refused { .. } => read(state).await?,
+        TransactionAnswer::Refused { .. } => read_rosters(state).await?,
     }
     Ok(())
 }
 
-/// Writes what has to change on the own zone's roster.
+/// Writes the changes that this zone's roster needs.
 async fn change_roster(state: &SharedState) -> anyhow::Result<()> {
     for _ in 0..MAX_CHANGES {
         let sent = state.clock.now();
@@ -130,12 +136,13 @@
         let PlannedChange {
             zone,
             change,
-            first,
+            first_held,
             batch,
             given,
         } = planned;
-        // If the answer is lost, the next read shows whether it was written.
-        // Slots got in such a write have to wait, as if they had been held.
+        // If the answer is lost, the next read shows whether the change was
+        // written. Slots that such a write assigned to this daemon have to wait,
+        // as if another daemon had held them.
         let answer = match state.store.transact(batch).await {
             Ok(answer) => answer,
             Err(error) => {
@@ -143,27 +150,28 @@
                     let now = state.clock.now();
                     state.rates.lock().take_slots_back(&given, now);
                 }
-                read(state).await?;
+                read_rosters(state).await?;
                 return Err(error.into());
             }
         };
         let now = state.clock.now();
         let TransactionAnswer::Written(revision) = answer else {
             state.rates.lock().take_slots_back(&given, now);
-            read(state).await?;
+            read_rosters(state).await?;
             continue;
         };
         log_change(&change, revision);
-        let mut board = state.rates.lock();
-        let view = board.view.with_roster(zone, change.roster, revision);
-        // Other zones' rosters may have changed meanwhile.
-        let at = board.verified.unwrap_or(Timestamp::ZERO);
-        board.apply(view, first, at, now);
+        let mut limiter = state.rates.lock();
+        let view = limiter.view.with_roster(zone, change.roster, revision);
+        // Other zones' rosters may have changed meanwhile, so the view isn't known
+        // to be any more recent.
+        let at = limiter.verified.unwrap_or(Timestamp::ZERO);
+        limiter.apply(view, first_held, at, now);
     }
     Ok(())
 }
 
-/// Notes slots that were handed over, and to whom.
+/// Logs how many slots were given to other daemons, and the first receiver.
 fn log_change(change: &RosterChange, revision: Revision) {
     if let Some((_, taker)) = change.given.first() {
         let slots = change.given.len();
@@ -171,60 +179,71 @@
     }
 }
 
-/// Asks a daemon that asks the platform how current its view is.
-async fn vouched(state: &SharedState, watcher: DaemonId) {
+/// Queries one of the zone's watchers, the daemons that query the platform, for the
+/// age of its view, and confirms the own view if the revisions are equal.
+async fn confirm_by_watcher(state: &SharedState, watcher: DaemonId) {
     let sent = state.clock.now();
-    let Some(beat) = beat(state, watcher).await else {
+    let Some(beat) = exchange_heartbeats(state, watcher).await else {
         return;
     };
-    let mut board = state.rates.lock();
-    if beat.roster_revision == board.view.revision {
-        board.verified = board.verified.max(Some(sent - beat.view_age));
+    let mut limiter = state.rates.lock();
+    if beat.roster_revision == limiter.view.revision {
+        limiter.verified = limiter.verified.max(Some(sent - beat.view_age));
     }
 }
 
-/// Asks all peers of the zone how current their views are.
-async fn ask_zone(state: &SharedState) {
+/// Queries all peers of the zone for the age of their views.
+async fn query_zone_peers(state: &SharedState) {
     let peers = state.rates.lock().zone_peers();
-    let asks = peers.into_iter().map(|peer| async move {
+    let queries = peers.into_iter().map(|peer| async move {
         let sent = state.clock.now();
-        let Some(beat) = beat(state, peer).await else {
+        let Some(beat) = exchange_heartbeats(state, peer).await else {
             return;
         };
-        let mut board = state.rates.lock();
-        if let Some(ledger) = &mut board.ledger {
+        let mut limiter = state.rates.lock();
+        if let Some(ledger) = &mut limiter.ledger {
             ledger.note_peer(peer, sent, sent - beat.view_age);
         }
     });
-    join_all(asks).await;
+    join_all(queries).await;
 }
 
-/// Finds out whether daemons that the VM list no longer has still answer, and
-/// now and then whether `silent` ones answer again.
+/// Probes the zone's daemons that are missing from the VM list and, if `silent` is
+/// set, those that didn't answer before.
 async fn probe(state: &SharedState, silent: bool) {
-    let doubtful = {
-        let board = state.rates.lock();
-        let mut peers = board.zone_peers();
+    let suspicious = {
+        let limiter = state.rates.lock();
+        let mut peers = limiter.zone_peers();
         peers.retain(|peer| {
-            let daemon = &board.daemons[peer.index()];
-            board.is_gone(&daemon.name) || silent && daemon.silent_since.is_some()
+            let daemon = &limiter.daemons[peer.index()];
+            limiter.is_delisted(&daemon.name) || silent && daemon.silent_since.is_some()
         });
         peers
     };
-    join_all(doubtful.into_iter().map(|peer| beat(state, peer))).await;
+    join_all(
+        suspicious
+            .into_iter()
+            .map(|peer| exchange_heartbeats(state, peer)),
+    )
+    .await;
 }
 
-async fn beat(state: &SharedState, peer: DaemonId) -> Option<comfreyramp_peers::PeerBeat> {
-    let (link, address) = state.rates.way_to(peer)?;
+/// Exchanges heartbeats with a peer and records whether it answered. Returns none if
+/// it didn't, or if another daemon answers at its address.
+async fn exchange_heartbeats(
+    state: &SharedState,
+    peer: DaemonId,
+) -> Option<comfreyramp_peers::PeerBeat> {
+    let (link, address) = state.rates.link_to(peer)?;
     let sent = state.clock.now();
-    let answer = link.beat(address, state.own_beat(), PEER_ANSWER).await;
+    let answer = link.beat(address, state.own_beat(), PEER_TIMEOUT).await;
     let now = state.clock.now();
-    let mut board = state.rates.lock();
-    let known = &mut board.daemons[peer.index()];
+    let mut limiter = state.rates.lock();
+    let known = &mut limiter.daemons[peer.index()];
     match answer {
         Ok(beat) if beat.member.name == known.name => {
             known.silent_since = None;
-            if let Some(ledger) = &mut board.ledger {
+            if let Some(ledger) = &mut limiter.ledger {
                 ledger.note_view(peer, beat.roster_revision, sent);
             }
             Some(beat)
@@ -236,19 +255,20 @@
     }
 }
 
-impl super::RateBoard {
-    /// The zones of the fleet.
+impl super::RateLimiter {
+    /// Returns the names of the fleet's zones, by number.
     pub fn zones(&self) -> Vec<String> {
         self.lock().view.zones.clone()
     }
 
-    /// How long ago the rosters were known to be current.
+    /// Returns how long ago the rosters were last known to be current.
     pub fn age(&self) -> Duration {
         let verified = self.lock().verified.unwrap_or(Timestamp::ZERO);
         self.clock.now().since(verified)
     }
 
-    /// Whether slots are on their way whose takers may not know yet.
+    /// Returns whether slots are being handed over whose receivers may not know of
+    /// it yet.
     fn is_giving(&self) -> bool {
         let now = self.clock.now();
         let state = self.lock();
@@ -256,21 +276,21 @@
         ledger.is_some_and(|ledger| ledger.is_giving(now))
     }
 
-    /// Whether the rosters have to be read: they never were, or a peer knows
-    /// newer ones.
+    /// Returns whether the rosters have to be read: they never were, or a peer has
+    /// reported a newer revision.
     fn is_behind(&self) -> bool {
         let state = self.lock();
-        state.view.revision == 0 || state.heard_revision > state.view.revision
+        state.view.revision == 0 || state.peer_revision > state.view.revision
     }
 
-    /// Notes that the platform has the same rosters.
+    /// Records that the platform had the same rosters at `sent`.
     fn verify(&self, sent: Timestamp) {
         let mut state = self.lock();
         state.verified = state.verified.max(Some(sent));
     }
 
-    /// The peer that asks the platform for this daemon too; nothing if this
-    /// daemon has to ask itself.
+    /// Returns the peer that queries the platform on behalf of this daemon, or none
+    /// if this daemon has to query it itself.
     fn watcher(&self, zone: &str) -> Option<DaemonId> {
         let state = self.lock();
         let own_score = member_score(zone, &state.name);
@@ -282,11 +302,12 @@
             }
         }
         ranked.sort_unstable_by(|one, other| other.cmp(one));
-        let watchers = &ranked[..WATCHERS.min(ranked.len())];
+        let watchers = &ranked[..WATCHERS_PER_ZONE.min(ranked.len())];
         if watchers.iter().any(|(_, id)| *id == DaemonId(0)) {
             return None;
         }
-        // Half of the zone asks either of them.
+        // By its score, each daemon picks one of the two watchers, so that half of
+        // the zone queries each.
         let choice = own_score as usize % watchers.len();
         watchers.get(choice).map(|(_, id)| *id)
     }
--- a/crates/daemon/src/rates/roster_view.rs
+++ b/crates/daemon/src/rates/roster_view.rs
@@ -1,44 +1,46 @@
-//! The rosters of all zones as they stand in the platform.
+//! A view of all zones' rosters in the platform's store.
 
 use bytes::Bytes;
 use comfreyramp_policy::rates::ZoneRoster;
 use comfreyramp_store::{Comparison, KeyRange, KeyValue, RangeAnswer, Revision, Write, WriteBatch};
 
-/// Where everything about rates stands in the platform's store.
+/// The prefix of all keys about rates in the platform's store.
 const RATES_PREFIX: &str = "/comfreyramp/rates/";
 /// The key of the list of zones.
 const ZONES_KEY: &str = "/comfreyramp/rates/zones";
 
-/// One zone's roster with the revision at which it was written; 0 if it wasn't.
+/// One zone's roster and the revision at which it was written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RosterRecord {
-    /// The roster.
+    /// The roster: the zone's daemons and their slots.
     pub roster: ZoneRoster,
-    /// When it was written.
+    /// The revision at which it was written; 0 if it never was.
     pub modified: Revision,
 }
 
 /// The zones of the fleet and their rosters, as of one revision.
 ///
-/// Zones are only ever added at the end, so a zone's number never changes.
+/// Zones are only ever appended, so a zone's number never changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RosterView {
-    /// The last revision at which any of it was written; 0 before the first.
+    /// The last revision at which any of the keys was written; 0 before the first
+    /// write.
     pub revision: Revision,
-    /// The zones, by number.
+    /// The names of the zones, by number.
     pub zones: Vec<String>,
     zones_modified: Revision,
-    /// The roster of each zone.
+    /// The roster of each zone, by the zone's number.
     pub records: Vec<RosterRecord>,
 }
 
 impl RosterView {
-    /// All keys that the view is made of.
+    /// Returns the range of all keys that the view consists of.
     pub fn range() -> KeyRange {
         KeyRange::Prefix(RATES_PREFIX.to_owned())
     }
 
-    /// The view that a read of [`RosterView::range`] shows.
+    /// Parses the answer to a read of [`RosterView::range`]. Fails if a value isn't
+    /// valid JSON.
     pub fn read(answer: &RangeAnswer) -> anyhow::Result<RosterView> {
         let mut view = RosterView::default();
         if let Some(pair) = find(answer, ZONES_KEY) {
@@ -57,13 +59,13 @@
         Ok(view)
     }
 
-    /// The number of a zone.
+    /// Returns the number of the zone called `name`.
     pub fn zone(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone == name)
     }
 
-    /// A transaction that writes nothing and succeeds only if nothing changed.
-    /// It is much smaller than a read.
+    /// Returns a transaction that writes nothing and succeeds only if nothing has
+    /// changed. It is much smaller than a read.
     pub fn check(&self) -> WriteBatch {
         let mut when = vec![unchanged(ZONES_KEY.to_owned(), self.zones_modified)];
         for (zone, record) in self.zones.iter().zip(&self.records) {
@@ -75,20 +77,20 @@
         }
     }
 
-    /// The write that adds a zone.
+    /// Returns the write that adds a zone, if the list of zones is unchanged.
     pub fn add_zone(&self, name: &str) -> anyhow::Result<WriteBatch> {
         let mut zones = self.zones.clone();
         zones.push(name.to_owned());
         put(ZONES_KEY.to_owned(), self.zones_modified, &zones)
     }
 
-    /// The write that replaces a zone's roster.
+    /// Returns the write that replaces a zone's roster, if that is unchanged.
     pub fn put_roster(&self, zone: usize, roster: &ZoneRoster) -> anyhow::Result<WriteBatch> {
         let record = &self.records[zone];
         put(roster_key(&self.zones[zone]), record.modified, roster)
     }
 
-    /// The view after a roster was written at `revision`.
+    /// Returns the view as it is after a roster was written at `revision`.
     pub fn with_roster(&self, zone: usize, roster: ZoneRoster, revision: Revision) -> RosterView {
         let mut view = self.clone();
         view.records[zone] = RosterRecord {
--- a/crates/daemon/src/rates/settings_peers.rs
+++ b/crates/daemon/src/rates/settings_peers.rs
@@ -1,4 +1,4 @@
-//! The settings from other daemons.
+//! The source of settings from other daemons.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,14 +8,14 @@
 
 use crate::settings_link::{PeerAnswer, PeerSilence, PeerSource, ViewChanges};
 
-use super::RateBoard;
+use super::RateLimiter;
 
-/// How long an answer may take beyond the time for which it may be held back.
-const ANSWER: Duration = Duration::from_millis(700);
+/// How long an answer may take beyond the time for which the peer may hold it back.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The daemons on the rosters as sources of the settings.
+/// Fetches the settings from the daemons that are on the rosters.
 #[derive(Clone, Debug)]
-pub struct SettingsPeers(pub Arc<RateBoard>);
+pub struct SettingsPeers(pub Arc<RateLimiter>);
 
 impl PeerSource for SettingsPeers {
     fn members(&self) -> Vec<FleetMember> {
@@ -39,25 +39,25 @@
         known: Revision,
         hold: Duration,
     ) -> Result<Option<PeerAnswer>, PeerSilence> {
-        let Some((link, address)) = self.0.way_to(peer) else {
+        let Some((link, address)) = self.0.link_to(peer) else {
             return Err(PeerSilence("its address isn't known".to_owned()));
         };
         let ask = SettingsAsk { known, hold };
-        let answer = link.settings(address, ask, hold + ANSWER).await;
+        let answer = link.settings(address, ask, hold + ANSWER_TIMEOUT).await;
         let answer = answer.map_err(|error| PeerSilence(error.to_string()))?;
         Ok(answer.map(|answer| PeerAnswer {
             offer: answer.offer,
             changes: ViewChanges {
                 base: answer.offer.base,
                 revision: answer.offer.revision,
-                written: answer.written.into_iter().map(pair_of).collect(),
+                written: answer.written.into_iter().map(to_key_value).collect(),
                 deleted: answer.deleted,
             },
         }))
     }
 }
 
-fn pair_of(pair: comfreyramp_peers::SettingsPair) -> KeyValue {
+fn to_key_value(pair: comfreyramp_peers::SettingsPair) -> KeyValue {
     KeyValue {
         key: pair.key,
         value: pair.value.into(),
--- a/crates/daemon/src/record_lease.rs
+++ b/crates/daemon/src/record_lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which records are kept for a day.
+//! The store lease that keeps records for a day.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -8,21 +8,22 @@
 use comfreyramp_policy::Timestamp;
 use comfreyramp_store::{LeaseId, PlatformStore, StoreError};
 
-/// How long a record is kept at least.
-pub(crate) const KEPT: Duration = Duration::from_secs(24 * 3600);
-/// How long one lease is given to new records. A lease for each record would
-/// double the calls to the platform.
-const USED: Duration = Duration::from_secs(3600);
+/// The shortest time for which a record is kept.
+pub(crate) const MIN_RETENTION: Duration = Duration::from_secs(24 * 3600);
+/// How long a lease is used for new records. A lease for each record would double
+/// the number of requests to the platform.
+const LEASE_REUSE_WINDOW: Duration = Duration::from_secs(3600);
 
-/// The lease for records written now. It isn't renewed, and lasts as long as the
-/// last of its records must.
+/// The lease for records that are written now. It isn't renewed: its lifetime
+/// covers the last record written under it.
 #[derive(Debug, Default)]
 pub(crate) struct RecordLease {
     held: Mutex<Option<(LeaseId, Timestamp)>>,
 }
 
 impl RecordLease {
-    /// The lease, a new one if the held one has been used for long enough.
+    /// Returns the current lease, or grants a new one if the current one has been
+    /// used for an hour. Fails with the error of the grant.
     pub(crate) async fn get<S: PlatformStore>(
         &self,
         store: &S,
@@ -30,23 +31,23 @@
     ) -> Result<LeaseId, StoreError> {
         let held = *self.held.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((lease, granted_at)) = held
-            && now.since(granted_at) < USED
+            && now.since(granted_at) < LEASE_REUSE_WINDOW
         {
             return Ok(lease);
         }
-        let lease = store.grant(KEPT + USED).await?;
+        let lease = store.grant(MIN_RETENTION + LEASE_REUSE_WINDOW).await?;
         *self.held.lock().unwrap_or_else(PoisonError::into_inner) = Some((lease, now));
         Ok(lease)
     }
 
-    /// The lease that was given last.
+    /// Returns the lease that was granted last, if it is still in use.
     pub(crate) fn held(&self) -> Option<LeaseId> {
         let held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         held.map(|it| it.0)
     }
 
-    /// Gives the lease up if the platform answered that it has lapsed. It would
-    /// refuse each further record until the hour is over.
+    /// Discards the lease if the platform answered that it has expired. Otherwise
+    /// each further record would be rejected until the hour is over.
     pub(crate) fn note<T>(&self, answer: &Result<T, StoreError>) {
         if matches!(answer, Err(StoreError::LeaseLapsed)) {
             *self.held.lock().unwrap_or_else(PoisonError::into_inner) = None;
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a daemon.
+//! Startup and shutdown of a daemon.
 
 use std::{
     net::SocketAddr,
@@ -25,8 +25,8 @@
     lot_work::run_lots,
     metrics::DaemonMetrics,
     operators, platform_link,
-    rates::{self, PeerDesk, SettingsPeers},
-    settings_keeper::SettingsKeeper,
+    rates::{self, PeerRequestHandler, SettingsPeers},
+    settings_keeper::SettingsManager,
     settings_link::SettingsLink,
     shared::{SharedParts, SharedState},
     snapshot::SettingsSnapshot,
@@ -34,23 +34,24 @@
     suspects::{NoSuspectPeers, run_suspects},
 };
 
-/// How long a daemon that is about to stop still answers while it says that it
-/// isn't ready. The balancer needs this long to notice; stopping to accept at
-/// once would refuse the callers it still sends.
-const NOT_READY_PAUSE: Duration = Duration::from_secs(1);
+/// How long a stopping daemon still accepts connections while it reports that it
+/// isn't ready. The load balancer needs this long to notice; if the daemon closed
+/// its listeners at once, callers that the balancer still sends would be refused.
+const NOT_READY_DELAY: Duration = Duration::from_secs(1);
 
-/// The addresses in use, for those who let the system choose the ports.
+/// The addresses that the daemon listens on, which differ from the settings where
+/// those leave the choice of a port to the system.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct BoundAddresses {
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// Where other daemons connect.
+    /// The address for other daemons.
     pub peers: SocketAddr,
 }
 
-/// A daemon whose doors are bound but not yet open.
+/// A daemon whose listeners are bound but not yet served.
 #[derive(Debug)]
 pub struct EntryDaemon {
     settings: DaemonSettings,
@@ -61,7 +62,8 @@
 }
 
 impl EntryDaemon {
-    /// Binds the doors and writes the addresses file.
+    /// Binds the listeners and writes the addresses file, if the settings name
+    /// one. Fails if an address can't be bound or the file can't be written.
     pub async fn bind(settings: DaemonSettings) -> anyhow::Result<EntryDaemon> {
         let callers = bind(settings.callers).await?;
         let operators = bind(settings.operators).await?;
@@ -83,12 +85,12 @@
         })
     }
 
-    /// The addresses in use.
+    /// Returns the addresses that the daemon listens on.
     pub fn addresses(&self) -> BoundAddresses {
         self.addresses
     }
 
-    /// Runs until `stop` is cancelled and all requests have ended.
+    /// Serves requests until `stop` is cancelled and all requests have ended.
     pub async fn run(self, stop: CancellationToken) -> anyhow::Result<()> {
         let (publisher, snapshots) = watch::channel(Arc::new(SettingsSnapshot::default()));
         let state = shared_state(self.settings, snapshots, stop.clone())?;
@@ -101,7 +103,7 @@
         let background = CancellationToken::new();
         let supervisor = start_background(&state, publisher, self.peers, &background)?;
         let closed = CancellationToken::new();
-        let start = start_number();
+        let start = start_time_ms();
         let shared = state.clone();
         let callers = serve(
             self.callers,
@@ -116,7 +118,7 @@
             closed.clone(),
             move |request| operators::answer(shared.clone(), request),
         );
-        tokio::join!(callers, operators, close_doors(&state, &stop, &closed));
+        tokio::join!(callers, operators, close_listeners(&state, &stop, &closed));
         rates::leave_roster(&state).await;
         background.cancel();
         supervisor.join().await;
@@ -125,19 +127,24 @@
     }
 }
 
-/// Closes the doors some time after `stop` was asked for.
-async fn close_doors(state: &SharedState, stop: &CancellationToken, closed: &CancellationToken) {
+/// Cancels `closed`, which closes the listeners, a fixed delay after `stop` is
+/// cancelled. See [`NOT_READY_DELAY`].
+async fn close_listeners(
+    state: &SharedState,
+    stop: &CancellationToken,
+    closed: &CancellationToken,
+) {
     stop.cancelled().await;
     log::info!("daemon: a planned stop begins");
     state.not_ready.store(true, Ordering::Relaxed);
-    tokio::time::sleep(NOT_READY_PAUSE).await;
+    tokio::time::sleep(NOT_READY_DELAY).await;
     closed.cancel();
 }
 
 fn shared_state(
     settings: DaemonSettings,
     snapshots: watch::Receiver<Arc<SettingsSnapshot>>,
-    drain_asked: CancellationToken,
+    drain_requested: CancellationToken,
 ) -> anyhow::Result<Arc<SharedState>> {
     let metrics = DaemonMetrics::new()?;
     Ok(Arc::new(SharedState::new(SharedParts {
@@ -150,7 +157,7 @@
             metrics.clone(),
         ),
         metrics,
-        drain_asked,
+        drain_requested,
         settings,
         snapshots,
     })))
@@ -163,67 +170,68 @@
     stop: &CancellationToken,
 ) -> anyhow::Result<Supervisor> {
     let mut supervisor = Supervisor::new("daemon", stop.clone());
-    let keeper = xtra::spawn_tokio(SettingsKeeper::new(publisher), Mailbox::unbounded());
+    let manager = xtra::spawn_tokio(SettingsManager::new(publisher), Mailbox::unbounded());
     let link = state.settings_link(SettingsPeers(state.rates.clone()));
-    open_peers(state, link.clone(), peers, stop)?;
-    supervisor.keep("settings", move |stop| {
-        platform_link::follow_settings(link.clone(), keeper.clone(), stop)
+    start_peer_link(state, link.clone(), peers, stop)?;
+    supervisor.supervise("settings", move |stop| {
+        platform_link::follow_settings(link.clone(), manager.clone(), stop)
     });
     let shared = state.clone();
-    supervisor.keep("vm-list", move |stop| {
+    supervisor.supervise("vm-list", move |stop| {
         platform_link::follow_vms(shared.clone(), stop)
     });
     let shared = state.clone();
-    supervisor.keep("claims", move |stop| run_claims(shared.clone(), stop));
+    supervisor.supervise("claims", move |stop| run_claims(shared.clone(), stop));
     let shared = state.clone();
-    supervisor.keep("queues", move |stop| run_start_queues(shared.clone(), stop));
+    supervisor.supervise("queues", move |stop| run_start_queues(shared.clone(), stop));
     let shared = state.clone();
-    supervisor.keep("suspects", move |stop| {
+    supervisor.supervise("suspects", move |stop| {
         run_suspects(shared.clone(), NoSuspectPeers, stop)
     });
     let shared = state.clone();
-    supervisor.keep("lots", move |stop| run_lots(shared.clone(), stop));
+    supervisor.supervise("lots", move |stop| run_lots(shared.clone(), stop));
     let shared = state.clone();
-    supervisor.keep("announcer", move |stop| run_announcer(shared.clone(), stop));
+    supervisor.supervise("announcer", move |stop| run_announcer(shared.clone(), stop));
     let shared = state.clone();
-    supervisor.keep("rosters", move |stop| {
-        rates::keep_roster(shared.clone(), stop)
+    supervisor.supervise("rosters", move |stop| {
+        rates::run_roster_sync(shared.clone(), stop)
     });
     let shared = state.clone();
-    supervisor.keep("rates", move |stop| rates::run_ledger(shared.clone(), stop));
+    supervisor.supervise("rates", move |stop| rates::run_ledger(shared.clone(), stop));
     let shared = state.clone();
-    supervisor.keep("rate-messages", move |stop| {
+    supervisor.supervise("rate-messages", move |stop| {
         rates::send_messages(shared.clone(), stop)
     });
     Ok(supervisor)
 }
 
-/// Opens the door for other daemons, and the way to them.
-fn open_peers<S: PlatformStore>(
+/// Starts the server for other daemons and the link to them.
+fn start_peer_link<S: PlatformStore>(
     state: &Arc<SharedState>,
     settings: SettingsLink<S, SettingsPeers>,
     listener: TcpListener,
     stop: &CancellationToken,
 ) -> anyhow::Result<()> {
-    let desk = PeerDesk::new(state.clone(), settings);
+    let handler = PeerRequestHandler::new(state.clone(), settings);
     let listener = listener.into_std()?;
     let address = listener.local_addr()?;
-    let (link, _) = PeerLink::start(listener, desk, LinkTiming::default(), stop.clone())?;
+    let (link, _) = PeerLink::start(listener, handler, LinkTiming::default(), stop.clone())?;
     state.announcer.connect(link.clone());
     state.rates.connect(link, address);
     Ok(())
 }
 
-/// A number that differs from one start of a daemon to the next, so that
-/// request ids never repeat.
-fn start_number() -> u64 {
+/// Returns the time of day in milliseconds. It differs between starts of a daemon,
+/// so that request ids never repeat.
+fn start_time_ms() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     since_epoch.as_millis() as u64
 }
 
-/// Written whole and then renamed, so that a reader never sees half of it.
+/// Writes the addresses to a temporary file and renames it to `path`, so that a
+/// reader never sees half of it.
 fn write_addresses(path: &Path, addresses: &BoundAddresses) -> anyhow::Result<()> {
     let unfinished = path.with_extension("unfinished");
     let text = serde_json::to_vec(addresses)?;
--- a/crates/daemon/src/settings_keeper.rs
+++ b/crates/daemon/src/settings_keeper.rs
@@ -1,4 +1,4 @@
-//! The actor that holds the settings in force and publishes them.
+//! The actor that holds the settings in force and publishes snapshots of them.
 
 use std::sync::Arc;
 
@@ -9,41 +9,42 @@
 
 use crate::snapshot::{SettingsNames, SettingsSnapshot, TeamEntry};
 
-/// Where the teams' subtrees stand in the platform's store.
+/// The key prefix of the teams' settings subtrees in the platform's store.
 pub const SETTINGS_PREFIX: &str = "/comfreyramp/settings/";
 
-/// The key of a team's subtree.
+/// Returns the key of a team's settings subtree.
 pub fn team_key(team: &str) -> String {
     format!("{SETTINGS_PREFIX}{team}")
 }
 
-/// Where the histories of the teams' subtrees stand. Not below
-/// [`SETTINGS_PREFIX`]: each daemon reads and watches all of that, and needs no
-/// history.
+/// The key prefix of the histories of the teams' subtrees. It isn't below
+/// [`SETTINGS_PREFIX`], because each daemon reads and watches all keys there and
+/// needs no history.
 const HISTORY_PREFIX: &str = "/comfreyramp/history/";
 
-/// The key of the history of a team's subtree.
+/// Returns the key of the history of a team's subtree.
 pub fn history_key(team: &str) -> String {
     format!("{HISTORY_PREFIX}{team}")
 }
 
-/// Holds the settings in force. Its mailbox orders all changes.
+/// Holds the settings in force. Changes arrive as messages and are applied one
+/// after the other.
 #[derive(Debug, Actor)]
-pub struct SettingsKeeper {
+pub struct SettingsManager {
     teams: Vec<TeamEntry>,
     revision: Revision,
     names: SettingsNames,
     publisher: watch::Sender<Arc<SettingsSnapshot>>,
 }
 
-/// All teams' subtrees as of one revision.
+/// The message that carries all teams' subtrees as of one revision.
 #[derive(Debug)]
-pub struct WholeRead(pub RangeAnswer);
+pub struct SettingsRead(pub RangeAnswer);
 
-impl SettingsKeeper {
-    /// A keeper without settings, which publishes through `publisher`.
+impl SettingsManager {
+    /// Creates the actor without settings. It publishes through `publisher`.
     pub fn new(publisher: watch::Sender<Arc<SettingsSnapshot>>) -> Self {
-        SettingsKeeper {
+        SettingsManager {
             teams: Vec::new(),
             revision: 0,
             names: SettingsNames::default(),
@@ -62,7 +63,8 @@
         self.publisher.send_replace(Arc::new(snapshot));
     }
 
-    /// Takes a pair unless a newer one of the same team is in force.
+    /// Applies a team's subtree unless the same or a newer one is in force. Returns
+    /// whether it was applied.
     fn take(&mut self, pair: &KeyValue) -> bool {
         let Some(entry) = read_team(pair) else {
             return false;
@@ -81,11 +83,12 @@
     }
 }
 
-impl Handler<WholeRead> for SettingsKeeper {
+impl Handler<SettingsRead> for SettingsManager {
     type Return = ();
 
-    async fn handle(&mut self, WholeRead(answer): WholeRead, _: &mut Context<Self>) {
-        // A view that was overtaken by another must not bring old settings back.
+    async fn handle(&mut self, SettingsRead(answer): SettingsRead, _: &mut Context<Self>) {
+        // Views can arrive out of order; an older one must not bring old settings
+        // back.
         if answer.revision < self.revision {
             return;
         }
@@ -104,7 +107,8 @@
     }
 }
 
-/// A subtree that can't be read stays out; the one in force before it stays in.
+/// Parses a team's subtree. Returns none if it can't be read; the team's previous
+/// subtree then stays in force.
 fn read_team(pair: &KeyValue) -> Option<TeamEntry> {
     let team = pair.key.strip_prefix(SETTINGS_PREFIX)?.to_owned();
     match TeamSettings::check(&pair.value) {
@@ -113,8 +117,8 @@
             revision: pair.modified,
             settings,
         }),
-        Err(problem) => {
-            log::error!("settings: the subtree of team {team} can't be read: {problem}");
+        Err(error) => {
+            log::error!("settings: the subtree of team {team} can't be read: {error}");
             None
         }
     }
--- a/crates/daemon/src/settings_link/follow.rs
+++ b/crates/daemon/src/settings_link/follow.rs
@@ -1,4 +1,4 @@
-//! Following the settings on the platform itself.
+//! Replication of the settings from the platform itself, by a watch.
 
 use std::time::Duration;
 
@@ -9,37 +9,39 @@
 
 use super::{PeerSource, SettingsLink, ViewChanges};
 
-/// How often a daemon that doesn't follow the platform looks whether it should.
-const IDLE_TICK: Duration = Duration::from_millis(100);
+/// How often a daemon that doesn't follow the platform checks whether it should.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl<S: PlatformStore, P: PeerSource> SettingsLink<S, P> {
-    /// Follows the platform for as long as, and whenever, the plan says so.
+    /// Follows the platform whenever, and for as long as, the plan says so. Failed
+    /// attempts are repeated with an exponential backoff.
     pub(super) async fn follow(&self) {
-        let mut pause = self.settings.first_pause;
+        let mut backoff = self.settings.initial_backoff;
         loop {
             if !self.should_follow() {
-                tokio::time::sleep(IDLE_TICK).await;
+                tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
                 continue;
             }
             let began = Instant::now();
             let ended = self.follow_once().await;
-            if ended.is_ok() || began.elapsed() > self.settings.longest_pause {
-                pause = self.settings.first_pause;
+            if ended.is_ok() || began.elapsed() > self.settings.max_backoff {
+                backoff = self.settings.initial_backoff;
             }
             let Err(error) = ended else {
                 continue;
             };
-            if pause == self.settings.first_pause {
+            if backoff == self.settings.initial_backoff {
                 log::warn!("settings: the platform can't be followed: {error}");
             }
-            tokio::time::sleep(self.spread(pause)).await;
-            pause = (pause * 2).min(self.settings.longest_pause);
+            tokio::time::sleep(self.jitter(backoff)).await;
+            backoff = (backoff * 2).min(self.settings.max_backoff);
         }
     }
 
-    /// Brings the view up to date and watches until something breaks or
-    /// others are to follow. When the platform has dropped the history that
-    /// the watch needs, the next round's check finds out what was missed.
+    /// Brings the view up to date and watches for changes until the watch fails or
+    /// the plan leaves it to other daemons to follow the platform. If the platform
+    /// has dropped the history that the watch needs, the check of the next attempt
+    /// finds the missed changes.
     async fn follow_once(&self) -> Result<(), StoreError> {
         self.check().await?;
         let next = self.revision() + 1;
@@ -56,7 +58,7 @@
                 batch = watch.next() => {
                     let batch = batch?;
                     let base = self.revision();
-                    self.take_watched(ViewChanges::of_watch(batch, base));
+                    self.apply_watched(ViewChanges::of_watch(batch, base));
                 }
                 _ = checks.tick() => {
                     if !self.should_follow() {
@@ -68,12 +70,12 @@
         }
     }
 
-    /// Makes sure that the view is current.
+    /// Checks that the view is current, and reads all settings if it isn't.
     ///
-    /// A watch whose connection died without a word, and one that the platform
-    /// holds back, look like one without news: a withdrawn key would work on
-    /// and nobody would notice. Reading the keys alone tells, for a few
-    /// kilobytes, whether anything is missing.
+    /// A watch whose connection broke without notice, or that the platform delays,
+    /// looks like a watch without changes: a withdrawn key would stay in force and
+    /// nobody would notice. Reading only the keys with their revisions costs a few
+    /// kilobytes and shows whether anything is missing.
     async fn check(&self) -> Result<(), StoreError> {
         let known = self.revision();
         if known == 0 {
@@ -81,19 +83,20 @@
         }
         let sent = self.clock.now();
         let keys = self.store.read_keys(self.range()).await?;
-        refuse_older(&keys, known)?;
-        if !self.take_check(&keys, sent) {
+        reject_older(&keys, known)?;
+        if !self.confirm_keys(&keys, sent) {
             return self.read_whole().await;
         }
         Ok(())
     }
 
-    /// Takes a read of the keys. Returns whether the view is the same.
-    fn take_check(&self, keys: &RangeAnswer, sent: Timestamp) -> bool {
+    /// Compares a read of the keys with the view, and marks the view as current if
+    /// they match. Returns whether they do.
+    fn confirm_keys(&self, keys: &RangeAnswer, sent: Timestamp) -> bool {
         let now = self.clock.now();
         let mut state = self.lock();
         if keys.revision < state.view.revision {
-            // The view moved on while the read was under way.
+            // The view has advanced beyond the read in the meantime.
             return true;
         }
         if !state.view.matches(keys) {
@@ -115,8 +118,8 @@
         let known = self.revision();
         let sent = self.clock.now();
         let answer = self.store.range(self.range(), 0).await?;
-        refuse_older(&answer, known)?;
-        self.take_read(answer.into(), sent);
+        reject_older(&answer, known)?;
+        self.apply_read(answer.into(), sent);
         Ok(())
     }
 
@@ -125,18 +128,21 @@
         self.lock().plan.should_follow(now)
     }
 
-    /// A pause between half of `pause` and all of it. Daemons that lost the
-    /// platform at the same moment would otherwise come back at the same one.
-    fn spread(&self, pause: Duration) -> Duration {
-        pause.mul_f64(self.lock().rng.random_range(0.5..=1.0))
+    /// Returns a random delay between half of `backoff` and all of it. Daemons that
+    /// lost the platform at the same moment would otherwise return at the same
+    /// moment.
+    fn jitter(&self, backoff: Duration) -> Duration {
+        backoff.mul_f64(self.lock().rng.random_range(0.5..=1.0))
     }
 }
 
-/// A platform whose revision is lower than one that it had before was restored
-/// from an old backup. Its settings are older than those in force, so they are
-/// not taken; the log and the growing age of the view tell the operators, who
-/// must write the settings again and raise the platform's revision.
-fn refuse_older(answer: &RangeAnswer, known: Revision) -> Result<(), StoreError> {
+/// Fails if the platform's revision is lower than a revision it had before.
+///
+/// The platform was then restored from an old backup, and its settings are older
+/// than those in force, so they are rejected. The log and the growing age of the
+/// view alert the operators, who must write the settings again and raise the
+/// platform's revision.
+fn reject_older(answer: &RangeAnswer, known: Revision) -> Result<(), StoreError> {
     if answer.revision >= known {
         return Ok(());
     }
--- a/crates/daemon/src/settings_link/link.rs
+++ b/crates/daemon/src/settings_link/link.rs
@@ -1,4 +1,4 @@
-//! What the link's tasks share.
+//! The settings link: the state that its tasks share, and the answers to peers.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -14,22 +14,23 @@
 use super::{PeerAnswer, PeerSource, SettingsAge, SettingsView, ViewChanges};
 use crate::{clock::ProcessClock, settings_keeper::SETTINGS_PREFIX};
 
-/// The bounds of the link.
+/// The timing of a settings link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkSettings {
-    /// The bounds of the decisions.
+    /// The limits by which [`WatchPlan`] decides.
     pub freshness: FreshnessSettings,
-    /// How often a follower of the platform checks that its view is current.
+    /// How often a daemon that follows the platform checks that its view is current.
     pub check_interval: Duration,
-    /// How long a peer may hold an answer back while it has nothing newer.
+    /// How long a peer may hold its answer back while it has no changes.
     pub hold: Duration,
-    /// How long a peer's answer may take on top of that.
-    pub ask_timeout: Duration,
-    /// The pause after a failed call of the platform, the first time.
-    pub first_pause: Duration,
-    /// The longest pause after a failed call of the platform.
-    pub longest_pause: Duration,
-    /// The daemon's score in its zone.
+    /// How long a peer's answer may take in addition to `hold`.
+    pub answer_timeout: Duration,
+    /// The delay after the first failed request to the platform. It doubles with
+    /// each further failure.
+    pub initial_backoff: Duration,
+    /// The longest delay after a failed request to the platform.
+    pub max_backoff: Duration,
+    /// The daemon's score, which ranks the daemons of its zone.
     pub own_score: u64,
     /// The seed of all random choices.
     pub seed: u64,
@@ -41,9 +42,9 @@
             freshness: FreshnessSettings::default(),
             check_interval: Duration::from_secs(1),
             hold: Duration::from_millis(800),
-            ask_timeout: Duration::from_millis(700),
-            first_pause: Duration::from_millis(200),
-            longest_pause: Duration::from_secs(2),
+            answer_timeout: Duration::from_millis(700),
+            initial_backoff: Duration::from_millis(200),
+            max_backoff: Duration::from_secs(2),
             own_score: 0,
             seed: 0,
         }
@@ -64,7 +65,7 @@
     }
 }
 
-/// What a short lock guards: decisions and view change together.
+/// The state behind the link's lock. The plan and the view change together.
 #[derive(Debug)]
 pub(super) struct LinkState {
     pub(super) plan: WatchPlan,
@@ -72,7 +73,7 @@
     pub(super) rng: StdRng,
 }
 
-/// The daemon's link to the settings. Clones share it.
+/// Replicates the operators' settings to this daemon. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct SettingsLink<S, P> {
     pub(super) store: S,
@@ -85,7 +86,7 @@
 }
 
 impl<S: PlatformStore, P: PeerSource> SettingsLink<S, P> {
-    /// A link without a view. `age` is kept up to date for the request path.
+    /// Creates a link without a view. It updates `age` for the request path.
     pub fn new(
         store: S,
         peers: P,
@@ -113,28 +114,29 @@
     pub async fn run(&self, stop: CancellationToken) {
         tokio::select! {
             () = self.follow() => {}
-            () = self.ask_peers() => {}
+            () = self.query_peers() => {}
             () = stop.cancelled() => {}
         }
     }
 
-    /// The view in force; its revision is 0 until one is good enough.
+    /// Returns a receiver of the view in force. Its revision is 0 until a view is
+    /// recent enough to serve requests with.
     pub fn in_force(&self) -> watch::Receiver<Arc<SettingsView>> {
         self.in_force.subscribe()
     }
 
-    /// Answers a peer that knows everything up to `known`, at once with news
-    /// and within `hold` without.
+    /// Answers a peer that knows everything up to `known`: immediately if there are
+    /// changes, otherwise within `hold`. Returns none without a view.
     ///
-    /// The age is told as of the ask's arrival, because the peer counts it
-    /// from before it asked.
+    /// The answer states the age of the view as of the query's arrival, because
+    /// the peer adds the time since it sent the query.
     pub async fn answer(&self, known: Revision, hold: Duration) -> Option<PeerAnswer> {
         let arrived = self.clock.now();
         let mut in_force = self.in_force.subscribe();
         if self.lock().view.changes_since(known).is_empty() {
-            let news = in_force.wait_for(|view| !view.changes_since(known).is_empty());
-            // Nothing new within the time is an answer as well.
-            let _ = tokio::time::timeout(hold, news).await;
+            let changed = in_force.wait_for(|view| !view.changes_since(known).is_empty());
+            // An answer without changes is sent after the timeout.
+            let _ = tokio::time::timeout(hold, changed).await;
         }
         let state = self.lock();
         let changes = state.view.changes_since(known);
@@ -150,8 +152,9 @@
         self.lock().view.revision
     }
 
-    /// Takes changes from the platform, which were asked for at `sent`.
-    pub(super) fn take_read(&self, changes: ViewChanges, sent: Timestamp) {
+    /// Applies changes read from the platform by a request sent at `sent`, unless
+    /// the plan rejects them.
+    pub(super) fn apply_read(&self, changes: ViewChanges, sent: Timestamp) {
         let now = self.clock.now();
         let mut state = self.lock();
         if state.plan.take_read(changes.revision, sent, now) {
@@ -159,21 +162,21 @@
         }
     }
 
-    /// Takes a message of the platform's watch.
-    pub(super) fn take_watched(&self, changes: ViewChanges) {
+    /// Applies a message of the platform's watch, unless the plan rejects it.
+    pub(super) fn apply_watched(&self, changes: ViewChanges) {
         let mut state = self.lock();
         if state.plan.take_watched(changes.revision) {
             self.apply(&mut state, changes);
         }
     }
 
-    /// Applies changes that the plan took, and publishes what is in force.
+    /// Applies changes that the plan accepted, and publishes the view.
     pub(super) fn apply(&self, state: &mut LinkState, changes: ViewChanges) {
         state.view.apply(changes);
         self.publish(state);
     }
 
-    /// Publishes the view once it is good enough, and each change of it.
+    /// Publishes the view if the plan finds it recent enough and it has changed.
     pub(super) fn publish(&self, state: &LinkState) {
         if let Some(view) = state.plan.view() {
             self.age.set(view);
@@ -190,12 +193,14 @@
         });
     }
 
-    /// Nothing that runs under this lock can fail half-way.
+    /// Locks the state. A poisoned lock is used anyway: no code that runs under it
+    /// can fail half-way.
     pub(super) fn lock(&self) -> MutexGuard<'_, LinkState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this daemon would say of its view now.
+    /// Returns the offer of its view that this daemon would send to a peer now, or
+    /// none without a view.
     pub fn offer(&self) -> Option<ViewOffer> {
         let now = self.clock.now();
         self.lock().plan.offer(0, now)
--- a/crates/daemon/src/settings_link/mod.rs
+++ b/crates/daemon/src/settings_link/mod.rs
@@ -1,18 +1,18 @@
-//! Following the operators' settings, from the platform or from other daemons.
+//! Replication of the operators' settings from the platform or from other daemons.
 //!
-//! [`SettingsLink`] drives the decisions of [`WatchPlan`]: it watches the
-//! platform while the plan says so, asks other daemons otherwise, and answers
-//! theirs. [`SettingsView`] is what it holds. The view in force is published
-//! once the plan calls it good enough to serve with.
+//! [`SettingsLink`] carries out the decisions of [`WatchPlan`]: it watches the
+//! platform while the plan says so, queries other daemons otherwise, and answers
+//! their queries. [`SettingsView`] is its copy of the settings. A view is
+//! published once the plan finds it recent enough to serve requests with.
 //!
 //! See `docs/FRESHNESS.md`.
 //!
 //! [`WatchPlan`]: comfreyramp_policy::WatchPlan
 
-mod ask;
 mod follow;
 mod link;
 mod peer_source;
+mod query;
 mod settings_age;
 mod settings_view;
 
--- a/crates/daemon/src/settings_link/peer_source.rs
+++ b/crates/daemon/src/settings_link/peer_source.rs
@@ -1,4 +1,4 @@
-//! The other daemons, as the settings link sees them.
+//! The settings link's interface to other daemons.
 
 use std::{future::Future, time::Duration};
 
@@ -7,28 +7,28 @@
 
 use super::ViewChanges;
 
-/// A peer gave no answer.
+/// The error of a peer that sent no answer, with the reason.
 #[derive(Debug, thiserror::Error)]
 #[error("no answer from the peer: {0}")]
 pub struct PeerSilence(pub String);
 
-/// What a peer answers.
+/// A peer's answer to a query for its view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAnswer {
-    /// What it says of its view.
+    /// The revision and age of the peer's view.
     pub offer: ViewOffer,
-    /// The changes that lead to it.
+    /// The changes that lead to the peer's view.
     pub changes: ViewChanges,
 }
 
-/// The way to the other daemons.
+/// Lists the other daemons and queries them for their view of the settings.
 pub trait PeerSource: Clone + Send + Sync + 'static {
-    /// The other daemons of the fleet, as far as they are known.
+    /// Returns the other daemons of the fleet, as far as they are known.
     fn members(&self) -> Vec<FleetMember>;
 
-    /// Asks a peer for its view, knowing everything up to `known`. The peer may
-    /// hold its answer back for `hold` while it has nothing newer. Nothing is
-    /// the answer of a peer that has no view yet.
+    /// Queries a peer for the changes of its view after the revision `known`. The
+    /// peer may hold its answer back for `hold` while it has none. The answer is
+    /// none if the peer has no view yet.
     fn ask(
         &self,
         peer: DaemonId,
@@ -37,7 +37,7 @@
     ) -> impl Future<Output = Result<Option<PeerAnswer>, PeerSilence>> + Send;
 }
 
-/// A daemon without peers: it follows the platform by itself.
+/// A source without peers, for a daemon that follows the platform alone.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoPeers;
 
--- a/crates/daemon/src/settings_link/ask.rs
+++ b/crates/daemon/src/settings_link/query.rs
@@ -1,4 +1,4 @@
-//! Asking other daemons for their view of the settings.
+//! Queries to other daemons for their view of the settings.
 
 use std::time::Duration;
 
@@ -7,21 +7,22 @@
 
 use super::{PeerAnswer, PeerSilence, PeerSource, SettingsLink};
 
-/// How often the plan is asked whether it is time to ask somebody.
-const ASK_TICK: Duration = Duration::from_millis(50);
+/// How often the task checks whether the plan wants a peer to be queried.
+const QUERY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl<S: PlatformStore, P: PeerSource> SettingsLink<S, P> {
-    /// Asks other daemons whenever the plan says so.
-    pub(super) async fn ask_peers(&self) {
+    /// Queries other daemons whenever the plan says so.
+    pub(super) async fn query_peers(&self) {
         loop {
-            match self.next_ask() {
-                Some(peer) => self.ask(peer).await,
-                None => tokio::time::sleep(ASK_TICK).await,
+            match self.next_peer() {
+                Some(peer) => self.query(peer).await,
+                None => tokio::time::sleep(QUERY_CHECK_INTERVAL).await,
             }
         }
     }
 
-    fn next_ask(&self) -> Option<DaemonId> {
+    /// Returns the peer to query now, if any.
+    fn next_peer(&self) -> Option<DaemonId> {
         let now = self.clock.now();
         if !self.lock().plan.is_ask_due(now) {
             return None;
@@ -33,35 +34,39 @@
         state.plan.next_ask(now, &mut state.rng)
     }
 
-    async fn ask(&self, peer: DaemonId) {
+    /// Queries a peer for the changes since the own view, and for its whole view if
+    /// the changes don't reach back to the own one.
+    async fn query(&self, peer: DaemonId) {
         let known = self.revision();
-        let hold = self.hold(peer);
+        let hold = self.hold_for(peer);
         let sent = self.clock.now();
-        let answer = self.ask_within(peer, known, hold).await;
-        if self.take_answer(peer, answer, sent) == Some(OfferVerdict::Gap) {
+        let answer = self.query_within(peer, known, hold).await;
+        if self.handle_answer(peer, answer, sent) == Some(OfferVerdict::Gap) {
             let sent = self.clock.now();
-            let whole = self.ask_within(peer, 0, Duration::ZERO).await;
-            self.take_answer(peer, whole, sent);
+            let whole = self.query_within(peer, 0, Duration::ZERO).await;
+            self.handle_answer(peer, whole, sent);
         }
     }
 
-    async fn ask_within(
+    async fn query_within(
         &self,
         peer: DaemonId,
         known: Revision,
         hold: Duration,
     ) -> Result<Option<PeerAnswer>, PeerSilence> {
-        let limit = hold + self.settings.ask_timeout;
-        let asked = tokio::time::timeout(limit, self.peers.ask(peer, known, hold));
-        asked
+        let limit = hold + self.settings.answer_timeout;
+        let answer = tokio::time::timeout(limit, self.peers.ask(peer, known, hold));
+        answer
             .await
-            .unwrap_or_else(|_| Err(PeerSilence(format!("nothing within {limit:?}"))))
+            .unwrap_or_else(|_| Err(PeerSilence(format!("it sent none within {limit:?}"))))
     }
 
-    /// With a fresh view a peer may wait for news. With an old one we want to
-    /// hear at once what it has, and of a silent peer whether it is back: the
-    /// wait for those that hang adds to the age of our view.
-    fn hold(&self, peer: DaemonId) -> Duration {
+    /// Returns how long a peer may hold its answer back while it has no changes.
+    ///
+    /// That is zero if the own view is stale, since any answer helps then, and for
+    /// a silent peer, to find out whether it is back: waiting for a peer that
+    /// hangs adds to the age of the own view.
+    fn hold_for(&self, peer: DaemonId) -> Duration {
         let now = self.clock.now();
         let state = self.lock();
         let age = state.plan.age(now);
@@ -73,7 +78,7 @@
         }
     }
 
-    fn take_answer(
+    fn handle_answer(
         &self,
         peer: DaemonId,
         answer: Result<Option<PeerAnswer>, PeerSilence>,
@@ -99,7 +104,8 @@
                 None
             }
         };
-        // Silence, too, can be what a start during an outage waited for.
+        // During an outage, a starting daemon may only serve with an old view after
+        // its peers turned out to be silent, so silence can complete a start, too.
         self.publish(&state);
         verdict
     }
--- a/crates/daemon/src/settings_link/settings_age.rs
+++ b/crates/daemon/src/settings_link/settings_age.rs
@@ -1,4 +1,4 @@
-//! How old the settings in force are, for the request path.
+//! The age of the settings in force, for the request path.
 
 use std::{
     sync::atomic::{AtomicI64, Ordering},
@@ -7,10 +7,11 @@
 
 use comfreyramp_policy::{Timestamp, ViewAge};
 
-/// When the settings were last known to be current, readable without a lock.
+/// The time at which the settings were last known to be current, readable without a
+/// lock.
 ///
-/// Microseconds after the origin of the process's clock. Signed, since a view
-/// from a peer can be older than the process.
+/// It is held in microseconds after the origin of the process's clock, and signed,
+/// since a view from a peer can be older than the process.
 #[derive(Debug)]
 pub struct SettingsAge {
     current: AtomicI64,
@@ -25,12 +26,12 @@
 }
 
 impl SettingsAge {
-    /// Takes note of when the view was current.
+    /// Records when the view was last known to be current.
     pub fn set(&self, view: ViewAge) {
         self.current.store(view.current_micros(), Ordering::Relaxed);
     }
 
-    /// How old the view is; without one, as old as can be.
+    /// Returns the age of the view, or the greatest possible age without one.
     pub fn age(&self, now: Timestamp) -> Duration {
         let current = self.current.load(Ordering::Relaxed);
         let now = i64::try_from(now.as_micros()).unwrap_or(i64::MAX);
--- a/crates/daemon/src/settings_link/settings_view.rs
+++ b/crates/daemon/src/settings_link/settings_view.rs
@@ -1,25 +1,25 @@
-//! The settings as of one revision.
+//! A copy of the settings as of one revision, and the changes between revisions.
 
 use comfreyramp_store::{KeyValue, RangeAnswer, Revision, WatchBatch};
 
-/// How many deletions are remembered for peers that are behind.
-const REMEMBERED_DELETIONS: usize = 256;
+/// How many deletions are kept for peers whose views are older.
+const MAX_KEPT_DELETIONS: usize = 256;
 
 /// The changes from one revision to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ViewChanges {
-    /// The revision they start from; 0 when they hold the whole view.
+    /// The revision they start from; 0 if they contain the whole view.
     pub base: Revision,
     /// The revision they lead to.
     pub revision: Revision,
-    /// The pairs written in between, as they are at the end.
+    /// The pairs written in between, with their final values.
     pub written: Vec<KeyValue>,
     /// The keys deleted in between.
     pub deleted: Vec<String>,
 }
 
 impl ViewChanges {
-    /// The changes of a watch's message that follows on `base`.
+    /// Returns the changes in a watch's message that follows the revision `base`.
     pub fn of_watch(batch: WatchBatch, base: Revision) -> Self {
         ViewChanges {
             base,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether nothing was changed.
+    /// Returns whether nothing was changed.
     pub fn is_empty(&self) -> bool {
         self.base > 0 && self.written.is_empty() && self.deleted.is_empty()
     }
@@ -46,33 +46,34 @@
     }
 }
 
-/// A deletion and the revision at which it was known at the latest.
+/// A deleted key and a revision at or after its deletion: the first one at which this
+/// daemon learned of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct DeletedKey {
     key: String,
     revision: Revision,
 }
 
-/// All pairs of the settings as of one revision, and what has changed lately.
+/// All key-value pairs of the settings as of one revision, and the recent deletions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettingsView {
-    /// The revision up to which everything is seen; 0 for no view.
+    /// The revision up to which all changes are included; 0 without a view.
     pub revision: Revision,
-    /// The pairs, by key.
+    /// The pairs, sorted by key.
     pairs: Vec<KeyValue>,
-    /// Deletions after `deletions_from`, oldest first.
+    /// The deletions after revision `deletions_from`, oldest first.
     deletions: Vec<DeletedKey>,
     deletions_from: Revision,
 }
 
 impl SettingsView {
-    /// The pairs, by key.
+    /// Returns the pairs, sorted by key.
     pub fn pairs(&self) -> &[KeyValue] {
         &self.pairs
     }
 
-    /// Applies changes that lead from this view, or from before it, to a later
-    /// one.
+    /// Applies changes that start at this view's revision or before and lead to a
+    /// later one.
     pub fn apply(&mut self, changes: ViewChanges) {
         let revision = changes.revision;
         if changes.base == 0 {
@@ -88,19 +89,21 @@
         self.revision = revision;
     }
 
-    /// Whether two views hold the same pairs, whatever their revisions.
+    /// Returns whether two views have the same pairs, whatever their revisions.
     pub fn is_same(&self, other: &SettingsView) -> bool {
         let own = self.pairs.iter().map(|it| (&it.key, it.modified));
         own.eq(other.pairs.iter().map(|it| (&it.key, it.modified)))
     }
 
-    /// Whether a read of the keys shows the same pairs.
+    /// Returns whether a read of the keys alone has the same keys at the same
+    /// revisions.
     pub fn matches(&self, keys: &RangeAnswer) -> bool {
         let own = self.pairs.iter().map(|it| (&it.key, it.modified));
         own.eq(keys.pairs.iter().map(|it| (&it.key, it.modified)))
     }
 
-    /// The changes after `base`, or the whole view where that isn't known.
+    /// Returns the changes after revision `base`, or the whole view if the deletions
+    /// since then aren't all known any more.
     pub fn changes_since(&self, base: Revision) -> ViewChanges {
         if base < self.deletions_from.max(1) {
             return ViewChanges {
@@ -112,8 +115,8 @@
         }
         let written = self.pairs.iter().filter(|it| it.modified > base);
         let deleted = self.deletions.iter().filter(|it| it.revision > base);
-        // One that was created again stands among the pairs, and whoever has
-        // it already must not lose it.
+        // A key that was created again is among the pairs. A peer that has it
+        // already must not delete it.
         let deleted = deleted.filter(|it| self.find(&it.key).is_err());
         ViewChanges {
             base,
@@ -126,7 +129,7 @@
     fn replace(&mut self, mut pairs: Vec<KeyValue>, revision: Revision) {
         pairs.sort_by(|one, other| one.key.cmp(&other.key));
         if self.revision == 0 {
-            // What was deleted before the first view is not known.
+            // Deletions before the first view are not known.
             self.deletions_from = revision;
         }
         let gone = self.pairs.iter().map(|it| &it.key);
@@ -140,20 +143,20 @@
 
     fn put(&mut self, pair: KeyValue) {
         match self.find(&pair.key) {
-            // A peer's changes may reach back to before this view.
-            Ok(place) if self.pairs[place].modified > pair.modified => {}
-            Ok(place) => self.pairs[place] = pair,
-            Err(place) => self.pairs.insert(place, pair),
+            // A peer's changes may start before this view's revision.
+            Ok(index) if self.pairs[index].modified > pair.modified => {}
+            Ok(index) => self.pairs[index] = pair,
+            Err(index) => self.pairs.insert(index, pair),
         }
     }
 
     fn delete(&mut self, key: String, revision: Revision) {
-        let Ok(place) = self.find(&key) else {
+        let Ok(index) = self.find(&key) else {
             return;
         };
-        self.pairs.remove(place);
+        self.pairs.remove(index);
         self.deletions.push(DeletedKey { key, revision });
-        if self.deletions.len() > REMEMBERED_DELETIONS {
+        if self.deletions.len() > MAX_KEPT_DELETIONS {
             let oldest = self.deletions.remove(0);
             self.deletions_from = self.deletions_from.max(oldest.revision);
         }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of a daemon share.
+//! State shared by all parts of a daemon.
 
 use std::sync::{
     Arc, Mutex,
@@ -20,79 +20,79 @@
     live_queue::{StartQueues, UrgencyRanks},
     lot_work::{DaemonLots, ServerGates},
     metrics::DaemonMetrics,
-    rates::RateBoard,
+    rates::RateLimiter,
     server_pool::ServerPool,
     settings_link::SettingsAge,
     snapshot::SettingsSnapshot,
-    suspects::{SuspectKeeper, SuspectRecords},
+    suspects::{SuspectManager, SuspectRecords},
     traces::TraceRing,
 };
 
-/// What all parts of a daemon share. The request path only reads snapshots and
-/// takes short locks.
+/// State shared by all parts of a daemon. The request path only reads snapshots
+/// and takes short locks.
 #[derive(Debug)]
 pub struct SharedState {
     /// The daemon's own settings.
     pub settings: DaemonSettings,
-    /// Its clock.
+    /// The monotonic clock that all timestamps refer to.
     pub clock: ProcessClock,
     /// The operators' settings in force.
     pub snapshots: watch::Receiver<Arc<SettingsSnapshot>>,
-    /// The backend servers.
+    /// The backend servers and their load.
     pub servers: ServerPool,
-    /// The client towards backend servers.
+    /// The HTTP client for requests to backend servers.
     pub client: HttpClient,
     /// The platform's key-value service.
     pub store: GatewayStore<DaemonMetrics>,
-    /// Files and lots.
+    /// The customers' files and lots (batch jobs).
     pub lots: DaemonLots,
-    /// The way of bulk work to the backend servers.
+    /// Limits the bulk work on the servers whose home is this daemon.
     pub bulk: ServerGates,
     /// The platform's VM list.
     pub vm_list: GatewayVmList<DaemonMetrics>,
-    /// What is counted.
+    /// The metrics served at `/metrics`.
     pub metrics: DaemonMetrics,
-    /// Tells homes of live requests on their way.
+    /// Notifies home daemons of live requests that are about to reach their servers.
     pub announcer: LiveAnnouncer,
-    /// The retries that the fleet can bear.
+    /// Limits retries, so that they can't overload the fleet.
     pub retry_budget: Mutex<RetryBudget>,
-    /// The customers' rates.
-    pub rates: Arc<RateBoard>,
-    /// What became of the last requests.
+    /// Applies the customers' rates.
+    pub rates: Arc<RateLimiter>,
+    /// The traces of the most recent requests.
     pub traces: TraceRing,
     /// The claims of calls that must not run twice.
     pub claims: Arc<ClaimKeeper>,
-    /// The habits of all keys.
+    /// The urgency ranks of all keys.
     pub ranks: UrgencyRanks,
     /// The live requests that wait for a server.
     pub queues: StartQueues,
-    /// What runs here and what is suspected.
-    pub suspects: Arc<SuspectKeeper>,
-    /// Suspects and trials as the platform keeps them.
+    /// The requests that run here and those suspected of crashing servers.
+    pub suspects: Arc<SuspectManager>,
+    /// The records of suspects and trials in the store.
     pub suspect_records: SuspectRecords<GatewayStore<DaemonMetrics>>,
     /// When the settings in force were last known to be current.
     pub settings_age: Arc<SettingsAge>,
-    /// Set once a planned stop begins: the daemon still answers, and says that
-    /// it is not ready.
+    /// Set when a planned stop begins: the daemon still answers requests but
+    /// reports that it is not ready.
     pub not_ready: AtomicBool,
-    /// Cancelled when an operator asks for a planned stop.
-    pub drain_asked: CancellationToken,
+    /// Cancelled when an operator requests a planned stop.
+    pub drain_requested: CancellationToken,
     next_request: AtomicU64,
 }
 
 impl SharedState {
-    /// Gathers the parts.
+    /// Creates the state with empty queues, traces and trackers.
     pub fn new(parts: SharedParts) -> Self {
         let clock = ProcessClock::default();
         let incarnation = Incarnation(rand::random());
-        let rates = Arc::new(RateBoard::new(&parts.settings, incarnation, clock));
+        let rates = Arc::new(RateLimiter::new(&parts.settings, incarnation, clock));
         SharedState {
             settings: parts.settings,
             clock,
             claims: Arc::new(ClaimKeeper::new(incarnation, clock)),
             ranks: UrgencyRanks::default(),
             queues: StartQueues::default(),
-            suspects: Arc::new(SuspectKeeper::new(incarnation, clock)),
+            suspects: Arc::new(SuspectManager::new(incarnation, clock)),
             suspect_records: SuspectRecords::new(parts.store.clone()),
             snapshots: parts.snapshots,
             servers: ServerPool::default(),
@@ -108,31 +108,32 @@
             traces: TraceRing::default(),
             settings_age: Arc::default(),
             not_ready: AtomicBool::new(false),
-            drain_asked: parts.drain_asked,
+            drain_requested: parts.drain_requested,
             next_request: AtomicU64::new(0),
         }
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn snapshot(&self) -> Arc<SettingsSnapshot> {
         self.snapshots.borrow().clone()
     }
 
-    /// A new request id, unique over the fleet and over restarts.
+    /// Returns a new request id, unique in the fleet and across restarts if
+    /// `start` differs for each start of the daemon.
     pub fn new_request_id(&self, start: u64) -> String {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!("{}-{start:x}-{number:x}", self.settings.name)
     }
 
-    /// Whether requests can be answered: settings and rosters are there and no
-    /// stop is planned.
+    /// Returns whether requests can be answered: the settings and the rosters are
+    /// known, and no planned stop has begun.
     pub fn is_ready(&self) -> bool {
         let known = self.snapshots.borrow().revision > 0 && self.rates.is_ready();
         known && !self.not_ready.load(Ordering::Relaxed)
     }
 }
 
-/// What [`SharedState::new`] needs.
+/// The arguments of [`SharedState::new`].
 #[derive(Debug)]
 pub struct SharedParts {
     /// The daemon's own settings.
@@ -143,8 +144,8 @@
     pub store: GatewayStore<DaemonMetrics>,
     /// The platform's VM list.
     pub vm_list: GatewayVmList<DaemonMetrics>,
-    /// What is counted.
+    /// The metrics served at `/metrics`.
     pub metrics: DaemonMetrics,
-    /// Cancelled when an operator asks for a planned stop.
-    pub drain_asked: CancellationToken,
+    /// Cancelled when an operator requests a planned stop.
+    pub drain_requested: CancellationToken,
 }
--- a/crates/daemon/src/snapshot.rs
+++ b/crates/daemon/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The settings in force, in the form that the request path reads.
+//! The settings in force, indexed for the request path.
 
 mod names;
 
@@ -9,25 +9,25 @@
 
 pub use names::NameArena;
 
-/// SHA-256 of a key.
+/// The SHA-256 hash of an API key.
 pub type KeyHash = [u8; 32];
 
 /// A customer as the request path sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CustomerEntry {
-    /// Its id, stable for the life of the process.
+    /// Its id, stable for the lifetime of the process.
     pub id: CustomerId,
-    /// The team that set it.
+    /// The team whose settings define it.
     pub team: String,
     /// Its name.
     pub name: String,
-    /// Requests a second over the whole fleet.
+    /// The rate limit over the whole fleet, in requests per second.
     pub rate: f64,
-    /// Requests at once over the whole fleet.
+    /// The most requests admitted at once over the whole fleet.
     pub burst: u32,
-    /// Its part of scarce capacity.
+    /// Its weight in the division of scarce capacity among customers.
     pub weight: f64,
-    /// What happens to its keys once the view of the settings is old.
+    /// What happens to its keys when the view of the settings is stale.
     pub when_cut: CutPolicy,
     /// Whether its lots may delay live work rather than miss their due time.
     pub lots_may_delay_live: bool,
@@ -36,24 +36,24 @@
 /// A service as the request path sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceEntry {
-    /// Its id, stable for the life of the process.
+    /// Its id, stable for the lifetime of the process.
     pub id: ServiceId,
-    /// The team that set it.
+    /// The team whose settings define it.
     pub team: String,
     /// Its settings.
     pub settings: ServiceSettings,
 }
 
-/// A key with the customer it belongs to.
+/// An API key, by its hash, and the customer it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyEntry {
     /// The key's hash.
     pub hash: KeyHash,
-    /// Its customer.
+    /// The customer it belongs to.
     pub customer: CustomerId,
 }
 
-/// One team's subtree as last accepted.
+/// One team's settings subtree in the version that was accepted last.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamEntry {
     /// The team's name.
@@ -67,7 +67,7 @@
 /// All settings in force, indexed. Every vector is sorted for binary search.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsSnapshot {
-    /// The highest revision in it.
+    /// The store revision up to which the settings are included; 0 for none.
     pub revision: i64,
     /// The teams' subtrees, by team.
     pub teams: Vec<TeamEntry>,
@@ -80,21 +80,21 @@
     prefixes: Vec<(String, ServiceId)>,
 }
 
-/// The names of one process with their ids.
+/// Assigns ids to customers and services for the lifetime of the process.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsNames {
-    /// Customers.
+    /// The ids of customers.
     pub customers: NameArena,
-    /// Services.
+    /// The ids of services.
     pub services: NameArena,
 }
 
 impl SettingsSnapshot {
-    /// Indexes the teams' subtrees.
+    /// Builds a snapshot from the teams' subtrees.
     ///
-    /// Where two teams claim the same customer, service, model or prefix, the
-    /// one that was written first keeps it: the later write must never take
-    /// over callers of another team.
+    /// If two teams define the same customer, service, model or prefix, the one
+    /// that was written first keeps it: a later write must never take over
+    /// callers of another team.
     pub fn build(revision: i64, mut teams: Vec<TeamEntry>, names: &mut SettingsNames) -> Self {
         let mut snapshot = SettingsSnapshot {
             revision,
@@ -115,10 +115,10 @@
         snapshot
     }
 
-    /// The customer whose key this is.
+    /// Returns the entry of a key, which names its customer.
     ///
-    /// The search compares hashes only, so that its duration tells nothing of
-    /// the key itself; the final comparison takes the same time for any input.
+    /// The search compares hashes only, so that its duration reveals nothing
+    /// about the key itself. The final comparison runs in constant time.
     pub fn customer_of_key(&self, key: &str) -> Option<KeyEntry> {
         let hash: KeyHash = Sha256::digest(key.as_bytes()).into();
         let index = self.keys.binary_search_by_key(&hash, |it| it.hash).ok()?;
@@ -126,26 +126,26 @@
         bool::from(entry.hash.ct_eq(&hash)).then_some(entry)
     }
 
-    /// Whether a key is still in force for its customer.
+    /// Returns whether a key still belongs to the same customer.
     pub fn holds_key(&self, entry: KeyEntry) -> bool {
         self.keys
             .binary_search_by_key(&entry.hash, |it| it.hash)
             .is_ok_and(|index| self.keys[index].customer == entry.customer)
     }
 
-    /// A customer by its id.
+    /// Returns the customer with this id.
     pub fn customer(&self, id: CustomerId) -> Option<&CustomerEntry> {
         let index = self.customers.binary_search_by_key(&id, |it| it.id).ok()?;
         self.customers.get(index)
     }
 
-    /// A service by its id.
+    /// Returns the service with this id.
     pub fn service(&self, id: ServiceId) -> Option<&ServiceEntry> {
         let index = self.services.binary_search_by_key(&id, |it| it.id).ok()?;
         self.services.get(index)
     }
 
-    /// The service that serves a model.
+    /// Returns the service that serves a model.
     pub fn service_of_model(&self, model: &str) -> Option<&ServiceEntry> {
         let index = self
             .models
@@ -154,7 +154,7 @@
         self.service(self.models[index].1)
     }
 
-    /// The plain service with the longest prefix that `path` starts with.
+    /// Returns the plain service with the longest prefix that `path` starts with.
     pub fn service_of_path(&self, path: &str) -> Option<&ServiceEntry> {
         let longest = self
             .prefixes
@@ -164,12 +164,12 @@
         self.service(longest.1)
     }
 
-    /// The models on offer, in order.
+    /// Returns the names of all models, sorted.
     pub fn models(&self) -> impl Iterator<Item = &str> {
         self.models.iter().map(|it| it.0.as_str())
     }
 
-    /// The subtree of a team.
+    /// Returns the settings subtree of a team.
     pub fn team(&self, team: &str) -> Option<&TeamEntry> {
         let index = self
             .teams
@@ -237,7 +237,7 @@
     }
 }
 
-/// Whether `path` lies at or below `prefix`, by whole path segments.
+/// Returns whether `path` is `prefix` or below it, by whole path segments.
 fn is_below(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix)
--- a/crates/daemon/src/snapshot/names.rs
+++ b/crates/daemon/src/snapshot/names.rs
@@ -1,10 +1,10 @@
-//! Names with ids that stay the same for the life of the process.
+//! Numeric ids for names that stay the same for the lifetime of the process.
 
-/// Gives each name a small number, once.
+/// Assigns each name a small number that never changes.
 ///
-/// Tables on the request path are keyed by these numbers. They must not shift
-/// when a customer before them is removed, or one customer's allowance would
-/// be charged to another.
+/// Tables on the request path are indexed by these numbers. If the numbers
+/// shifted when another customer is removed, one customer's requests would be
+/// charged to another customer's rate.
 #[derive(Clone, Debug, Default)]
 pub struct NameArena {
     names: Vec<String>,
@@ -12,7 +12,7 @@
 }
 
 impl NameArena {
-    /// The number of a name, a new one if it is new.
+    /// Returns the number of a name and assigns one if the name is new.
     pub fn id(&mut self, name: &str) -> u32 {
         let found = self
             .sorted
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The name with this number.
+    /// Returns the name with this number.
     pub fn name(&self, id: u32) -> Option<&str> {
         self.names.get(id as usize).map(String::as_str)
     }
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -1,17 +1,18 @@
-//! The supervisor tree: long-lived parts run as children that are restarted
-//! when they fail, and stop when their parent's token is cancelled.
+//! Supervision of background tasks: children that fail are restarted, and all
+//! children stop when their parent's token is cancelled.
 
 use std::{future::Future, time::Duration};
 
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-/// The pause before a failed child is started again the first time.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// The longest pause between two starts of a failing child.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+/// The delay before a failed child is restarted for the first time. It doubles
+/// with each restart.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// The longest delay between two restarts of a failing child.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// One node of the tree: it owns its children and their token.
+/// Owns a group of child tasks and the token that stops them.
 #[derive(Debug)]
 pub struct Supervisor {
     name: &'static str,
@@ -20,7 +21,8 @@
 }
 
 impl Supervisor {
-    /// A node whose children stop with `stop`.
+    /// Creates a supervisor whose children stop when `stop` is cancelled. `name`
+    /// appears in log lines.
     pub fn new(name: &'static str, stop: CancellationToken) -> Self {
         Supervisor {
             name,
@@ -29,13 +31,14 @@
         }
     }
 
-    /// Starts a child and keeps it running.
+    /// Starts a child and restarts it whenever it fails or panics. A child that
+    /// returns `Ok` is not restarted.
     ///
-    /// A part that fails on something unforeseen would otherwise be missing
-    /// until the next restart of the whole daemon, and nobody would notice
-    /// before its data had grown old. `start` is called anew for each run, so
-    /// that a run never sees half-changed state of the one before.
-    pub fn keep<F, R>(&mut self, child: &'static str, mut start: F)
+    /// Without the restart, a task that failed unexpectedly would be missing
+    /// until the whole daemon restarts, and nobody would notice before its data
+    /// was stale. `start` is called again for each run, so that a run never sees
+    /// the half-changed state of the previous one.
+    pub fn supervise<F, R>(&mut self, child: &'static str, mut start: F)
     where
         F: FnMut(CancellationToken) -> R + Send + 'static,
         R: Future<Output = anyhow::Result<()>> + Send + 'static,
@@ -43,20 +46,20 @@
         let stop = self.stop.clone();
         let parent = self.name;
         self.children.spawn(async move {
-            let mut pause = FIRST_PAUSE;
+            let mut backoff = INITIAL_BACKOFF;
             while !stop.is_cancelled() {
                 let run = tokio::spawn(start(stop.child_token()));
-                let problem = match run.await {
+                let failure = match run.await {
                     Ok(Ok(())) => return,
                     Ok(Err(error)) => format!("{error:#}"),
                     Err(error) => error.to_string(),
                 };
-                log::error!("supervisor: {parent}/{child} failed and is started again: {problem}");
+                log::error!("supervisor: {parent}/{child} failed and is restarted: {failure}");
                 tokio::select! {
-                    () = tokio::time::sleep(pause) => {}
+                    () = tokio::time::sleep(backoff) => {}
                     () = stop.cancelled() => return,
                 }
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         });
     }
--- a/crates/daemon/src/suspects/death_check.rs
+++ b/crates/daemon/src/suspects/death_check.rs
@@ -1,67 +1,68 @@
-//! Whether a server died when a connection to it broke.
+//! Detection of server deaths after a connection broke.
 
 use std::{sync::PoisonError, time::Duration};
 
 use comfreyramp_policy::ServerKey;
 use tokio::net::TcpStream;
 
-use super::{SuspectKeeper, SuspectRun};
+use super::{SuspectManager, SuspectRun};
 
-/// How long a server may take to accept a connection.
-const ALIVE_WITHIN: Duration = Duration::from_millis(500);
-/// How long the other connections to a server may take to break.
-const BREAKS_WITHIN: Duration = Duration::from_millis(100);
+/// How long a server may take to accept a new connection before it counts as dead.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long the other connections to a dead server may take to break.
+const BREAK_WINDOW: Duration = Duration::from_millis(100);
 
 impl SuspectRun {
-    /// Takes in that the connection broke, finds out whether its server died,
-    /// and waits until the caller may be told.
+    /// Records that the connection broke, checks whether its server died, and waits
+    /// until the caller may be answered.
     ///
-    /// A connection can break alone. Taking that for a death would make
-    /// suspects of all that runs on a healthy server. A server that takes no
-    /// connection is dead; so is one that takes them and has lost all that ran
-    /// on it, as it was started again at once.
+    /// A single connection can break on its own. If that counted as a death, all
+    /// requests on a healthy server would become suspects. A server that accepts
+    /// no connection is dead. So is one that accepts connections but has lost all
+    /// of its runs, because it was restarted at once.
     pub async fn note_broken(&self, address: &str) {
         let breaking = BreakingRun::count(self);
-        let connected = tokio::time::timeout(ALIVE_WITHIN, TcpStream::connect(address)).await;
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let mut is_dead = !matches!(connected, Ok(Ok(_)));
         if !is_dead {
-            tokio::time::sleep(BREAKS_WITHIN).await;
-            is_dead = breaking.is_all_that_runs();
+            tokio::time::sleep(BREAK_WINDOW).await;
+            is_dead = breaking.are_all_broken();
         }
         if is_dead {
-            self.keeper.server_died(self.server);
+            self.manager.server_died(self.server);
         }
         drop(breaking);
-        self.keeper.wait_until_told(self.fingerprint).await;
+        self.manager.wait_until_known(self.fingerprint).await;
     }
 }
 
-/// Counts one run as broken off while its server is looked at.
+/// Counts a run as broken off while its server is checked, until it is dropped.
 struct BreakingRun<'a> {
-    keeper: &'a SuspectKeeper,
+    manager: &'a SuspectManager,
     server: ServerKey,
 }
 
 impl<'a> BreakingRun<'a> {
     fn count(run: &'a SuspectRun) -> Self {
         let breaking = BreakingRun {
-            keeper: &run.keeper,
+            manager: &run.manager,
             server: run.server,
         };
         breaking.change(|count| count + 1);
         breaking
     }
 
-    fn is_all_that_runs(&self) -> bool {
-        let runs = self.keeper.table().runs_at(self.server);
+    /// Returns whether all runs of this daemon on the server have broken off.
+    fn are_all_broken(&self) -> bool {
+        let runs = self.manager.table().runs_at(self.server);
         self.change(|count| count) >= runs
     }
 
     fn change(&self, change: impl FnOnce(usize) -> usize) -> usize {
-        let breaking = self.keeper.breaking.lock();
+        let breaking = self.manager.breaking.lock();
         let mut breaking = breaking.unwrap_or_else(PoisonError::into_inner);
-        let place = breaking.binary_search_by_key(&self.server, |it| it.0);
-        let at = place.unwrap_or_else(|at| {
+        let position = breaking.binary_search_by_key(&self.server, |it| it.0);
+        let at = position.unwrap_or_else(|at| {
             breaking.insert(at, (self.server, 0));
             at
         });
--- a/crates/daemon/src/suspects/mod.rs
+++ b/crates/daemon/src/suspects/mod.rs
@@ -1,20 +1,22 @@
-//! The request that crashes servers: what ran where, and who is told.
+//! Protection against requests that crash servers.
 //!
-//! The decisions are those of [`comfreyramp_policy::SuspectTable`]. Here is
-//! what carries them out: [`SuspectKeeper`] counts runs and finds out which
-//! servers died, [`run_suspects`] exchanges what is known with the other
-//! daemons, [`SuspectRecords`] keeps trials and facts in the platform. See
+//! A request that was in flight on a server that died is a suspect. It may run once
+//! more, on a server without another suspect; that run is its trial. The decisions
+//! are those of [`comfreyramp_policy::SuspectTable`], and this module carries them
+//! out: [`SuspectManager`] tracks runs and records which servers died,
+//! [`run_suspects`] exchanges facts about suspects with the other daemons, and
+//! [`SuspectRecords`] keeps trials and facts in the platform's store. See
 //! docs/LIVE.md.
 
 mod death_check;
 mod run_start;
-mod suspect_keeper;
+mod suspect_manager;
 mod suspect_records;
 mod suspect_run;
 mod suspect_sync;
 
 pub use run_start::RunRequest;
-pub use suspect_keeper::SuspectKeeper;
+pub use suspect_manager::SuspectManager;
 pub use suspect_records::SuspectRecords;
 pub use suspect_run::SuspectRun;
 pub use suspect_sync::{NoSuspectPeers, SuspectPeers, run_suspects};
--- a/crates/daemon/src/suspects/run_start.rs
+++ b/crates/daemon/src/suspects/run_start.rs
@@ -1,4 +1,4 @@
-//! Where and whether a request may run.
+//! Choice of the server for a run, and the trials of suspects.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
     Fingerprint, ServerId, ServerKey, SuspectVerdict, Timestamp, TrialAnswer, TrialStep,
 };
 
-use super::suspect_keeper::WAIT_STEP;
+use super::suspect_manager::RECHECK_INTERVAL;
 use crate::{
     attempts::AttemptFailure,
     live_queue::CallRank,
@@ -14,29 +14,30 @@
     shared::SharedState,
 };
 
-/// How long a suspect waits before it looks again for a server without one.
-const TRIAL_PAUSE: Duration = Duration::from_millis(100);
+/// How long a suspect waits before it looks again for a server without a suspect.
+const TRIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A request that looks for a server.
+/// A request for which a server is to be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct RunRequest<'a> {
-    /// What makes it the same request as another.
+    /// Identifies requests with the same content.
     pub fingerprint: Fingerprint,
-    /// The group that serves it.
+    /// The group of servers that can run it.
     pub group: &'a str,
-    /// A hash of its prompt's beginning, if it has one.
+    /// A hash of the beginning of its prompt, if it has one.
     pub prefix: Option<u64>,
-    /// The servers it was tried on.
+    /// The servers on which it was attempted before.
     pub tried: &'a [ServerId],
-    /// How urgent it is.
+    /// Its rank in the queue.
     pub rank: &'a CallRank,
-    /// When its time is up.
+    /// The time at which it times out.
     pub deadline: Timestamp,
 }
 
 impl SharedState {
-    /// Chooses a server for a request and counts it as run there; a suspect
-    /// gets its trial first.
+    /// Chooses a server for a request and records its run there. If the request is
+    /// a suspect, this waits for its trial. Fails if the request times out or is
+    /// refused as a suspect.
     pub async fn begin_run(&self, request: RunRequest<'_>) -> Result<ChosenServer, AttemptFailure> {
         let mut taken = Vec::new();
         loop {
@@ -53,25 +54,25 @@
             let step = self.suspects.table().trial_step(request.fingerprint, now);
             match step {
                 TrialStep::Run => {}
-                TrialStep::Wait => self.suspects.progress_or(WAIT_STEP).await,
-                TrialStep::Ask if !self.suspects.others_know(request.fingerprint) => {
-                    tokio::time::sleep(WAIT_STEP).await;
+                TrialStep::Wait => self.suspects.progress_or(RECHECK_INTERVAL).await,
+                TrialStep::Ask if !self.suspects.is_known_to_others(request.fingerprint) => {
+                    tokio::time::sleep(RECHECK_INTERVAL).await;
                 }
-                TrialStep::Ask => self.ask_trial(request, &mut taken).await,
+                TrialStep::Ask => self.request_trial(request, &mut taken).await,
                 TrialStep::Start => {
                     if let Some(server) = self.begin_trial(request.fingerprint) {
                         return Ok(server);
                     }
-                    // The grant has lapsed, and is given back soon.
-                    tokio::time::sleep(WAIT_STEP).await;
+                    // The grant has expired, and is released soon.
+                    tokio::time::sleep(RECHECK_INTERVAL).await;
                 }
                 TrialStep::Refuse(span) => return Err(AttemptFailure::Suspected(span)),
             }
         }
     }
 
-    /// Begins a request of which nothing is suspected, or returns none if
-    /// something is by now.
+    /// Begins a run of a request that isn't a suspect, or returns none if it became
+    /// one while it waited for a server.
     async fn begin_clear(
         &self,
         request: RunRequest<'_>,
@@ -84,10 +85,10 @@
         Ok(server.run.is_some().then_some(server))
     }
 
-    /// Asks for a trial on a server without a suspect. While there is none, the
-    /// request waits: the innocents of one dead server have their trials one
-    /// after the other.
-    async fn ask_trial(&self, request: RunRequest<'_>, taken: &mut Vec<ServerId>) {
+    /// Requests a trial on a server without a suspect. While there is none, the
+    /// request waits: the harmless requests that were on one dead server have
+    /// their trials one after the other.
+    async fn request_trial(&self, request: RunRequest<'_>, taken: &mut Vec<ServerId>) {
         let on_trial = self.suspects.table().servers_on_trial();
         let mut exclude = [request.tried, taken].concat();
         exclude.extend(on_trial.iter().filter_map(|it| self.servers.id_of(*it)));
@@ -97,7 +98,7 @@
         };
         let Some(server) = self.servers.choose(query, self.clock) else {
             taken.clear();
-            return tokio::time::sleep(TRIAL_PAUSE).await;
+            return tokio::time::sleep(TRIAL_RETRY_DELAY).await;
         };
         let now = self.clock.now();
         let key = ServerKey::of(&server.name);
@@ -108,7 +109,7 @@
         let Some(ask) = ask else {
             return;
         };
-        let answer = self.suspect_records.ask_trial(&ask, now).await;
+        let answer = self.suspect_records.request_trial(&ask, now).await;
         if answer == TrialAnswer::ServerTaken {
             taken.push(server.id);
         }
@@ -123,14 +124,14 @@
             run.not_sent();
             return None;
         };
-        log::info!("suspects: a suspect runs once more, on {}", server.name);
+        log::info!("suspects: a suspect runs on trial, on {}", server.name);
         server.run = Some(run);
         Some(server)
     }
 
     fn query<'a>(&'a self, request: &RunRequest<'a>) -> PoolQuery<'a> {
-        // Copies of one request have to meet on one server, also where there
-        // is no prompt by which they would.
+        // Copies of one request must be routed to the same server, so a request
+        // without a prompt is routed by its fingerprint.
         let prefix = request.prefix.unwrap_or(request.fingerprint.0 as u64);
         PoolQuery {
             group: request.group,
--- a/crates/daemon/src/suspects/suspect_keeper.rs
+++ b/crates/daemon/src/suspects/suspect_manager.rs
@@ -1,4 +1,4 @@
-//! What this daemon runs and suspects.
+//! The runs on this daemon's servers and the suspects among them.
 
 use std::{
     sync::{
@@ -17,49 +17,49 @@
 use super::SuspectRun;
 use crate::clock::ProcessClock;
 
-/// How long a fact travels from the platform to the other daemons. Nobody
-/// confirms that it arrived, so its caller hears of the failure, and a trial
-/// begins, only after this.
-const FACT_TRAVELS: Duration = Duration::from_millis(150);
-/// How long a caller waits at most for the facts about its request to be
-/// written: a platform that is out must not hold callers up for longer.
-const TELL_WITHIN: Duration = Duration::from_secs(2);
-/// How often a wait is looked at again.
-pub(super) const WAIT_STEP: Duration = Duration::from_millis(20);
-
-/// A fact on its way to the other daemons.
+/// How long a written fact may take from the platform to the other daemons. Its
+/// arrival is not confirmed, so the caller is answered, and a trial begins, only
+/// after this time.
+const FACT_DELIVERY_DELAY: Duration = Duration::from_millis(150);
+/// How long a caller waits at most until the facts about its request are written.
+/// An outage of the platform must not delay callers for longer.
+const MAX_DELIVERY_WAIT: Duration = Duration::from_secs(2);
+/// How often a waiting request checks again whether it may go on.
+pub(super) const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The state of sending a fact to the other daemons.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct FactTrip {
+pub(super) struct FactDelivery {
     fingerprint: Fingerprint,
     begun_at: Timestamp,
-    /// From when on the other daemons have it.
+    /// When the other daemons have it at the latest; none until it is written.
     known_at: Option<Timestamp>,
     is_written: bool,
 }
 
-/// What this daemon runs and suspects, behind one short lock.
+/// Tracks this daemon's runs and suspects, behind short locks.
 #[derive(Debug)]
-pub struct SuspectKeeper {
+pub struct SuspectManager {
     clock: ProcessClock,
     incarnation: Incarnation,
     table: Mutex<SuspectTable>,
-    /// The facts on their way, sorted by fingerprint.
-    trips: Mutex<Vec<FactTrip>>,
-    /// How many runs on each server have just broken off.
+    /// The facts being sent, sorted by fingerprint.
+    deliveries: Mutex<Vec<FactDelivery>>,
+    /// The number of runs that have just broken off, by server.
     pub(super) breaking: Mutex<Vec<(ServerKey, usize)>>,
     next_run: AtomicU64,
     progress: watch::Sender<u64>,
     pub(super) work: Notify,
 }
 
-impl SuspectKeeper {
-    /// A keeper that suspects nothing.
+impl SuspectManager {
+    /// Creates a manager without runs and suspects.
     pub fn new(incarnation: Incarnation, clock: ProcessClock) -> Self {
-        SuspectKeeper {
+        SuspectManager {
             clock,
             incarnation,
             table: Mutex::new(SuspectTable::new(incarnation)),
-            trips: Mutex::default(),
+            deliveries: Mutex::default(),
             breaking: Mutex::default(),
             next_run: AtomicU64::new(1),
             progress: watch::Sender::new(0),
@@ -67,18 +67,18 @@
         }
     }
 
-    /// What is thought of a request.
+    /// Returns whether a request is suspected or blocked.
     pub fn verdict(&self, fingerprint: Fingerprint) -> SuspectVerdict {
         self.table().verdict(fingerprint, self.clock.now())
     }
 
-    /// Whether a request was blocked for good, and isn't only on trial now.
+    /// Returns whether a request is blocked, rather than suspected or on trial.
     pub fn is_blocked(&self, fingerprint: Fingerprint) -> bool {
         let fact = self.table().fact(fingerprint, self.clock.now());
         fact.is_some_and(|it| it.stage == SuspectStage::Blocked)
     }
 
-    /// Counts a run as begun if nothing is suspected of its request.
+    /// Records the start of a run unless its request is a suspect.
     pub(super) fn begin_run(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
@@ -91,7 +91,8 @@
             .then(|| SuspectRun::new(self.clone(), fingerprint, run, server))
     }
 
-    /// Begins a trial that was granted.
+    /// Records the start of a trial that was granted. Returns none if the grant has
+    /// expired.
     pub(super) fn begin_trial(self: &Arc<Self>, fingerprint: Fingerprint) -> Option<SuspectRun> {
         let run = self.new_run();
         let now = self.clock.now();
@@ -106,7 +107,7 @@
             table.end(fingerprint, run, end, now);
             table.fact(fingerprint, now)
         };
-        // Nearly all requests are suspected of nothing, and wake nobody.
+        // Nearly all requests are no suspects, and their end wakes no task.
         let Some(fact) = fact else {
             return;
         };
@@ -116,14 +117,14 @@
         self.note_progress();
     }
 
-    /// Takes in the death of a server: all that ran on it is suspected.
+    /// Records the death of a server: all requests that ran on it become suspects.
     pub(super) fn server_died(&self, server: ServerKey) {
         let suspects = self.table().server_died(server, self.clock.now());
         if suspects.is_empty() {
             return;
         }
         log::warn!(
-            "suspects: a server died with {} requests of this daemon",
+            "suspects: a server died while it ran {} requests of this daemon",
             suspects.len()
         );
         for suspect in &suspects {
@@ -132,54 +133,55 @@
         self.note_progress();
     }
 
-    /// Takes in what other daemons know.
+    /// Records facts from other daemons.
     pub(super) fn import(&self, facts: &[SuspectFact]) {
         self.table().import(facts, self.clock.now());
         self.note_progress();
     }
 
-    /// Whether the other daemons know what is known here of a request, as far
-    /// as that can be told, or could not be told in time.
-    pub(super) fn others_know(&self, fingerprint: Fingerprint) -> bool {
+    /// Returns whether the other daemons have the latest fact about a request by
+    /// now, or the longest wait for that is over. Arrival itself isn't confirmed.
+    pub(super) fn is_known_to_others(&self, fingerprint: Fingerprint) -> bool {
         let now = self.clock.now();
-        let trips = self.trips();
-        let Ok(at) = trips.binary_search_by_key(&fingerprint, |it| it.fingerprint) else {
+        let deliveries = self.deliveries();
+        let Ok(at) = deliveries.binary_search_by_key(&fingerprint, |it| it.fingerprint) else {
             return true;
         };
-        let trip = &trips[at];
-        let late = now.since(trip.begun_at) >= TELL_WITHIN;
-        late || trip.known_at.is_some_and(|it| now >= it)
+        let delivery = &deliveries[at];
+        let late = now.since(delivery.begun_at) >= MAX_DELIVERY_WAIT;
+        late || delivery.known_at.is_some_and(|it| now >= it)
     }
 
-    /// Waits until the caller of a request that broke off may be told.
-    pub(super) async fn wait_until_told(&self, fingerprint: Fingerprint) {
-        while !self.others_know(fingerprint) {
-            tokio::time::sleep(WAIT_STEP).await;
+    /// Waits until the other daemons know of a request that broke off, so that its
+    /// caller may be answered.
+    pub(super) async fn wait_until_known(&self, fingerprint: Fingerprint) {
+        while !self.is_known_to_others(fingerprint) {
+            tokio::time::sleep(RECHECK_INTERVAL).await;
         }
     }
 
     fn send_fact(&self, fingerprint: Fingerprint) {
-        let trip = FactTrip {
+        let delivery = FactDelivery {
             fingerprint,
             begun_at: self.clock.now(),
             known_at: None,
             is_written: false,
         };
-        let mut trips = self.trips();
-        match trips.binary_search_by_key(&fingerprint, |it| it.fingerprint) {
-            Ok(at) => trips[at] = trip,
-            Err(at) => trips.insert(at, trip),
+        let mut deliveries = self.deliveries();
+        match deliveries.binary_search_by_key(&fingerprint, |it| it.fingerprint) {
+            Ok(at) => deliveries[at] = delivery,
+            Err(at) => deliveries.insert(at, delivery),
         }
-        drop(trips);
+        drop(deliveries);
         self.work.notify_one();
     }
 
-    /// The facts to be written, `limit` at most.
+    /// Returns the facts that are yet to be written, at most `limit`.
     pub(super) fn unwritten_facts(&self, limit: usize) -> Vec<SuspectFact> {
         let now = self.clock.now();
         let waiting: Vec<Fingerprint> = {
-            let trips = self.trips();
-            let waiting = trips.iter().filter(|it| !it.is_written);
+            let deliveries = self.deliveries();
+            let waiting = deliveries.iter().filter(|it| !it.is_written);
             waiting.map(|it| it.fingerprint).take(limit).collect()
         };
         let table = self.table();
@@ -187,35 +189,37 @@
         facts.collect()
     }
 
-    /// Takes in that facts were written. One that changed meanwhile is written
-    /// again.
+    /// Records that facts were written by a request sent at `sent_at`. A fact that
+    /// changed after that is written again.
     pub(super) fn facts_written(&self, written: &[SuspectFact], sent_at: Timestamp) {
-        let known_at = self.clock.now() + FACT_TRAVELS;
-        let mut trips = self.trips();
+        let known_at = self.clock.now() + FACT_DELIVERY_DELAY;
+        let mut deliveries = self.deliveries();
         for fact in written {
-            let found = trips.binary_search_by_key(&fact.fingerprint, |it| it.fingerprint);
+            let found = deliveries.binary_search_by_key(&fact.fingerprint, |it| it.fingerprint);
             if let Ok(at) = found
-                && trips[at].begun_at <= sent_at
+                && deliveries[at].begun_at <= sent_at
             {
-                trips[at].is_written = true;
-                trips[at].known_at = Some(known_at);
+                deliveries[at].is_written = true;
+                deliveries[at].known_at = Some(known_at);
             }
         }
     }
 
-    /// Forgets what has lapsed.
+    /// Removes expired suspects and finished deliveries.
     pub(super) fn poll(&self) {
         let now = self.clock.now();
         self.table().poll(now);
-        let mut trips = self.trips();
-        trips.retain(|it| !it.is_written || it.known_at.is_none_or(|at| now < at));
+        let mut deliveries = self.deliveries();
+        deliveries.retain(|it| !it.is_written || it.known_at.is_none_or(|at| now < at));
     }
 
-    pub(super) async fn progress_or(&self, span: Duration) {
+    /// Waits for progress of any suspect, at most `timeout`.
+    pub(super) async fn progress_or(&self, timeout: Duration) {
         let mut progress = self.progress.subscribe();
-        let _ = tokio::time::timeout(span, progress.changed()).await;
+        let _ = tokio::time::timeout(timeout, progress.changed()).await;
     }
 
+    /// Wakes the requests that wait for progress, and the task that writes facts.
     pub(super) fn note_progress(&self) {
         self.progress.send_modify(|it| *it += 1);
         self.work.notify_one();
@@ -230,13 +234,15 @@
     }
 
     pub(super) fn table(&self) -> MutexGuard<'_, SuspectTable> {
-        // Refusing all requests after a panic would be worse than what it may
-        // have left unsaid of one.
+        // A poisoned lock is used anyway: refusing all requests after a panic would
+        // be worse than a record that may be missing for one of them.
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn trips(&self) -> MutexGuard<'_, Vec<FactTrip>> {
-        self.trips.lock().unwrap_or_else(PoisonError::into_inner)
+    fn deliveries(&self) -> MutexGuard<'_, Vec<FactDelivery>> {
+        self.deliveries
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn new_run(&self) -> RunId {
--- a/crates/daemon/src/suspects/suspect_records.rs
+++ b/crates/daemon/src/suspects/suspect_records.rs
@@ -1,4 +1,4 @@
-//! Suspects and trials as the platform keeps them.
+//! The records of suspects and trials in the platform's store.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -12,27 +12,27 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::record_lease::{KEPT, RecordLease};
+use crate::record_lease::{MIN_RETENTION, RecordLease};
 
-/// Where the facts lie.
+/// The key prefix of facts about suspects.
 pub(super) const FACTS: &str = "/comfreyramp/suspects/facts/";
-/// Where the records of trials lie, by fingerprint.
+/// The key prefix of the records of trials, by fingerprint.
 const TRIALS: &str = "/comfreyramp/suspects/trials/";
-/// Where the records of trials lie, by server.
+/// The key prefix of the servers on trial. Each holds the suspect's fingerprint.
 const TRIAL_SERVERS: &str = "/comfreyramp/suspects/trial-servers/";
-/// How often a call is made whose answer was lost.
-const TRIES: usize = 3;
+/// How often a request for a trial is sent if its answer is lost.
+const MAX_ATTEMPTS: usize = 3;
 
-/// Suspects and trials as the platform keeps them, for a day.
+/// Reads and writes the records of suspects and trials, which are kept for a day.
 #[derive(Debug)]
 pub struct SuspectRecords<S> {
     store: S,
     lease: RecordLease,
 }
 
-/// A fact with the moment of its writing by the calendar clock: the only one
-/// that all daemons share. A clock that is off by seconds shifts a lifetime of a
-/// day by seconds.
+/// A fact with the wall-clock time at which it was written, in milliseconds since
+/// 1970. The wall clock is the only one that all daemons share. A clock that is off
+/// by seconds shifts a lifetime of a day by seconds.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredFact {
     written_ms: u64,
@@ -46,7 +46,7 @@
 }
 
 impl<S: PlatformStore> SuspectRecords<S> {
-    /// The records in this store.
+    /// Creates the records on top of a store.
     pub fn new(store: S) -> Self {
         SuspectRecords {
             store,
@@ -58,7 +58,7 @@
         &self.store
     }
 
-    /// Writes what this daemon knows, over what it wrote before.
+    /// Writes this daemon's facts, and replaces those it wrote before.
     pub(super) async fn write_facts(
         &self,
         facts: &[SuspectFact],
@@ -80,13 +80,13 @@
         written.map(|_| ())
     }
 
-    /// Asks for a trial. A repeated ask gets the same answer.
-    pub(super) async fn ask_trial(&self, ask: &TrialAsk, now: Timestamp) -> TrialAnswer {
-        for _ in 0..TRIES {
-            match self.ask_once(ask, now).await {
+    /// Requests a trial. A repeated request gets the same answer.
+    pub(super) async fn request_trial(&self, ask: &TrialAsk, now: Timestamp) -> TrialAnswer {
+        for _ in 0..MAX_ATTEMPTS {
+            match self.request_trial_once(ask, now).await {
                 Ok(Some(answer)) => return answer,
-                // The answer was lost, or an older record of this process is
-                // gone now: the same ask again finds out.
+                // The answer was lost, or an older record of this process has been
+                // removed: repeating the same request finds out.
                 Ok(None) | Err(StoreError::AnswerLost(_) | StoreError::LeaseLapsed) => {}
                 Err(_) => return TrialAnswer::Unavailable,
             }
@@ -94,7 +94,7 @@
         TrialAnswer::Unavailable
     }
 
-    async fn ask_once(
+    async fn request_trial_once(
         &self,
         ask: &TrialAsk,
         now: Timestamp,
@@ -127,20 +127,23 @@
         let Some(pair) = found.iter().find(|it| it.key == trial) else {
             return Ok(Some(TrialAnswer::ServerTaken));
         };
-        self.meet(ask, pair).await
+        self.resolve_conflict(ask, pair).await
     }
 
-    /// What a record under the same fingerprint means.
-    async fn meet(
+    /// Returns the answer that an existing record of the same fingerprint implies, or
+    /// none if the record was outdated and has been removed.
+    async fn resolve_conflict(
         &self,
         ask: &TrialAsk,
         pair: &KeyValue,
     ) -> Result<Option<TrialAnswer>, StoreError> {
         let Ok(held) = serde_json::from_slice::<StoredTrial>(&pair.value) else {
-            return Ok(Some(TrialAnswer::Blocked { left: KEPT }));
+            return Ok(Some(TrialAnswer::Blocked {
+                left: MIN_RETENTION,
+            }));
         };
         let age = since_ms(held.granted_ms);
-        let left = KEPT.saturating_sub(age);
+        let left = MIN_RETENTION.saturating_sub(age);
         let answer = match held.trial {
             TrialRecord { died: true, .. } => TrialAnswer::Blocked { left },
             TrialRecord { ask: own, .. } if own == *ask => TrialAnswer::Granted,
@@ -153,7 +156,7 @@
         Ok(Some(answer))
     }
 
-    /// Writes how a trial ended. It may be repeated.
+    /// Writes how a trial ended. Repeating it is harmless.
     pub(super) async fn settle(&self, settlement: &TrialSettlement) -> Result<(), StoreError> {
         let ask = &settlement.ask;
         let key = trial_key(ask.fingerprint);
@@ -198,18 +201,18 @@
     }
 }
 
-/// A fact as another daemon wrote it, with its times brought up to date.
-/// Returns none for what can't be read, or what this process wrote itself.
+/// Returns a fact that another daemon wrote, with its ages and lifetime as of now.
+/// Returns none if it can't be read or if this process wrote it.
 pub(super) fn read_fact(pair: &KeyValue, own: Incarnation) -> Option<SuspectFact> {
     if pair.key.ends_with(&format!("/{:016x}", own.0)) {
         return None;
     }
     let stored: StoredFact = serde_json::from_slice(&pair.value).ok()?;
-    let passed = since_ms(stored.written_ms);
+    let elapsed = since_ms(stored.written_ms);
     let mut fact = stored.fact;
-    fact.lifetime = fact.lifetime.saturating_sub(passed);
+    fact.lifetime = fact.lifetime.saturating_sub(elapsed);
     for death in &mut fact.deaths {
-        death.age += passed;
+        death.age += elapsed;
     }
     Some(fact)
 }
--- a/crates/daemon/src/suspects/suspect_run.rs
+++ b/crates/daemon/src/suspects/suspect_run.rs
@@ -1,4 +1,4 @@
-//! One run of one request on one server.
+//! The handle of a request's run on a server.
 
 use std::sync::{
     Arc,
@@ -7,12 +7,12 @@
 
 use comfreyramp_policy::{Fingerprint, RunEnd, RunId, ServerKey};
 
-use super::SuspectKeeper;
+use super::SuspectManager;
 
-/// One run of one request on one server, which ends when it is dropped.
+/// A run of a request on a server. Dropping it records the end of the run.
 #[derive(Debug)]
 pub struct SuspectRun {
-    pub(super) keeper: Arc<SuspectKeeper>,
+    pub(super) manager: Arc<SuspectManager>,
     pub(super) fingerprint: Fingerprint,
     pub(super) run: RunId,
     pub(super) server: ServerKey,
@@ -21,13 +21,13 @@
 
 impl SuspectRun {
     pub(super) fn new(
-        keeper: Arc<SuspectKeeper>,
+        manager: Arc<SuspectManager>,
         fingerprint: Fingerprint,
         run: RunId,
         server: ServerKey,
     ) -> Self {
         SuspectRun {
-            keeper,
+            manager,
             fingerprint,
             run,
             server,
@@ -35,20 +35,20 @@
         }
     }
 
-    /// Takes in that the answer was whole: what is suspected of the request
-    /// was not its doing.
+    /// Records that the answer was complete, which clears the request if it was a
+    /// suspect.
     pub fn finish(&self) {
         self.end(RunEnd::Finished);
     }
 
-    /// Takes in that no byte of the request left.
+    /// Records that no byte of the request was sent.
     pub fn not_sent(&self) {
         self.end(RunEnd::NotSent);
     }
 
     fn end(&self, end: RunEnd) {
         if !self.has_ended.swap(true, Ordering::Relaxed) {
-            self.keeper.end_run(self.fingerprint, self.run, end);
+            self.manager.end_run(self.fingerprint, self.run, end);
         }
     }
 }
--- a/crates/daemon/src/suspects/suspect_sync.rs
+++ b/crates/daemon/src/suspects/suspect_sync.rs
@@ -1,4 +1,4 @@
-//! The task that exchanges what is known of suspects.
+//! The task that exchanges facts about suspects with the other daemons.
 
 use std::{future::Future, sync::Arc, time::Duration};
 
@@ -7,60 +7,62 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    SuspectKeeper, SuspectRecords,
+    SuspectManager, SuspectRecords,
     suspect_records::{FACTS, read_fact},
 };
 use crate::shared::SharedState;
 
-/// How often what has lapsed is forgotten.
+/// How often expired records are removed, and the longest time between two rounds of
+/// notices to peers.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// The pause after a call to the platform that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(250);
-/// The facts written in one transaction at most.
-const FACTS_AT_ONCE: usize = 64;
+/// The delay after a failed request to the platform.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(250);
+/// The most facts written in one transaction.
+const MAX_FACTS_PER_WRITE: usize = 64;
 
-/// The other daemons, as far as they can be told of suspects directly.
+/// A direct connection to other daemons for notices about suspects.
 pub trait SuspectPeers: Clone + Send + Sync + 'static {
-    /// Those that were heard from lately.
-    fn heard_from(&self) -> Vec<DaemonId>;
+    /// Returns the daemons from which something was received recently.
+    fn recent_peers(&self) -> Vec<DaemonId>;
 
-    /// Tells one of them, and returns its answer if one comes.
-    fn tell(
+    /// Sends a notice to a daemon and returns its acknowledgement, or none if it
+    /// doesn't answer.
+    fn send_notice(
         &self,
         peer: DaemonId,
         notice: SuspectNotice,
     ) -> impl Future<Output = Option<NoticeAck>> + Send;
 }
 
-/// No way to tell other daemons but the platform.
+/// Stands for no direct connection: daemons exchange facts through the platform only.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoSuspectPeers;
 
 impl SuspectPeers for NoSuspectPeers {
-    fn heard_from(&self) -> Vec<DaemonId> {
+    fn recent_peers(&self) -> Vec<DaemonId> {
         Vec::new()
     }
 
-    async fn tell(&self, _peer: DaemonId, _notice: SuspectNotice) -> Option<NoticeAck> {
+    async fn send_notice(&self, _peer: DaemonId, _notice: SuspectNotice) -> Option<NoticeAck> {
         None
     }
 }
 
-/// Exchanges what is known of suspects until `stop` is cancelled.
+/// Exchanges facts about suspects until `stop` is cancelled.
 pub async fn run_suspects<P: SuspectPeers>(
     state: Arc<SharedState>,
     peers: P,
     stop: CancellationToken,
 ) -> anyhow::Result<()> {
     let sync = SuspectSync {
-        keeper: &state.suspects,
+        manager: &state.suspects,
         records: &state.suspect_records,
         peers,
     };
     tokio::select! {
         () = sync.write() => {}
         () = sync.follow() => {}
-        () = sync.tell_peers() => {}
+        () = sync.notify_peers() => {}
         () = sync.poll() => {}
         () = stop.cancelled() => {}
     }
@@ -68,7 +70,7 @@
 }
 
 struct SuspectSync<'a, S, P> {
-    keeper: &'a SuspectKeeper,
+    manager: &'a SuspectManager,
     records: &'a SuspectRecords<S>,
     peers: P,
 }
@@ -78,25 +80,25 @@
         let mut ticks = tokio::time::interval(POLL_INTERVAL);
         loop {
             ticks.tick().await;
-            self.keeper.poll();
+            self.manager.poll();
         }
     }
 
-    /// Writes facts, and how trials ended.
+    /// Writes this daemon's facts and the ends of its trials to the platform.
     async fn write(&self) {
         let mut settlements = Vec::new();
         loop {
-            settlements.extend(self.keeper.table().take_settlements());
-            let facts = self.keeper.unwritten_facts(FACTS_AT_ONCE);
+            settlements.extend(self.manager.table().take_settlements());
+            let facts = self.manager.unwritten_facts(MAX_FACTS_PER_WRITE);
             let Some(settlement) = settlements.first() else {
                 if facts.is_empty() {
-                    self.keeper.work.notified().await;
+                    self.manager.work.notified().await;
                 } else if self.write_facts(&facts).await.is_err() {
-                    tokio::time::sleep(FAILURE_PAUSE).await;
+                    tokio::time::sleep(FAILURE_BACKOFF).await;
                 }
                 continue;
             };
-            // Facts go first: other daemons act on them.
+            // Facts are written first, because other daemons act on them.
             let written = match facts.is_empty() {
                 true => self.records.settle(settlement).await.map(|()| true),
                 false => self.write_facts(&facts).await.map(|()| false),
@@ -104,7 +106,7 @@
             match written {
                 Ok(true) => drop(settlements.remove(0)),
                 Ok(false) => {}
-                Err(_) => tokio::time::sleep(FAILURE_PAUSE).await,
+                Err(_) => tokio::time::sleep(FAILURE_BACKOFF).await,
             }
         }
     }
@@ -113,25 +115,25 @@
         &self,
         facts: &[comfreyramp_policy::SuspectFact],
     ) -> Result<(), StoreError> {
-        let sent_at = self.keeper.clock().now();
-        let own = self.keeper.incarnation();
+        let sent_at = self.manager.clock().now();
+        let own = self.manager.incarnation();
         self.records.write_facts(facts, own, sent_at).await?;
-        self.keeper.facts_written(facts, sent_at);
+        self.manager.facts_written(facts, sent_at);
         Ok(())
     }
 
-    /// Follows what other daemons write.
+    /// Follows the facts that other daemons write, and reopens the watch if it fails.
     async fn follow(&self) {
         loop {
             if let Err(error) = self.follow_once().await {
                 log::debug!("suspects: the platform can't be followed: {error}");
             }
-            tokio::time::sleep(FAILURE_PAUSE).await;
+            tokio::time::sleep(FAILURE_BACKOFF).await;
         }
     }
 
     async fn follow_once(&self) -> Result<(), StoreError> {
-        let own = self.keeper.incarnation();
+        let own = self.manager.incarnation();
         let range = KeyRange::Prefix(FACTS.to_owned());
         let known = self.records.store().range(range.clone(), 0).await?;
         let facts: Vec<_> = known
@@ -139,7 +141,7 @@
             .iter()
             .filter_map(|it| read_fact(it, own))
             .collect();
-        self.keeper.import(&facts);
+        self.manager.import(&facts);
         let store = self.records.store().clone();
         let mut watch = RenewedWatch::open(store, range, known.revision + 1).await?;
         loop {
@@ -150,29 +152,30 @@
                 .filter_map(|it| read_fact(it, own))
                 .collect();
             if !facts.is_empty() {
-                self.keeper.import(&facts);
+                self.manager.import(&facts);
             }
         }
     }
 
-    /// Tells the other daemons directly, which the platform can't confirm.
-    async fn tell_peers(&self) {
+    /// Sends notices to the other daemons directly. Unlike the platform, they confirm
+    /// what they received.
+    async fn notify_peers(&self) {
         loop {
-            let now = self.keeper.clock().now();
-            let heard_from = self.peers.heard_from();
+            let now = self.manager.clock().now();
+            let recent_peers = self.peers.recent_peers();
             let notices = {
-                let mut table = self.keeper.table();
-                table.set_peers(&heard_from);
+                let mut table = self.manager.table();
+                table.set_peers(&recent_peers);
                 table.notices(now)
             };
             for (peer, notice) in notices {
-                if let Some(ack) = self.peers.tell(peer, notice).await {
-                    let now = self.keeper.clock().now();
-                    self.keeper.table().acknowledged(peer, &ack, now);
-                    self.keeper.note_progress();
+                if let Some(ack) = self.peers.send_notice(peer, notice).await {
+                    let now = self.manager.clock().now();
+                    self.manager.table().acknowledged(peer, &ack, now);
+                    self.manager.note_progress();
                 }
             }
-            self.keeper.progress_or(POLL_INTERVAL).await;
+            self.manager.progress_or(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/daemon/src/traces/mod.rs
+++ b/crates/daemon/src/traces/mod.rs
@@ -1,7 +1,7 @@
-//! What became of the last requests, for operators who ask why.
+//! Traces of recent requests, which show operators how a request was handled.
 //!
-//! Each daemon keeps the steps of its last requests in memory, bounded in
-//! number and size. No text of a caller and no key is ever part of a step. See
+//! Each daemon keeps the steps of its most recent requests in memory, bounded in
+//! number and size. A step never contains text from a caller or a key. See
 //! docs/OPERATIONS.md.
 
 mod request_trace;
