--- a/crates/daemon/src/traces/request_trace.rs
+++ b/crates/daemon/src/traces/request_trace.rs
@@ -1,4 +1,4 @@
-//! The steps of one request.
+//! The trace of one request: a bounded list of its steps.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -8,24 +8,25 @@
 
 use super::{TimedStep, TraceStep, story::sentence};
 
-/// The most steps kept of a request. Three attempts fit; what is beyond is
+/// The most steps kept of a request. Three attempts fit. Further steps are only
 /// counted, so that no request can fill the memory.
-const KEPT_STEPS: usize = 12;
-/// For how many steps room is made at a time.
-const STEPS_AT_ONCE: usize = 4;
+const MAX_STEPS: usize = 12;
+/// By how many steps the capacity grows at a time.
+const CAPACITY_INCREMENT: usize = 4;
 /// The most bytes kept of a name.
-const KEPT_NAME: usize = 40;
+const MAX_NAME_BYTES: usize = 40;
 
-/// The steps of one request, shared by all who take part in it.
+/// The trace of one request. Clones share their steps, so that each component that
+/// handles the request can add to them.
 #[derive(Clone, Debug)]
 pub struct RequestTrace {
-    shared: Arc<TraceCell>,
+    shared: Arc<TraceInner>,
 }
 
 #[derive(Debug)]
-struct TraceCell {
+struct TraceInner {
     id: Box<str>,
-    /// When it arrived, in milliseconds since 1970.
+    /// The time of the request's arrival, in milliseconds since 1970.
     at_ms: u64,
     arrived: Timestamp,
     steps: Mutex<TraceSteps>,
@@ -38,9 +39,10 @@
 }
 
 impl RequestTrace {
-    /// A request that has just arrived; `at_ms` is the time of day.
+    /// Creates the trace of a request that arrives at `now`. `at_ms` is the same time
+    /// in milliseconds since 1970.
     pub fn new(id: &str, at_ms: u64, now: Timestamp) -> Self {
-        let cell = TraceCell {
+        let cell = TraceInner {
             id: id.into(),
             at_ms,
             arrived: now,
@@ -51,47 +53,48 @@
         }
     }
 
-    /// The request's id.
+    /// Returns the request's id.
     pub fn id(&self) -> &str {
         &self.shared.id
     }
 
-    /// Adds a step.
+    /// Adds a step. Once the trace is full, it replaces the last one.
     pub fn note(&self, step: TraceStep, now: Timestamp) {
         let after = now.since(self.shared.arrived).as_micros();
         let after_us = u32::try_from(after).unwrap_or(u32::MAX);
         let timed = TimedStep { after_us, step };
         let mut steps = self.lock();
-        if steps.kept.len() == steps.kept.capacity() && steps.kept.len() < KEPT_STEPS {
-            // Doubling would reserve room for steps that are never kept.
-            steps.kept.reserve_exact(STEPS_AT_ONCE);
+        if steps.kept.len() == steps.kept.capacity() && steps.kept.len() < MAX_STEPS {
+            // Doubling would reserve capacity for steps that are never kept.
+            steps.kept.reserve_exact(CAPACITY_INCREMENT);
         }
-        if steps.kept.len() < KEPT_STEPS {
+        if steps.kept.len() < MAX_STEPS {
             steps.kept.push(timed);
         } else {
-            // How it ended matters more than what came before.
+            // How the request ended matters more than the steps before that.
             steps.more += 1;
-            steps.kept[KEPT_STEPS - 1] = timed;
+            steps.kept[MAX_STEPS - 1] = timed;
         }
     }
 
-    /// Adds that the key was recognised as a customer's.
+    /// Adds the step that the key was recognised as a customer's.
     pub fn recognised(&self, customer: &str, now: Timestamp) {
-        let customer = shortened(customer);
+        let customer = truncated(customer);
         self.note(TraceStep::Recognised { customer }, now);
     }
 
-    /// Adds that a server was tried.
+    /// Adds the step that the request was sent to a server. `left_out` is the number
+    /// of servers excluded because of earlier attempts.
     pub fn tried(&self, server: &str, in_flight: u32, left_out: usize, now: Timestamp) {
         let step = TraceStep::Tried {
-            server: shortened(server),
+            server: truncated(server),
             in_flight,
             left_out: u32::try_from(left_out).unwrap_or(u32::MAX),
         };
         self.note(step, now);
     }
 
-    /// Adds that the request was refused or its answer broken off.
+    /// Adds the step that the request was refused or its answer broken off.
     pub fn refused(&self, answer: &ErrorAnswer, now: Timestamp) {
         let step = TraceStep::Refused {
             code: answer.code,
@@ -101,12 +104,15 @@
         self.note(step, now);
     }
 
-    /// The trace for programs and for people.
+    /// Returns the trace as JSON, with its steps as data and as sentences.
     pub fn view(&self) -> Value {
         let steps = self.lock();
         let mut story: Vec<String> = steps.kept.iter().map(sentence).collect();
         if steps.more > 0 {
-            let text = format!("{} steps before the last one were not kept.", steps.more);
+            let text = format!(
+                "{} steps before the last one were not recorded.",
+                steps.more
+            );
             story.insert(story.len() - 1, text);
         }
         json!({
@@ -118,16 +124,16 @@
         })
     }
 
-    /// The bytes that the trace takes.
+    /// Returns the size of the trace in bytes.
     pub fn bytes(&self) -> usize {
         let steps = self.lock();
         let texts: usize = steps.kept.iter().map(|it| it.step.text_bytes()).sum();
         let kept = steps.kept.capacity() * size_of::<TimedStep>();
-        size_of::<TraceCell>() + self.shared.id.len() + kept + texts
+        size_of::<TraceInner>() + self.shared.id.len() + kept + texts
     }
 
     fn lock(&self) -> MutexGuard<'_, TraceSteps> {
-        // A step that is half written is none: a push either happened or not.
+        // A poisoned lock is used anyway: a step was either added or not.
         self.shared
             .steps
             .lock()
@@ -135,10 +141,10 @@
     }
 }
 
-/// A name's beginning. Names are the operators' own; a very long one must not
-/// make the traces outgrow their bound.
-fn shortened(name: &str) -> Box<str> {
-    let mut end = name.len().min(KEPT_NAME);
+/// Returns the beginning of a name. Operators choose the names, and a very long one
+/// must not make the traces exceed their limit.
+fn truncated(name: &str) -> Box<str> {
+    let mut end = name.len().min(MAX_NAME_BYTES);
     while !name.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/daemon/src/traces/trace_ring.rs
+++ b/crates/daemon/src/traces/trace_ring.rs
@@ -1,4 +1,4 @@
-//! The last requests of a daemon.
+//! A ring buffer of the most recent requests' traces.
 
 use std::{
     collections::VecDeque,
@@ -7,18 +7,18 @@
 
 use super::RequestTrace;
 
-/// How many requests are kept.
+/// The number of traces kept.
 pub const KEPT_TRACES: usize = 1500;
 
-/// The last requests, the newest at the end. At most 2 MB.
+/// The traces of the most recent requests, the newest last. They take 2 MB at most.
 #[derive(Debug, Default)]
 pub struct TraceRing {
     traces: Mutex<VecDeque<RequestTrace>>,
 }
 
 impl TraceRing {
-    /// Keeps a request that has just arrived, so that one that still runs, or
-    /// hangs, can be asked about too.
+    /// Adds the trace of a request that has just arrived, so that requests that still
+    /// run, or hang, can be looked up too. The oldest trace is dropped if necessary.
     pub fn keep(&self, trace: RequestTrace) {
         let mut traces = self.traces.lock().unwrap_or_else(PoisonError::into_inner);
         let oldest = if traces.len() >= KEPT_TRACES {
@@ -28,17 +28,17 @@
         };
         traces.push_back(trace);
         drop(traces);
-        // Freed outside of the lock, which every request takes.
+        // Freed outside of the lock, because every request takes the lock.
         drop(oldest);
     }
 
-    /// The request with this id, if it is still kept.
+    /// Returns the trace of the request with this id, if it is still kept.
     pub fn find(&self, id: &str) -> Option<RequestTrace> {
         let traces = self.traces.lock().unwrap_or_else(PoisonError::into_inner);
         traces.iter().rev().find(|it| it.id() == id).cloned()
     }
 
-    /// How many requests are kept, and the bytes that they take.
+    /// Returns the number of traces and their total size in bytes.
     pub fn size(&self) -> (usize, usize) {
         let traces = self.traces.lock().unwrap_or_else(PoisonError::into_inner);
         (traces.len(), traces.iter().map(RequestTrace::bytes).sum())
--- a/crates/daemon/src/traces/trace_step.rs
+++ b/crates/daemon/src/traces/trace_step.rs
@@ -1,9 +1,10 @@
-//! One step of a request's way.
+//! The steps that a trace can record.
 
 use comfreyramp_http::RunState;
 use serde::Serialize;
 
-/// What happened. Texts are the daemon's own words and operators' names only.
+/// An event in the handling of a request. Its texts are constants of the daemon and
+/// names that operators chose, never text from a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
 pub enum TraceStep {
@@ -12,27 +13,27 @@
         /// The customer it belongs to.
         customer: Box<str>,
     },
-    /// How urgent the request is taken to be.
+    /// The request was assigned to a class of urgency.
     Classed {
         /// The class.
         class: &'static str,
-        /// What it was inferred from.
+        /// What the class was inferred from.
         because: &'static str,
     },
-    /// The customer's rate let it in.
+    /// The customer's rate admitted the request.
     Admitted,
     /// It was sent to a backend server.
     Tried {
         /// The server.
         server: Box<str>,
-        /// How many requests this daemon had on it, this one included.
+        /// How many requests this daemon had in flight there, including this one.
         in_flight: u32,
-        /// How many servers were tried before and left out.
+        /// How many servers were excluded because they were tried before.
         left_out: u32,
     },
     /// An attempt failed.
     Failed {
-        /// How.
+        /// The kind of failure.
         failure: &'static str,
         /// Whether another attempt follows.
         again: bool,
@@ -44,18 +45,18 @@
         /// The HTTP status.
         status: u16,
     },
-    /// It was refused, or its answer broken off.
+    /// The request was refused, or its answer broken off.
     Refused {
         /// The error's code.
         code: &'static str,
-        /// Whether it ran.
+        /// Whether the request ran.
         ran: RunState,
-        /// When the caller may come back, in seconds.
+        /// The time after which the caller may retry, in seconds.
         retry_after: Option<u64>,
     },
-    /// The whole stream was delivered.
+    /// The complete stream was delivered.
     Whole,
-    /// The daemon is done with it.
+    /// The daemon finished handling the request.
     Ended,
 }
 
@@ -64,13 +65,13 @@
 pub struct TimedStep {
     /// Microseconds after the request arrived, at most a little over an hour.
     pub after_us: u32,
-    /// What happened.
+    /// The step itself.
     #[serde(flatten)]
     pub step: TraceStep,
 }
 
 impl TraceStep {
-    /// The bytes that the step's texts take.
+    /// Returns the size of the step's heap-allocated texts in bytes.
     pub(super) fn text_bytes(&self) -> usize {
         match self {
             TraceStep::Recognised { customer } => customer.len(),
