--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -106,7 +106,7 @@
     if bool::from(presented.as_bytes().ct_eq(expected)) {
         return Ok(());
     }
-    let text = "Send the operators' token as `Authorization: Bearer <token>`.";
+    let text = "Show the operators' token as `Authorization: Bearer <token>`.";
     Err(ErrorAnswer::new(
         StatusCode::UNAUTHORIZED,
         "wrong_token",
--- a/crates/daemon/src/rates/limiter_state.rs
+++ b/crates/daemon/src/rates/limiter_state.rs
@@ -61,7 +61,7 @@
     pub(super) zone: usize,
     pub(super) change: RosterChange,
     /// The slots that had no holder before, as a bit mask.
-    pub(super) first_held: u64,
+    pub(super) unheld: u64,
     pub(super) batch: WriteBatch,
     /// The slots that the change gives away and that weren't being handed over
     /// already.
@@ -90,14 +90,8 @@
     }
 
     /// Applies a view of the rosters that was current at `at`. The slots in
-    /// `first_held` had no holder before this daemon. Older views are ignored.
-    pub(super) fn apply(
-        &mut self,
-        view: RosterView,
-        first_held: u64,
-        at: Timestamp,
-        now: Timestamp,
-    ) {
+    /// `unheld` had no holder before this daemon. Older views are ignored.
+    pub(super) fn apply(&mut self, view: RosterView, unheld: u64, at: Timestamp, now: Timestamp) {
         if view.revision < self.view.revision {
             return;
         }
@@ -109,7 +103,7 @@
         };
         if changed {
             self.update_members();
-            self.update_ledger(own, first_held, now);
+            self.update_ledger(own, unheld, now);
         }
         self.watch.note(&self.view.records[own].roster, now);
     }
@@ -141,7 +135,7 @@
         // Another zone that doesn't count this one yet divides the rate by fewer
         // zones, and may still use this one's share of it.
         let is_alone = self.view.zones.len() == 1;
-        let first_held = match is_alone {
+        let unheld = match is_alone {
             true => change.roster.used & !self.view.records[zone].roster.used,
             false => 0,
         };
@@ -150,7 +144,7 @@
         Ok(Some(PlannedChange {
             zone,
             change,
-            first_held,
+            unheld,
             batch,
             given,
         }))
@@ -233,7 +227,7 @@
         self.view.records = records;
     }
 
-    fn update_ledger(&mut self, own: usize, first_held: u64, now: Timestamp) {
+    fn update_ledger(&mut self, own: usize, unheld: u64, now: Timestamp) {
         let zones = self.view.zones.len();
         let peers = self.zone_peers();
         let holders: Vec<_> = (0..zones).map(|zone| self.holders(zone)).collect();
@@ -244,8 +238,8 @@
         });
         ledger.set_zones(zones);
         for (zone, holders) in holders.iter().enumerate() {
-            let first_held = if zone == own { first_held } else { 0 };
-            ledger.set_holders(zone, holders, first_held, now);
+            let unheld = if zone == own { unheld } else { 0 };
+            ledger.set_holders(zone, holders, unheld, now);
         }
         ledger.note_roster(self.view.records[own].modified, now);
         ledger.set_rates(&self.rates, now);
--- a/crates/daemon/src/rates/roster_sync.rs
+++ b/crates/daemon/src/rates/roster_sync.rs
@@ -37,10 +37,7 @@
 /// the platform may take seconds, and a daemon without answers from its peers in
 /// that time would stop admitting requests, because it couldn't tell the outage
 /// from being cut off alone.
-pub async fn run_roster_sync(
-    state: Arc<SharedState>,
-    stop: CancellationToken,
-) -> anyhow::Result<()> {
+pub async fn run_rosters(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
     tokio::select! {
         () = stop.cancelled() => {}
         () = follow_platform(&state) => {}
@@ -136,7 +133,7 @@
         let PlannedChange {
             zone,
             change,
-            first_held,
+            unheld,
             batch,
             given,
         } = planned;
@@ -166,7 +163,7 @@
         // Other zones' rosters may have changed meanwhile, so the view isn't known
         // to be any more recent.
         let at = limiter.verified.unwrap_or(Timestamp::ZERO);
-        limiter.apply(view, first_held, at, now);
+        limiter.apply(view, unheld, at, now);
     }
     Ok(())
 }
@@ -183,7 +180,7 @@
 /// age of its view, and confirms the own view if the revisions are equal.
 async fn confirm_by_watcher(state: &SharedState, watcher: DaemonId) {
     let sent = state.clock.now();
-    let Some(beat) = exchange_heartbeats(state, watcher).await else {
+    let Some(beat) = query_peer(state, watcher).await else {
         return;
     };
     let mut limiter = state.rates.lock();
@@ -197,7 +194,7 @@
     let peers = state.rates.lock().zone_peers();
     let queries = peers.into_iter().map(|peer| async move {
         let sent = state.clock.now();
-        let Some(beat) = exchange_heartbeats(state, peer).await else {
+        let Some(beat) = query_peer(state, peer).await else {
             return;
         };
         let mut limiter = state.rates.lock();
@@ -211,7 +208,7 @@
 /// Probes the zone's daemons that are missing from the VM list and, if `silent` is
 /// set, those that didn't answer before.
 async fn probe(state: &SharedState, silent: bool) {
-    let suspicious = {
+    let probed = {
         let limiter = state.rates.lock();
         let mut peers = limiter.zone_peers();
         peers.retain(|peer| {
@@ -220,20 +217,13 @@
         });
         peers
     };
-    join_all(
-        suspicious
-            .into_iter()
-            .map(|peer| exchange_heartbeats(state, peer)),
-    )
-    .await;
+    join_all(probed.into_iter().map(|peer| query_peer(state, peer))).await;
 }
 
-/// Exchanges heartbeats with a peer and records whether it answered. Returns none if
-/// it didn't, or if another daemon answers at its address.
-async fn exchange_heartbeats(
-    state: &SharedState,
-    peer: DaemonId,
-) -> Option<comfreyramp_peers::PeerBeat> {
+/// Sends this daemon's heartbeat to a peer and records whether it answered. Returns the
+/// peer's heartbeat, or none if it didn't answer or if another daemon answers at its
+/// address.
+async fn query_peer(state: &SharedState, peer: DaemonId) -> Option<comfreyramp_peers::PeerBeat> {
     let (link, address) = state.rates.link_to(peer)?;
     let sent = state.clock.now();
     let answer = link.beat(address, state.own_beat(), PEER_TIMEOUT).await;
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -194,7 +194,7 @@
     supervisor.supervise("announcer", move |stop| run_announcer(shared.clone(), stop));
     let shared = state.clone();
     supervisor.supervise("rosters", move |stop| {
-        rates::run_roster_sync(shared.clone(), stop)
+        rates::run_rosters(shared.clone(), stop)
     });
     let shared = state.clone();
     supervisor.supervise("rates", move |stop| rates::run_ledger(shared.clone(), stop));
