--- a/crates/daemon/src/announcer.rs
+++ b/crates/daemon/src/announcer.rs
@@ -76,8 +76,8 @@
     }
 }
 
-/// Announces requests to one home daemon and records how much bulk work its
-/// servers still run, which the answer says.
+/// Announces requests to one home daemon and records its answer: how much bulk work
+/// its servers still run.
 async fn announce(
     state: Arc<SharedState>,
     link: PeerLink,
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,4 +1,4 @@
-//! The daemon's monotonic clock. No other module reads it directly.
+//! The daemon's monotonic clock, the source of all its timestamps.
 
 use tokio::time::Instant;
 
--- a/crates/daemon/src/operators/settings_routes.rs
+++ b/crates/daemon/src/operators/settings_routes.rs
@@ -180,8 +180,8 @@
 }
 
 /// Returns the digest by which a change is recognised. It covers the content: an
-/// operator who uses an id twice must not be told that the second change took effect
-/// when only the first one did.
+/// operator who uses an id twice must not get the answer that the second change took
+/// effect when only the first one did.
 fn change_digest(id: &str, base: Revision, value: &Bytes) -> String {
     let mut digest = Sha256::new();
     digest.update(id.as_bytes());
@@ -253,7 +253,7 @@
     platform_error(error, RunState::No)
 }
 
-/// Returns the answer for a platform error. `ran` says whether a write took effect.
+/// Returns the answer for a platform error. `ran` is whether a write took effect.
 pub(super) fn platform_error(error: &StoreError, ran: RunState) -> ErrorAnswer {
     let text = format!("The platform didn't answer: {error}");
     ErrorAnswer::new(
--- a/crates/daemon/src/rates/peer_request_handler.rs
+++ b/crates/daemon/src/rates/peer_request_handler.rs
@@ -39,12 +39,12 @@
         self.state.rates.record_heartbeat(beat);
     }
 
-    fn rates(&self, from: &PeerBeat, ask: &RateAsk) -> RateAnswer {
-        self.state.rates.handle(&from.member.name, ask)
+    fn rates(&self, from: &PeerBeat, query: &RateAsk) -> RateAnswer {
+        self.state.rates.handle(&from.member.name, query)
     }
 
-    async fn settings(&self, ask: SettingsAsk) -> Option<SettingsAnswer> {
-        let answer = self.settings.answer(ask.known, ask.hold).await?;
+    async fn settings(&self, query: SettingsAsk) -> Option<SettingsAnswer> {
+        let answer = self.settings.answer(query.known, query.hold).await?;
         let written = answer.changes.written.into_iter();
         let written = written.map(|pair| SettingsPair {
             key: pair.key,
--- a/crates/daemon/src/rates/rate_limiter.rs
+++ b/crates/daemon/src/rates/rate_limiter.rs
@@ -121,14 +121,14 @@
     }
 
     /// Answers a rate request of the daemon called `from`.
-    pub fn handle(&self, from: &str, ask: &RateAsk) -> RateAnswer {
+    pub fn handle(&self, from: &str, request: &RateAsk) -> RateAnswer {
         let now = self.clock.now();
         let mut state = self.lock();
         let from = state.id_of(from);
         let Some(ledger) = &mut state.ledger else {
-            return answer_without_ledger(ask);
+            return answer_without_ledger(request);
         };
-        let answer = ledger.handle(from, ask, now);
+        let answer = ledger.handle(from, request, now);
         drop(state);
         self.wake.notify_one();
         answer
@@ -231,12 +231,12 @@
         self.wake.notify_one();
     }
 
-    async fn borrow(&self, to: DaemonId, ask: TokenAsk, attempt: Attempt) -> Decision {
+    async fn borrow(&self, to: DaemonId, request: TokenAsk, attempt: Attempt) -> Decision {
         let Some((link, address)) = self.link_to(to) else {
             return self.decide(|ledger, now| ledger.unreachable(attempt, now));
         };
         let timeout = LedgerTiming::default().answer;
-        let answer = link.rates(address, RateAsk::Tokens(ask), timeout).await;
+        let answer = link.rates(address, RateAsk::Tokens(request), timeout).await;
         self.decide(|ledger, now| match answer {
             Ok(RateAnswer::Tokens(answer)) => ledger.take(attempt, answer, now),
             Err(PeerError::Unreachable(_)) => ledger.unreachable(attempt, now),
@@ -281,8 +281,8 @@
 }
 
 /// Returns the answer to a request that arrives before this daemon has a ledger.
-fn answer_without_ledger(ask: &RateAsk) -> RateAnswer {
-    match ask {
+fn answer_without_ledger(request: &RateAsk) -> RateAnswer {
+    match request {
         RateAsk::Tokens(_) => RateAnswer::Tokens(comfreyramp_policy::rates::TokenAnswer::Stale),
         RateAsk::Slices(_) => RateAnswer::Slices(Vec::new()),
         RateAsk::Return(_) | RateAsk::Settle(_) => RateAnswer::Done,
--- a/crates/daemon/src/rates/settings_peers.rs
+++ b/crates/daemon/src/rates/settings_peers.rs
@@ -42,8 +42,8 @@
         let Some((link, address)) = self.0.link_to(peer) else {
             return Err(PeerSilence("its address isn't known".to_owned()));
         };
-        let ask = SettingsAsk { known, hold };
-        let answer = link.settings(address, ask, hold + ANSWER_TIMEOUT).await;
+        let query = SettingsAsk { known, hold };
+        let answer = link.settings(address, query, hold + ANSWER_TIMEOUT).await;
         let answer = answer.map_err(|error| PeerSilence(error.to_string()))?;
         Ok(answer.map(|answer| PeerAnswer {
             offer: answer.offer,
--- a/crates/daemon/src/settings_link/query.rs
+++ b/crates/daemon/src/settings_link/query.rs
@@ -63,9 +63,9 @@
 
     /// Returns how long a peer may hold its answer back while it has no changes.
     ///
-    /// That is zero if the own view is stale, since any answer helps then, and for
-    /// a silent peer, to find out whether it is back: waiting for a peer that
-    /// hangs adds to the age of the own view.
+    /// That is zero if the own view is stale, so that what the peer has arrives at
+    /// once, and for a silent peer, to find out whether it is back. Waiting for a
+    /// peer that hangs adds to the age of the own view.
     fn hold_for(&self, peer: DaemonId) -> Duration {
         let now = self.clock.now();
         let state = self.lock();
--- a/crates/daemon/src/settings_link/settings_view.rs
+++ b/crates/daemon/src/settings_link/settings_view.rs
@@ -132,10 +132,10 @@
             // Deletions before the first view are not known.
             self.deletions_from = revision;
         }
-        let gone = self.pairs.iter().map(|it| &it.key);
-        let gone = gone.filter(|key| pairs.binary_search_by(|it| it.key.cmp(key)).is_err());
-        let gone: Vec<String> = gone.cloned().collect();
-        for key in gone {
+        let removed = self.pairs.iter().map(|it| &it.key);
+        let removed = removed.filter(|key| pairs.binary_search_by(|it| it.key.cmp(key)).is_err());
+        let removed: Vec<String> = removed.cloned().collect();
+        for key in removed {
             self.delete(key, revision);
         }
         self.pairs = pairs;
--- a/crates/daemon/src/suspects/run_start.rs
+++ b/crates/daemon/src/suspects/run_start.rs
@@ -66,7 +66,7 @@
                     // The grant has expired, and is released soon.
                     tokio::time::sleep(RECHECK_INTERVAL).await;
                 }
-                TrialStep::Refuse(span) => return Err(AttemptFailure::Suspected(span)),
+                TrialStep::Refuse(left) => return Err(AttemptFailure::Suspected(left)),
             }
         }
     }
@@ -102,19 +102,19 @@
         };
         let now = self.clock.now();
         let key = ServerKey::of(&server.name);
-        let ask = self
+        let trial = self
             .suspects
             .table()
             .ask_trial(request.fingerprint, key, now);
-        let Some(ask) = ask else {
+        let Some(trial) = trial else {
             return;
         };
-        let answer = self.suspect_records.request_trial(&ask, now).await;
+        let answer = self.suspect_records.request_trial(&trial, now).await;
         if answer == TrialAnswer::ServerTaken {
             taken.push(server.id);
         }
         let now = self.clock.now();
-        self.suspects.table().trial_answer(&ask, answer, now);
+        self.suspects.table().trial_answer(&trial, answer, now);
         self.suspects.note_progress();
     }
 
--- a/crates/daemon/src/suspects/suspect_records.rs
+++ b/crates/daemon/src/suspects/suspect_records.rs
@@ -81,9 +81,9 @@
     }
 
     /// Requests a trial. A repeated request gets the same answer.
-    pub(super) async fn request_trial(&self, ask: &TrialAsk, now: Timestamp) -> TrialAnswer {
+    pub(super) async fn request_trial(&self, request: &TrialAsk, now: Timestamp) -> TrialAnswer {
         for _ in 0..MAX_ATTEMPTS {
-            match self.request_trial_once(ask, now).await {
+            match self.request_trial_once(request, now).await {
                 Ok(Some(answer)) => return answer,
                 // The answer was lost, or an older record of this process has been
                 // removed: repeating the same request finds out.
@@ -96,15 +96,15 @@
 
     async fn request_trial_once(
         &self,
-        ask: &TrialAsk,
+        request: &TrialAsk,
         now: Timestamp,
     ) -> Result<Option<TrialAnswer>, StoreError> {
         let lease = self.lease.get(&self.store, now).await?;
-        let (trial, server) = (trial_key(ask.fingerprint), server_key(ask.server));
+        let (trial, server) = (trial_key(request.fingerprint), server_key(request.server));
         let stored = StoredTrial {
             granted_ms: calendar_ms(),
             trial: TrialRecord {
-                ask: *ask,
+                ask: *request,
                 died: false,
             },
         };
@@ -115,7 +115,7 @@
             ],
             then: vec![
                 put(trial.clone(), &stored, lease),
-                put(server.clone(), &ask.fingerprint, lease),
+                put(server.clone(), &request.fingerprint, lease),
             ],
             read_back: vec![trial.clone(), server],
         };
@@ -127,14 +127,14 @@
         let Some(pair) = found.iter().find(|it| it.key == trial) else {
             return Ok(Some(TrialAnswer::ServerTaken));
         };
-        self.resolve_conflict(ask, pair).await
+        self.resolve_conflict(request, pair).await
     }
 
     /// Returns the answer that an existing record of the same fingerprint implies, or
     /// none if the record was outdated and has been removed.
     async fn resolve_conflict(
         &self,
-        ask: &TrialAsk,
+        request: &TrialAsk,
         pair: &KeyValue,
     ) -> Result<Option<TrialAnswer>, StoreError> {
         let Ok(held) = serde_json::from_slice::<StoredTrial>(&pair.value) else {
@@ -146,8 +146,8 @@
         let left = MIN_RETENTION.saturating_sub(age);
         let answer = match held.trial {
             TrialRecord { died: true, .. } => TrialAnswer::Blocked { left },
-            TrialRecord { ask: own, .. } if own == *ask => TrialAnswer::Granted,
-            TrialRecord { ask: older, .. } if ask.ticket.supersedes(&older.ticket) => {
+            TrialRecord { ask: own, .. } if own == *request => TrialAnswer::Granted,
+            TrialRecord { ask: older, .. } if request.ticket.supersedes(&older.ticket) => {
                 self.release(&older, pair.modified).await?;
                 return Ok(None);
             }
@@ -158,8 +158,8 @@
 
     /// Writes how a trial ended. Repeating it is harmless.
     pub(super) async fn settle(&self, settlement: &TrialSettlement) -> Result<(), StoreError> {
-        let ask = &settlement.ask;
-        let key = trial_key(ask.fingerprint);
+        let request = &settlement.ask;
+        let key = trial_key(request.fingerprint);
         let answer = self.store.range(KeyRange::One(key.clone()), 1).await?;
         let Some(pair) = answer.pairs.first() else {
             return Ok(());
@@ -167,11 +167,11 @@
         let Ok(mut held) = serde_json::from_slice::<StoredTrial>(&pair.value) else {
             return Ok(());
         };
-        if held.trial.ask != *ask {
+        if held.trial.ask != *request {
             return Ok(());
         }
         if settlement.end == TrialEnd::Released {
-            return self.release(ask, pair.modified).await;
+            return self.release(request, pair.modified).await;
         }
         held.trial.died = true;
         let lease = self.lease.held();
@@ -183,18 +183,18 @@
                     value: serde_json::to_vec(&held).unwrap_or_default().into(),
                     lease,
                 },
-                Write::Delete(server_key(ask.server)),
+                Write::Delete(server_key(request.server)),
             ],
             read_back: Vec::new(),
         };
         self.store.transact(batch).await.map(|_| ())
     }
 
-    async fn release(&self, ask: &TrialAsk, modified: Revision) -> Result<(), StoreError> {
-        let key = trial_key(ask.fingerprint);
+    async fn release(&self, trial: &TrialAsk, modified: Revision) -> Result<(), StoreError> {
+        let key = trial_key(trial.fingerprint);
         let batch = WriteBatch {
             when: vec![Comparison::ModifiedAt(key.clone(), modified)],
-            then: vec![Write::Delete(key), Write::Delete(server_key(ask.server))],
+            then: vec![Write::Delete(key), Write::Delete(server_key(trial.server))],
             read_back: Vec::new(),
         };
         self.store.transact(batch).await.map(|_| ())
--- a/crates/daemon/src/suspects/suspect_sync.rs
+++ b/crates/daemon/src/suspects/suspect_sync.rs
@@ -34,7 +34,7 @@
     ) -> impl Future<Output = Option<NoticeAck>> + Send;
 }
 
-/// Stands for no direct connection: daemons exchange facts through the platform only.
+/// No direct connection: daemons exchange facts through the platform only.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoSuspectPeers;
 
