--- a/crates/daemon/src/record_lease.rs
+++ b/crates/daemon/src/record_lease.rs
@@ -40,7 +40,7 @@
         Ok(lease)
     }
 
-    /// Returns the lease that was granted last, if it is still in use.
+    /// Returns the lease that was granted last, or none if it was discarded.
     pub(crate) fn held(&self) -> Option<LeaseId> {
         let held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         held.map(|it| it.0)
--- a/crates/daemon/src/settings_link/query.rs
+++ b/crates/daemon/src/settings_link/query.rs
@@ -104,8 +104,9 @@
                 None
             }
         };
-        // During an outage, a starting daemon may only serve with an old view after
-        // its peers turned out to be silent, so silence can complete a start, too.
+        // A daemon that starts during an outage serves with an old view once enough
+        // peers have answered or turned out to be silent, so silence can complete a
+        // start, too.
         self.publish(&state);
         verdict
     }
--- a/crates/daemon/src/suspects/run_start.rs
+++ b/crates/daemon/src/suspects/run_start.rs
@@ -28,7 +28,7 @@
     pub prefix: Option<u64>,
     /// The servers on which it was attempted before.
     pub tried: &'a [ServerId],
-    /// Its rank in the queue.
+    /// Its urgency, which orders the queue.
     pub rank: &'a CallRank,
     /// The time at which it times out.
     pub deadline: Timestamp,
@@ -54,7 +54,7 @@
             let step = self.suspects.table().trial_step(request.fingerprint, now);
             match step {
                 TrialStep::Run => {}
-                TrialStep::Wait => self.suspects.progress_or(RECHECK_INTERVAL).await,
+                TrialStep::Wait => self.suspects.wait_for_progress(RECHECK_INTERVAL).await,
                 TrialStep::Ask if !self.suspects.is_known_to_others(request.fingerprint) => {
                     tokio::time::sleep(RECHECK_INTERVAL).await;
                 }
@@ -115,7 +115,7 @@
         }
         let now = self.clock.now();
         self.suspects.table().trial_answer(&trial, answer, now);
-        self.suspects.note_progress();
+        self.suspects.notify_progress();
     }
 
     fn begin_trial(&self, fingerprint: Fingerprint) -> Option<ChosenServer> {
--- a/crates/daemon/src/suspects/suspect_manager.rs
+++ b/crates/daemon/src/suspects/suspect_manager.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FactDelivery {
     fingerprint: Fingerprint,
-    begun_at: Timestamp,
+    started_at: Timestamp,
     /// When the other daemons have it at the latest; none until it is written.
     known_at: Option<Timestamp>,
     is_written: bool,
@@ -114,7 +114,7 @@
         if fact.stage == SuspectStage::Cleared {
             self.send_fact(fingerprint);
         }
-        self.note_progress();
+        self.notify_progress();
     }
 
     /// Records the death of a server: all requests that ran on it become suspects.
@@ -130,13 +130,13 @@
         for suspect in &suspects {
             self.send_fact(suspect.fingerprint);
         }
-        self.note_progress();
+        self.notify_progress();
     }
 
     /// Records facts from other daemons.
     pub(super) fn import(&self, facts: &[SuspectFact]) {
         self.table().import(facts, self.clock.now());
-        self.note_progress();
+        self.notify_progress();
     }
 
     /// Returns whether the other daemons have the latest fact about a request by
@@ -148,7 +148,7 @@
             return true;
         };
         let delivery = &deliveries[at];
-        let late = now.since(delivery.begun_at) >= MAX_DELIVERY_WAIT;
+        let late = now.since(delivery.started_at) >= MAX_DELIVERY_WAIT;
         late || delivery.known_at.is_some_and(|it| now >= it)
     }
 
@@ -163,7 +163,7 @@
     fn send_fact(&self, fingerprint: Fingerprint) {
         let delivery = FactDelivery {
             fingerprint,
-            begun_at: self.clock.now(),
+            started_at: self.clock.now(),
             known_at: None,
             is_written: false,
         };
@@ -197,7 +197,7 @@
         for fact in written {
             let found = deliveries.binary_search_by_key(&fact.fingerprint, |it| it.fingerprint);
             if let Ok(at) = found
-                && deliveries[at].begun_at <= sent_at
+                && deliveries[at].started_at <= sent_at
             {
                 deliveries[at].is_written = true;
                 deliveries[at].known_at = Some(known_at);
@@ -214,13 +214,13 @@
     }
 
     /// Waits for progress of any suspect, at most `timeout`.
-    pub(super) async fn progress_or(&self, timeout: Duration) {
+    pub(super) async fn wait_for_progress(&self, timeout: Duration) {
         let mut progress = self.progress.subscribe();
         let _ = tokio::time::timeout(timeout, progress.changed()).await;
     }
 
     /// Wakes the requests that wait for progress, and the task that writes facts.
-    pub(super) fn note_progress(&self) {
+    pub(super) fn notify_progress(&self) {
         self.progress.send_modify(|it| *it += 1);
         self.work.notify_one();
     }
--- a/crates/daemon/src/suspects/suspect_sync.rs
+++ b/crates/daemon/src/suspects/suspect_sync.rs
@@ -172,10 +172,10 @@
                 if let Some(ack) = self.peers.send_notice(peer, notice).await {
                     let now = self.manager.clock().now();
                     self.manager.table().acknowledged(peer, &ack, now);
-                    self.manager.note_progress();
+                    self.manager.notify_progress();
                 }
             }
-            self.manager.progress_or(POLL_INTERVAL).await;
+            self.manager.wait_for_progress(POLL_INTERVAL).await;
         }
     }
 }
