--- a/crates/daemon/src/settings_link/link.rs
+++ b/crates/daemon/src/settings_link/link.rs
@@ -185,7 +185,7 @@
             return;
         }
         self.in_force.send_if_modified(|in_force| {
-            if in_force.revision > 0 && in_force.has_same_pairs(&state.view) {
+            if in_force.revision > 0 && in_force.is_same(&state.view) {
                 return false;
             }
             *in_force = Arc::new(state.view.clone());
