--- a/crates/daemon/src/attempts.rs
+++ b/crates/daemon/src/attempts.rs
@@ -1,4 +1,5 @@
-//! The attempts of one request, and what follows a failed one.
+//! The attempts of one request at backend servers, and the decision after a
+//! failed attempt.
 
 use std::{sync::PoisonError, time::Duration};
 
@@ -14,33 +15,35 @@
     traces::{RequestTrace, TraceStep},
 };
 
-/// When a caller may come back if no backend server can take its request.
+/// `retry_after` for a caller whose request no backend server can take.
 pub const BUSY_RETRY: Duration = Duration::from_secs(1);
 
-/// Why an attempt at a server gave no answer to pass on.
+/// Why an attempt at a server gave no answer that can be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// There is no server to try.
+    /// No server is available.
     NoServer,
-    /// Nothing was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// The server is full or starting, and said that it did not run the request.
+    /// The server answered that it is full or starting, and did not run the
+    /// request.
     TurnedAway,
-    /// It was sent, and no whole answer came.
+    /// The request was sent, and no complete answer arrived.
     Broken,
-    /// The request's time is over.
+    /// The request's deadline passed.
     TimedOut,
-    /// Its claim lapsed before a byte of it left.
+    /// The request's claim expired before any byte of the request was sent.
     ClaimLapsed,
-    /// All servers are full for longer than it may wait. This is when to come
-    /// back.
+    /// All servers are full for longer than the request may wait. Holds the
+    /// `retry_after` for the caller.
     HeldBack(Duration),
-    /// A server died of it, or may have, and it can't run for this long.
+    /// A server died, or may have died, of this request, which can't run again
+    /// for the given time.
     Suspected(Duration),
 }
 
 impl AttemptFailure {
-    /// The failure as a label.
+    /// Returns the failure as a metric label.
     pub fn as_str(self) -> &'static str {
         match self {
             AttemptFailure::NoServer => "no_server",
@@ -55,35 +58,37 @@
     }
 }
 
-/// What is known of one request's attempts.
+/// The state of one request's attempts.
 #[derive(Debug)]
 pub struct AttemptLog {
-    /// The servers that were tried.
+    /// The servers to which attempts were made, in order.
     pub tried: Vec<ServerId>,
-    /// How many of these it didn't reach.
+    /// The number of attempts in which no byte was sent.
     pub not_sent: u32,
-    /// How many of these broke off, and may have run it.
+    /// The number of attempts that broke off or timed out, in which the server
+    /// may have run the request.
     pub lost: u32,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// What makes it the same request as another.
+    /// Identifies equal requests of the same customer to the same service.
     pub fingerprint: Fingerprint,
-    /// Whether a byte of it was handed to a connection.
+    /// Whether any byte of the request was written to a connection.
     pub bytes_sent: bool,
-    /// Whether the caller has a part that can't be taken up from elsewhere.
+    /// Whether the caller has received a part of an answer that no other server
+    /// can resume.
     pub answer_begun: bool,
-    /// Tokens that the caller has.
+    /// The number of answer tokens that the caller has received.
     pub delivered: u32,
-    /// When the request's time is up.
+    /// The request's deadline.
     pub deadline: Timestamp,
-    /// The server that was chosen for the next attempt, if one was already.
+    /// The server for the next attempt, if it has already been chosen.
     pub reserved: Option<ChosenServer>,
-    /// Where the attempts are noted for operators.
+    /// The trace in which the attempts are recorded for operators.
     pub trace: RequestTrace,
 }
 
 impl AttemptLog {
-    /// A request without an attempt.
+    /// Creates the log of a request before its first attempt.
     pub fn new(
         idempotent: bool,
         fingerprint: Fingerprint,
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Whether the request has run, as far as this daemon can know.
+    /// Returns whether the request has run, as far as this daemon knows.
     pub fn run_state(&self) -> RunState {
         if self.delivered > 0 || self.answer_begun {
             RunState::Partly
@@ -118,7 +123,7 @@
 }
 
 impl SharedState {
-    /// Counts a request that was answered; successes pay for retries.
+    /// Counts an answered request. Successful requests add to the retry budget.
     pub fn note_success(&self) {
         self.retry_budget
             .lock()
@@ -126,14 +131,15 @@
             .success();
     }
 
-    /// The last word on a request that found no server.
+    /// Returns the final error for a request that could not start on any
+    /// server.
     pub fn refusal(&self, log: &mut AttemptLog, failure: AttemptFailure) -> ErrorAnswer {
         let answer = self.after_failure(log, failure);
         answer.err().unwrap_or_else(|| no_server(log))
     }
 
-    /// Decides whether a failed attempt is followed by another, or gives the
-    /// caller its last word.
+    /// Decides whether a failed attempt is followed by another. Returns the
+    /// final error for the caller if it isn't.
     pub fn after_failure(
         &self,
         log: &mut AttemptLog,
@@ -206,14 +212,15 @@
         .retry_after(BUSY_RETRY)
 }
 
-/// Said only of a call that was never started: one that was has no second
-/// attempt in which its claim could lapse.
+/// The error for a call whose claim expired. It always says that the call did
+/// not run: a call that was started has no second attempt in which its claim
+/// could expire.
 fn claim_lapsed() -> ErrorAnswer {
-    let text = "The call could not be sent soon enough after it was claimed, so it was not sent.";
+    let text = "The claim of this call expired before the call could be sent, so it was not sent.";
     ErrorAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "claim_late", text).retry_after(BUSY_RETRY)
 }
 
-/// The last word on a request that servers died of, or may have.
+/// The final error for a request of which servers died or may have died.
 fn suspected(log: &AttemptLog, is_blocked: bool, span: Duration) -> ErrorAnswer {
     let (status, code, text) = match is_blocked {
         true => (
@@ -233,7 +240,7 @@
 }
 
 fn held_back(log: &AttemptLog, span: Duration) -> ErrorAnswer {
-    let text = "All backend servers are full for longer than this request may wait.";
+    let text = "All backend servers will be full for longer than this request may wait.";
     ErrorAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "servers_busy", text)
         .ran(log.run_state())
         .retry_after(span)
@@ -250,7 +257,7 @@
         FinalCause::Deadline => (
             StatusCode::GATEWAY_TIMEOUT,
             "timed_out",
-            "The request's time is over.",
+            "The request's deadline has passed.",
         ),
         FinalCause::Attempts if failure == AttemptFailure::TurnedAway => (
             StatusCode::SERVICE_UNAVAILABLE,
@@ -260,18 +267,18 @@
         FinalCause::Attempts => (
             StatusCode::BAD_GATEWAY,
             "no_answer",
-            "The backend servers that were tried gave no whole answer.",
+            "None of the backend servers that were tried gave a complete answer.",
         ),
         FinalCause::Budget => (
             StatusCode::SERVICE_UNAVAILABLE,
             "too_many_failures",
-            "Too many requests fail at present for this one to be tried again.",
+            "Too many requests are failing at present for this one to be retried.",
         ),
         FinalCause::Blocked => return suspected(log, true, last.retry_after),
         FinalCause::Begun => (
             StatusCode::BAD_GATEWAY,
             "stream_broken",
-            "The answer broke off and can't go on from another backend server.",
+            "The answer broke off and can't be resumed on another backend server.",
         ),
     };
     ErrorAnswer::new(status, code, text)
--- a/crates/daemon/src/callers/batches.rs
+++ b/crates/daemon/src/callers/batches.rs
@@ -1,4 +1,4 @@
-//! `/v1/batches`: lots in the published shape.
+//! `/v1/batches`: lots in the shape of the OpenAI batch API.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,10 +14,11 @@
 };
 use crate::{operators::json, shared::SharedState};
 
-/// The longest body of a request for a lot; its items come in a file.
+/// The maximum size in bytes of the body that creates a lot. The items are
+/// uploaded as a file beforehand.
 const REQUEST_LIMIT: usize = 64 * 1024;
 
-/// What a caller sends to create a lot.
+/// The body with which a caller creates a lot.
 #[derive(Debug, Deserialize)]
 struct BatchRequest {
     input_file_id: String,
@@ -27,7 +28,7 @@
     metadata: Option<BTreeMap<String, String>>,
 }
 
-/// Answers a request below `/v1/batches`.
+/// Handles a request to `/v1/batches` or a path below it.
 pub(super) async fn answer(
     state: &Arc<SharedState>,
     caller: Caller,
@@ -53,7 +54,7 @@
     let key = job_key(&head.headers)?;
     let body = read_request_body(body, REQUEST_LIMIT).await?;
     let wanted: BatchRequest = serde_json::from_slice(&body)
-        .map_err(|error| bad_request("broken_json", format!("The body is no batch: {error}")))?;
+        .map_err(|error| bad_request("broken_json", format!("The body is not a valid batch: {error}")))?;
     let customer = &caller.customer.name;
     let new = NewLot {
         completion_window: wanted.completion_window.parse().map_err(lot_error)?,
@@ -88,8 +89,8 @@
     Ok(json(&lot))
 }
 
-/// The answer where there is nothing.
+/// Returns the error for a path that doesn't exist.
 pub(super) fn unknown_path(path: &str) -> ErrorAnswer {
-    let text = format!("There is no such {path}. See docs/API.md.");
+    let text = format!("There is no {path}. See docs/API.md.");
     ErrorAnswer::new(StatusCode::NOT_FOUND, "unknown_path", text)
 }
--- a/crates/daemon/src/callers/caller.rs
+++ b/crates/daemon/src/callers/caller.rs
@@ -1,4 +1,4 @@
-//! Who calls: the key, its customer, and the request's id.
+//! Authenticates callers: the key, its customer, and the request's id.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,33 +12,34 @@
     traces::RequestTrace,
 };
 
-/// The header with which a caller or a proxy before us names a request.
+/// The header that carries the request's id.
 pub(super) const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// When a caller without a valid key may come back: a key that was issued a
-/// moment ago is in force by then.
+/// `retry_after` for a caller without a valid key. A key that was issued a
+/// moment ago is valid at this daemon by then.
 const KEY_RETRY: Duration = Duration::from_secs(5);
 
-/// A caller whose key was recognised.
+/// A caller with a valid key, and its request.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The key as shown. It never leaves the daemon; it is kept for the time
-    /// of the request to make sure that nothing forwarded contains it.
+    /// The key as the caller sent it. It never leaves the daemon; it is stored
+    /// while the request runs to check that nothing forwarded contains it.
     pub key: String,
-    /// The key's entry, to notice its withdrawal while the request runs.
+    /// The key's entry, by which a withdrawal is noticed while the request
+    /// runs.
     pub entry: KeyEntry,
-    /// The customer it belongs to.
+    /// The customer to which the key belongs.
     pub customer: CustomerEntry,
     /// The request's id.
     pub request_id: String,
-    /// What became of the request so far.
+    /// The steps of the request so far, recorded for operators.
     pub trace: RequestTrace,
     /// When the request arrived.
     pub arrived: Timestamp,
 }
 
 impl Caller {
-    /// Recognises a caller by its key.
+    /// Authenticates a caller by the key in its `Authorization` header.
     pub fn authenticate(
         state: &SharedState,
         headers: &HeaderMap,
@@ -77,7 +78,7 @@
         self.customer.id
     }
 
-    /// Whether the caller's key is still in force.
+    /// Whether the caller's key has not been withdrawn.
     pub fn is_still_valid(&self, snapshot: &SettingsSnapshot) -> bool {
         snapshot.holds_key(self.entry)
     }
@@ -91,8 +92,8 @@
 
 /// Waits until the caller's key is withdrawn.
 ///
-/// A key can be withdrawn while an answer is streamed. Checking keys only at
-/// the start would let such a stream run on for minutes.
+/// A key can be withdrawn while an answer is streamed. If keys were checked
+/// only at the start, such a stream would run on for minutes.
 pub(super) async fn key_withdrawn(state: &Arc<SharedState>, caller: &Caller) {
     let mut snapshots = state.snapshots.clone();
     loop {
@@ -100,13 +101,13 @@
             return;
         }
         if snapshots.changed().await.is_err() {
-            // The keeper is gone only when the daemon stops.
+            // The sender is dropped only when the daemon stops.
             return std::future::pending().await;
         }
     }
 }
 
-/// The answer to a request whose key was withdrawn on the way.
+/// Returns the error for a request whose key was withdrawn while it ran.
 pub(super) fn withdrawn_answer() -> ErrorAnswer {
     let text = "This key has been withdrawn. Ask your operator for a new one.";
     ErrorAnswer::new(StatusCode::UNAUTHORIZED, "key_withdrawn", text).retry_after(KEY_RETRY)
@@ -114,7 +115,7 @@
 
 fn bearer_key(headers: &HeaderMap) -> Result<&str, ErrorAnswer> {
     let Some(value) = headers.get(header::AUTHORIZATION) else {
-        let text = "No key was shown. Send it as `Authorization: Bearer <key>`.";
+        let text = "No key was sent. Send it as `Authorization: Bearer <key>`.";
         return Err(unauthorized("missing_key", text));
     };
     let key = value
@@ -133,7 +134,7 @@
 }
 
 fn unknown_key() -> ErrorAnswer {
-    let text = "This key is not known. It was mistyped, withdrawn, or issued seconds ago.";
+    let text = "This key is unknown. It was mistyped, withdrawn, or issued seconds ago.";
     unauthorized("invalid_api_key", text)
 }
 
@@ -148,7 +149,7 @@
 }
 
 fn view_too_old() -> ErrorAnswer {
-    let text = "This daemon is cut off and can't tell whether the key is still in force.";
+    let text = "This daemon is disconnected from the platform and can't tell whether the key is still valid.";
     ErrorAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "settings_too_old", text)
         .retry_after(Duration::from_secs(10))
 }
--- a/crates/daemon/src/callers/engine_call.rs
+++ b/crates/daemon/src/callers/engine_call.rs
@@ -31,14 +31,16 @@
     traces::TraceStep,
 };
 
-/// The longest request body. A prompt of a million tokens fits.
+/// The maximum size of a request body in bytes. A prompt of a million tokens
+/// fits.
 const REQUEST_LIMIT: usize = 8 * 1024 * 1024;
-/// The longest answer that isn't streamed.
+/// The maximum size in bytes of an answer that isn't streamed.
 const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
-/// How much of the prompt decides which server has it cached.
+/// The number of bytes at the beginning of the prompt whose hash decides which
+/// server has it cached.
 const PREFIX_BYTES: usize = 1024;
 
-/// A request to a model, checked and ready to be sent.
+/// A validated request to a model.
 #[derive(Debug)]
 pub(super) struct EngineCall {
     pub(super) caller: Caller,
@@ -48,28 +50,29 @@
     pub(super) service: String,
     pub(super) group: String,
     pub(super) is_stream: bool,
-    /// Whether a broken answer can go on elsewhere: it is a single choice.
+    /// Whether a broken answer can be resumed on another server, which only
+    /// works for an answer with a single choice.
     pub(super) can_resume: bool,
     /// Whether the request may run more than once.
     pub(super) idempotent: bool,
-    /// What makes it the same request as another.
+    /// Identifies equal requests of the same customer to the same service.
     pub(super) fingerprint: Fingerprint,
     pub(super) prefix: u64,
     pub(super) deadline: Timestamp,
-    /// What allows it to be sent, if it must not run twice.
+    /// The right to send the request, if it must not run twice.
     pub(super) claim: Option<ClaimGrant>,
-    /// How urgent it is.
+    /// How urgent the request is and what it is expected to cost.
     pub(super) rank: CallRank,
 }
 
 impl EngineCall {
-    /// A log without an attempt.
+    /// Creates the log of the request's attempts.
     pub(super) fn attempt_log(&self) -> AttemptLog {
         let trace = self.caller.trace.clone();
         AttemptLog::new(self.idempotent, self.fingerprint, self.deadline, trace)
     }
 
-    /// What it asks of the servers.
+    /// Describes the request for the choice of a server.
     fn run_request<'a>(&'a self, log: &'a AttemptLog) -> RunRequest<'a> {
         RunRequest {
             fingerprint: self.fingerprint,
@@ -81,7 +84,8 @@
         }
     }
 
-    /// Takes in that its answer was given whole.
+    /// Records that the complete answer was given. `answer` is called only if
+    /// the request has a claim, with which the answer is stored.
     pub(super) fn finish(&self, answer: impl FnOnce() -> Option<StoredAnswer>) {
         if let Some(claim) = &self.claim {
             claim.finish(answer());
@@ -89,7 +93,8 @@
     }
 }
 
-/// The fields of a request that the daemon needs.
+/// The fields of a request body that the daemon reads. All other fields are
+/// forwarded unread.
 #[derive(Deserialize)]
 struct CallFields<'a> {
     #[serde(default)]
@@ -108,7 +113,7 @@
     prompt: Option<&'a RawValue>,
 }
 
-/// Answers a request to a model.
+/// Handles a request to a model.
 pub(super) async fn answer(
     state: &Arc<SharedState>,
     caller: Caller,
@@ -121,7 +126,8 @@
     trace.note(TraceStep::Admitted, state.clock.now());
     let mut log = call.attempt_log();
     if !call.idempotent {
-        // A claim doesn't last as long as a call may be held back.
+        // The server is reserved before the call is claimed, since a claim
+        // expires sooner than a call may wait for a server.
         let server = state.begin_run(call.run_request(&log)).await;
         log.reserved = Some(server.map_err(|it| state.refusal(&mut log, it))?);
     }
@@ -149,7 +155,7 @@
     result
 }
 
-/// How a request is classed, for operators.
+/// Returns the class of a request and the reason for it, as operators see them.
 fn class_of(call: &EngineCall) -> TraceStep {
     let (class, because) = match (call.rank.urgency, call.is_stream) {
         (Urgency::Person, true) => (
@@ -221,12 +227,12 @@
 
 fn parse_fields(body: &Bytes) -> Result<CallFields<'_>, ErrorAnswer> {
     let broken = |problem: String| {
-        let text = format!("The body is no valid request: {problem}");
+        let text = format!("The body is not a valid request: {problem}");
         ErrorAnswer::new(StatusCode::BAD_REQUEST, "broken_json", text)
     };
-    // The parser would read a list as the fields in their order.
+    // serde would accept an array as the fields in their order.
     if body.trim_ascii_start().first() != Some(&b'{') {
-        return Err(broken("it is no JSON object".to_owned()));
+        return Err(broken("it is not a JSON object".to_owned()));
     }
     serde_json::from_slice(body).map_err(|it| broken(it.to_string()))
 }
@@ -242,7 +248,8 @@
     })
 }
 
-/// Requests whose prompts begin alike go to the server that has it cached.
+/// Hashes the model and the beginning of the prompt. Requests with equal hashes
+/// prefer the server that has this beginning cached.
 fn hash_prefix(model: &str, prompt: &str) -> u64 {
     let head = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
     let digest = Sha256::new()
@@ -255,7 +262,7 @@
     u64::from_be_bytes(first)
 }
 
-/// Gets a whole answer, from another server if the first can't give it.
+/// Requests an answer that isn't streamed, with retries on other servers.
 async fn whole_answer(state: &SharedState, call: &EngineCall, mut log: AttemptLog) -> Answer {
     loop {
         match whole_attempt(state, call, &mut log).await {
@@ -291,7 +298,7 @@
     Ok(response)
 }
 
-/// Chooses a server, sends the request and waits for the head of its answer.
+/// Chooses a server, sends the request and waits for the head of the answer.
 pub(super) async fn send_attempt(
     state: &SharedState,
     call: &EngineCall,
--- a/crates/daemon/src/callers/engine_stream.rs
+++ b/crates/daemon/src/callers/engine_stream.rs
@@ -1,4 +1,5 @@
-//! Streamed answers, which go on from another engine when theirs dies.
+//! Streamed answers, which are resumed on another engine when their engine
+//! fails.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,13 +25,14 @@
     traces::TraceStep,
 };
 
-/// The longest gap between two tokens before an engine counts as hung.
+/// The maximum time between two tokens, after which an engine counts as hung.
 const LONGEST_GAP: Duration = Duration::from_secs(5);
 
-/// Answers a streamed request.
+/// Handles a streamed request.
 ///
-/// The first attempt's head is awaited, so that a refusal still gets a proper
-/// status. From then on a task of its own passes events on.
+/// The head of an answer is awaited before the response begins, so that a
+/// rejected request still gets a proper status. From then on a separate task
+/// forwards the events.
 pub(super) async fn answer(
     state: &Arc<SharedState>,
     call: EngineCall,
@@ -61,26 +63,26 @@
     Ok(response)
 }
 
-/// Passes the events of one answer on to its caller.
+/// Forwards the events of one answer to its caller.
 #[derive(Debug)]
 struct StreamPump {
     state: Arc<SharedState>,
     call: EngineCall,
     log: AttemptLog,
-    /// What the caller has, if it must be kept for resends.
+    /// A copy of what the caller received, if it must be stored for resends.
     copy: Option<AnswerCopy>,
     last_token: Timestamp,
 }
 
-/// How one upstream stream ended.
+/// How a stream from one engine ended.
 enum StreamEnd {
-    /// The whole answer was delivered.
+    /// The complete answer was forwarded.
     Done,
-    /// The caller is gone.
+    /// The caller disconnected.
     CallerGone,
-    /// The connection broke, or the engine reported an error.
+    /// The connection broke, or the engine hung or reported an error.
     Broken,
-    /// The request's time is over.
+    /// The request's deadline passed.
     TimedOut,
 }
 
@@ -101,7 +103,7 @@
             state.metrics.refusal(&caller.customer.name, problem.code);
             // The stream ends without `[DONE]`, after an event that client
             // libraries raise as an error. Breaking the connection instead
-            // would lose the event with it.
+            // would lose that event.
             sender
                 .send(format!("data: {}\n\n", problem.to_json()))
                 .await;
@@ -114,8 +116,9 @@
             .whole(&caller.customer.name, ServedClass::Live, whole);
     }
 
-    /// Passes events on until the answer ends, through as many engines as it
-    /// takes. Returns what to tell the caller if it can't be finished.
+    /// Forwards events until the answer ends, resuming on other engines as
+    /// often as needed. Returns the error for the caller if the answer can't be
+    /// completed.
     async fn pump(
         &mut self,
         mut server: ChosenServer,
@@ -198,11 +201,12 @@
         self.call.finish(|| copy.and_then(AnswerCopy::finish));
     }
 
-    /// How long to wait for the next piece.
+    /// Returns how long to wait for the next piece.
     ///
-    /// An engine can hang with its connection open. Its callers would wait to
-    /// their deadlines; a gap far beyond any usual one between tokens tells.
-    /// The first token may rightly take long, while others are ahead in line.
+    /// An engine can hang with its connection open, and its callers would wait
+    /// until their deadlines. A gap far longer than is typical between tokens
+    /// reveals such an engine. The first token may take long, since other
+    /// requests may be queued before this one.
     fn patience(&self) -> Duration {
         let left = self.call.deadline.since(self.state.clock.now());
         if self.log.delivered == 0 {
@@ -246,7 +250,7 @@
         self.last_token = now;
     }
 
-    /// Asks another engine for the rest of the answer.
+    /// Requests the rest of the answer from another engine.
     async fn resume(&mut self) -> Result<(ChosenServer, Response<Incoming>), ErrorAnswer> {
         self.log.answer_begun |= self.log.delivered > 0 && !self.call.can_resume;
         let mut failure = AttemptFailure::Broken;
@@ -264,12 +268,13 @@
     }
 }
 
-/// The request's body with the number of tokens that the caller has.
+/// Returns the request's body with the number of tokens that the caller has
+/// already received.
 fn resumed_body(body: &Bytes, delivered: u32) -> Bytes {
     if delivered == 0 {
         return body.clone();
     }
-    // The body was parsed as an object before its first attempt.
+    // The body was parsed as an object before the first attempt.
     let mut fields: serde_json::Map<String, serde_json::Value> =
         serde_json::from_slice(body).unwrap_or_default();
     fields.insert("resume_from".to_owned(), delivered.into());
--- a/crates/daemon/src/callers/files.rs
+++ b/crates/daemon/src/callers/files.rs
@@ -1,4 +1,5 @@
-//! `/v1/files`: inputs and results of lots in the published shape.
+//! `/v1/files`: inputs and results of lots in the shape of the OpenAI files
+//! API.
 
 use std::sync::Arc;
 
@@ -18,7 +19,7 @@
 };
 use crate::{operators::json as json_answer, shared::SharedState};
 
-/// Answers a request below `/v1/files`.
+/// Handles a request to `/v1/files` or a path below it.
 pub(super) async fn answer(
     state: &Arc<SharedState>,
     caller: Caller,
@@ -39,8 +40,8 @@
     }
 }
 
-/// Takes a file. Its length is looked at first, so that one that is too long is
-/// refused before it was sent.
+/// Stores an uploaded file. The declared length is checked first, so that a
+/// file that is too long is rejected before its body is sent.
 async fn upload(state: &SharedState, caller: &Caller, request: Request<Incoming>) -> Answer {
     state.admit(caller).await?;
     let (head, body) = request.into_parts();
@@ -58,12 +59,12 @@
         limits,
     };
     let file = upload.read(boundary, body.into_data_stream()).await?;
-    log::info!("lots: {} of {} is kept", file.id, file.customer);
+    log::info!("lots: {} of {} is stored", file.id, file.customer);
     Ok(json_answer(&FileObject::from(&file)))
 }
 
 fn no_form(kind: &str) -> ErrorAnswer {
-    let text = format!("`{kind}` is no multipart/form-data with a boundary. Send a form.");
+    let text = format!("`{kind}` is not multipart/form-data with a boundary. Send a form.");
     bad_request("invalid_content_type", text).param("content-type")
 }
 
@@ -87,8 +88,8 @@
     ))
 }
 
-/// Streams a file piece by piece. Its length is said first, so that a caller
-/// who gets less knows that it isn't the whole.
+/// Streams a file piece by piece. The length is sent in the head, so that a
+/// caller that receives less knows that the file is incomplete.
 async fn content(state: &SharedState, caller: &Caller, id: &str) -> Answer {
     let files = state.lots.files();
     let stream = files.content(&caller.customer.name, id).await;
@@ -106,7 +107,7 @@
                 }
                 Ok(None) => return,
                 Err(error) => {
-                    log::warn!("lots: the content of {id} broke off: {error}");
+                    log::warn!("lots: the content of {id} was cut short: {error}");
                     return sender.cut_short(error.to_string()).await;
                 }
             }
--- a/crates/daemon/src/callers/forwarded.rs
+++ b/crates/daemon/src/callers/forwarded.rs
@@ -1,11 +1,12 @@
-//! What of a caller's request is passed on to a backend server.
+//! Selects the headers that are forwarded to backend servers and back to
+//! callers.
 
 use comfreyramp_http::{ErrorAnswer, HeaderMap, StatusCode, header};
 
 use super::{Caller, caller::REQUEST_ID_HEADER};
 
-/// Headers that belong to one connection, or that carry credentials, and so
-/// are never passed on.
+/// Headers that belong to a single connection or carry credentials, and so are
+/// never forwarded. Sorted for binary search.
 const KEPT_BACK: &[&str] = &[
     "authorization",
     "connection",
@@ -32,10 +33,11 @@
     headers.get(ONCE_HEADER).is_some_and(|it| it != "false")
 }
 
-/// The caller's headers without what is kept back.
+/// Returns the caller's headers without those that must not be forwarded.
 ///
-/// A header that contains the key under whatever name is dropped too: clients
-/// put keys in headers of their own, and a backend server must never see one.
+/// A header whose value contains the key is dropped too, whatever its name:
+/// clients put keys in headers of their own, and a backend server must never
+/// receive one.
 pub(super) fn forwarded_headers(caller: &Caller, headers: &HeaderMap) -> HeaderMap {
     let mut passed = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
@@ -50,7 +52,7 @@
     passed
 }
 
-/// The backend server's headers without those of its connection.
+/// Returns the backend server's headers without those of its connection.
 pub(super) fn returned_headers(headers: &HeaderMap) -> HeaderMap {
     let mut passed = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
@@ -62,7 +64,7 @@
     passed
 }
 
-/// Refuses a path, query or body that contains the caller's key.
+/// Rejects a path, query or body that contains the caller's key.
 pub(super) fn refuse_shown_key(
     caller: &Caller,
     place: &str,
@@ -71,7 +73,7 @@
     if !caller.shows_key(bytes) {
         return Ok(());
     }
-    let text = format!("The {place} contains your key. Show it in the Authorization header only.");
+    let text = format!("The {place} contains your key. Send it in the Authorization header only.");
     let answer = ErrorAnswer::new(StatusCode::BAD_REQUEST, "key_in_request", text);
     Err(answer.param(place))
 }
--- a/crates/daemon/src/callers/key_filter.rs
+++ b/crates/daemon/src/callers/key_filter.rs
@@ -1,23 +1,23 @@
-//! Keeps a caller's key out of what is streamed to a backend server.
+//! Prevents a caller's key from being streamed to a backend server.
 
-/// Lets a stream pass as long as it doesn't contain the key.
+/// Forwards a stream as long as it doesn't contain the key.
 ///
-/// The key may straddle two pieces. The end of a piece that could be the
-/// beginning of the key is held back until the next piece decides, so that the
-/// backend server never sees even a part of the key.
+/// The key may span two pieces. The end of a piece that could be the beginning
+/// of the key is held back until the next piece decides, so that the backend
+/// server never receives even a part of the key.
 #[derive(Debug)]
 pub struct KeyFilter<'a> {
     key: &'a [u8],
     held: Vec<u8>,
 }
 
-/// The stream contains the key.
+/// The error for a stream that contains the key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the stream contains the key")]
 pub struct KeyFound;
 
 impl<'a> KeyFilter<'a> {
-    /// A filter for one stream.
+    /// Creates a filter for one stream.
     pub fn new(key: &'a str) -> Self {
         KeyFilter {
             key: key.as_bytes(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes the next piece and returns what may pass.
+    /// Adds the next piece and returns the bytes that may be forwarded.
     pub fn push(&mut self, piece: &[u8]) -> Result<Vec<u8>, KeyFound> {
         self.held.extend_from_slice(piece);
         if self.held.windows(self.key.len()).any(|it| it == self.key) {
@@ -40,7 +40,7 @@
         Ok(std::mem::replace(&mut self.held, kept))
     }
 
-    /// What was held back, once the stream has ended.
+    /// Returns the bytes that are still held back, once the stream has ended.
     pub fn finish(self) -> Vec<u8> {
         self.held
     }
--- a/crates/daemon/src/callers/lot_answers.rs
+++ b/crates/daemon/src/callers/lot_answers.rs
@@ -1,4 +1,4 @@
-//! What callers are told about files and lots.
+//! Parameters and errors that the file and lot handlers share.
 
 use std::time::Duration;
 
@@ -6,21 +6,22 @@
 use comfreyramp_lots::{LineFinding, LotError};
 use comfreyramp_store::StoreError;
 
-/// The header that makes a resent request the same one.
+/// The header by which a resent request is recognized.
 const JOB_KEY_HEADER: &str = "idempotency-key";
-/// The longest such key, in bytes.
+/// The maximum length of an idempotency key in bytes.
 const MAX_JOB_KEY: usize = 255;
-/// When a caller may come back after the platform gave no answer.
+/// `retry_after` when the platform gave no answer.
 const PLATFORM_RETRY: Duration = Duration::from_secs(5);
-/// When a caller may come back whose request itself is wrong.
+/// `retry_after` when the request itself is invalid and must be corrected
+/// first.
 const MEND_RETRY: Duration = Duration::from_secs(1);
-/// How many findings are told in the message.
+/// The maximum number of findings listed in an error message.
 const TOLD_FINDINGS: usize = 20;
-/// The size of a page unless the caller says otherwise, and the greatest.
+/// The page size if the caller gives none. [`MAX_LIMIT`] is the maximum.
 const DEFAULT_LIMIT: usize = 20;
 const MAX_LIMIT: usize = 100;
 
-/// The caller's idempotency key.
+/// Returns the caller's idempotency key, if it sent one.
 pub(super) fn job_key(headers: &HeaderMap) -> Result<Option<&str>, ErrorAnswer> {
     let Some(value) = headers.get(JOB_KEY_HEADER) else {
         return Ok(None);
@@ -34,7 +35,7 @@
     Ok(Some(key))
 }
 
-/// Which part of a listing a caller wants.
+/// The page of a listing that a caller requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PageQuery {
     pub(super) after: Option<String>,
@@ -42,7 +43,8 @@
 }
 
 impl PageQuery {
-    /// Reads `after` and `limit` from a query string.
+    /// Parses `after` and `limit` from a query string, ignoring other
+    /// parameters.
     pub(super) fn parse(query: Option<&str>) -> Result<Self, ErrorAnswer> {
         let mut page = PageQuery {
             after: None,
@@ -62,13 +64,13 @@
 fn parse_limit(value: &str) -> Result<usize, ErrorAnswer> {
     let limit = value.parse().ok().filter(|it| *it >= 1);
     let limit: usize = limit.ok_or_else(|| {
-        let text = format!("`{value}` is no limit; write a number from 1 to {MAX_LIMIT}.");
+        let text = format!("`{value}` is not a valid limit; use a number from 1 to {MAX_LIMIT}.");
         ErrorAnswer::new(StatusCode::BAD_REQUEST, "invalid_limit", text).param("limit")
     })?;
     Ok(limit.min(MAX_LIMIT))
 }
 
-/// An error of the lots as callers see it.
+/// Converts an error of the lot store to the answer for the caller.
 pub(crate) fn lot_error(error: LotError) -> ErrorAnswer {
     let answer = |status, code, text| ErrorAnswer::new(status, code, text);
     match error {
@@ -100,15 +102,15 @@
     }
 }
 
-/// The platform gave no answer. What was sent may have taken effect; sending it
-/// again finds out, and makes nothing twice.
+/// The error when the platform gave no answer. The request may have taken
+/// effect; resending it unchanged finds out and creates nothing twice.
 fn platform_error(error: &StoreError) -> ErrorAnswer {
     let (ran, text) = match error {
         StoreError::AnswerLost(_) => (
             RunState::Unknown,
-            "It isn't known whether this was taken. Send it again unchanged to find out.",
+            "It isn't known whether this request took effect. Send it again unchanged to find out.",
         ),
-        _ => (RunState::No, "This can't be taken at present."),
+        _ => (RunState::No, "This request can't be accepted at present."),
     };
     log::warn!("lots: {error}");
     ErrorAnswer::new(
@@ -130,7 +132,7 @@
     format!("Nothing of the file was kept. {}.", lines.join("; "))
 }
 
-/// A request whose own words are wrong.
+/// The error for a request that is itself invalid.
 pub(super) fn bad_request(code: &'static str, text: impl Into<String>) -> ErrorAnswer {
     ErrorAnswer::new(StatusCode::BAD_REQUEST, code, text).retry_after(MEND_RETRY)
 }
--- a/crates/daemon/src/callers/methods.rs
+++ b/crates/daemon/src/callers/methods.rs
@@ -1,4 +1,4 @@
-//! Which methods the paths of the callers' door have.
+//! The HTTP methods that the paths for callers allow.
 
 use comfreyramp_http::{ErrorAnswer, Method, StatusCode};
 
@@ -7,8 +7,8 @@
 const GET_POST: &str = "GET, HEAD, POST";
 const GET_DELETE: &str = "DELETE, GET, HEAD";
 
-/// Refuses a method that a known path doesn't have, and names those it has.
-/// Paths that aren't known are left to their own answer.
+/// Rejects a method that a known path doesn't allow, naming the allowed ones.
+/// Passes unknown paths, which get their own error.
 pub(super) fn refuse_wrong_method(method: &Method, path: &str) -> Result<(), ErrorAnswer> {
     let Some(allowed) = allowed_methods(path) else {
         return Ok(());
@@ -16,7 +16,7 @@
     refuse_unless(allowed, method, path)
 }
 
-/// Refuses a method that isn't among those allowed.
+/// Rejects a method that isn't in `allowed`, a comma-separated list.
 pub(crate) fn refuse_unless(
     allowed: &'static str,
     method: &Method,
@@ -25,7 +25,7 @@
     if allowed.split(", ").any(|it| it == method.as_str()) {
         return Ok(());
     }
-    let text = format!("{path} has no {method}. Use one of: {allowed}.");
+    let text = format!("{path} doesn't allow {method}. Use one of: {allowed}.");
     let answer = ErrorAnswer::new(StatusCode::METHOD_NOT_ALLOWED, "wrong_method", text);
     Err(answer.allow(allowed))
 }
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -1,5 +1,5 @@
-//! The callers' door: the published OpenAI shapes, and plain services under
-//! their prefixes. See docs/API.md.
+//! The HTTP interface for callers: the OpenAI-compatible API, and plain
+//! services under their path prefixes. See docs/API.md.
 
 mod batches;
 mod caller;
@@ -34,7 +34,8 @@
 
 type Answer = Result<Response<MessageBody>, ErrorAnswer>;
 
-/// Answers one request at the callers' door.
+/// Handles one caller's request. Every outcome, errors included, becomes a
+/// response that carries the request's id.
 pub async fn answer(
     state: Arc<SharedState>,
     start: u64,
@@ -82,7 +83,7 @@
     let path = request.uri().path().to_owned();
     methods::refuse_wrong_method(request.method(), &path)?;
     if request.method() == Method::HEAD && path.starts_with("/v1/") {
-        // The head is that of the same GET; the server loop leaves the body out.
+        // HEAD gets the head of the same GET; the server loop omits the body.
         *request.method_mut() = Method::GET;
     }
     match (request.method(), path.as_str()) {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Whether `path` is `folder` or lies below it.
+/// Whether `path` is `folder` or a path below it.
 fn is_at(path: &str, folder: &str) -> bool {
     let rest = path.strip_prefix(folder);
     rest.is_some_and(|it| it.is_empty() || it.starts_with('/'))
--- a/crates/daemon/src/callers/plain_call.rs
+++ b/crates/daemon/src/callers/plain_call.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services, streamed both ways.
+//! Calls to plain services, with the bodies streamed in both directions.
 
 use std::{sync::Arc, time::Duration};
 
@@ -31,17 +31,18 @@
     traces::TraceStep,
 };
 
-/// Bodies up to this size are kept while a call runs, so that it can be sent
-/// again. Longer ones are streamed, and a call that has one gets one attempt.
+/// The maximum size in bytes of a request body that is buffered while a call
+/// runs, so that the call can be retried. A longer body is streamed, and its
+/// call gets one attempt.
 const KEPT_BODY: u64 = 64 * 1024;
 
-/// How each call to a plain service is classed.
+/// The class that operators see for each call to a plain service.
 const CLASS: TraceStep = TraceStep::Classed {
     class: "a call to a plain service",
     because: "its path lies under a service's prefix",
 };
 
-/// Answers a call to a plain service.
+/// Handles a call to a plain service.
 pub(super) async fn answer(
     state: &Arc<SharedState>,
     caller: Caller,
@@ -57,7 +58,7 @@
     let snapshot = state.snapshot();
     let Some(service) = snapshot.service_of_path(request.uri().path()) else {
         let text = format!(
-            "No service stands at {}. See docs/API.md.",
+            "No service is at {}. See docs/API.md.",
             request.uri().path()
         );
         return Err(ErrorAnswer::new(
@@ -94,7 +95,8 @@
     let body = CallBody::read(&call.caller, body).await?;
     call.log.fingerprint = call.run_fingerprint(&body);
     if runs_once(&head.headers) {
-        // A claim doesn't last as long as a call may be held back.
+        // The server is reserved before the call is claimed, since a claim
+        // expires sooner than a call may wait for a server.
         let server = state.begin_run(call.run_request()).await;
         call.log.reserved = Some(server.map_err(|it| state.refusal(&mut call.log, it))?);
     }
@@ -111,11 +113,11 @@
     call.run(body).await
 }
 
-/// The body of a call.
+/// The request body of a call.
 enum CallBody {
-    /// All of it is here, and can be sent again.
+    /// The complete body, which can be sent again.
     Kept(Bytes),
-    /// It is still arriving.
+    /// A body that is still arriving and is streamed to the server.
     Arriving(Incoming),
 }
 
@@ -131,7 +133,7 @@
     }
 }
 
-/// One call on its way.
+/// One call and the state of its attempts.
 struct PlainCall {
     state: Arc<SharedState>,
     caller: Caller,
@@ -141,7 +143,7 @@
     headers: HeaderMap,
     service: String,
     group: String,
-    /// What allows it to be sent, if it must not run twice.
+    /// The right to send the call, if it must not run twice.
     claim: Option<ClaimGrant>,
     rank: CallRank,
     time_limit: Duration,
@@ -149,7 +151,7 @@
 }
 
 impl PlainCall {
-    /// What it asks of the servers.
+    /// Describes the call for the choice of a server.
     fn run_request(&self) -> RunRequest<'_> {
         RunRequest {
             fingerprint: self.log.fingerprint,
@@ -161,9 +163,10 @@
         }
     }
 
-    /// What makes it the same call as another, where servers die of it. A body
-    /// that is still arriving can't be known again, so each such call is its
-    /// own: others of the same length must not be blocked with it.
+    /// Returns the fingerprint by which calls that kill servers are recognized.
+    /// The content of a body that is still arriving isn't known, so each such
+    /// call gets a fingerprint of its own: other calls of the same length must
+    /// not be blocked with it.
     fn run_fingerprint(&self, body: &CallBody) -> Fingerprint {
         match body {
             CallBody::Kept(_) => self.fingerprint(body),
@@ -171,8 +174,9 @@
         }
     }
 
-    /// What makes it the same call as another. Of a body that is still arriving
-    /// only its length is known before the call is sent.
+    /// Returns the fingerprint by which a resent call is recognized. Of a body
+    /// that is still arriving, only the length is known before the call is
+    /// sent.
     fn fingerprint(&self, body: &CallBody) -> Fingerprint {
         let mut text = format!("{} {}\n", self.method, self.target).into_bytes();
         match body {
@@ -203,7 +207,8 @@
         }
     }
 
-    /// Sends the call once. The outer error ends it for good.
+    /// Sends the call once. The outer error is final; the inner one may be
+    /// followed by another attempt.
     async fn attempt(
         &mut self,
         body: CallBody,
@@ -274,15 +279,15 @@
             .uri(uri)
             .body(body);
         let mut request = built.map_err(|error| {
-            let text = format!("The path can't be passed on: {error}");
+            let text = format!("The path can't be forwarded: {error}");
             ErrorAnswer::new(StatusCode::BAD_REQUEST, "bad_path", text)
         })?;
         *request.headers_mut() = self.headers.clone();
         Ok(request)
     }
 
-    /// The last word on a call that could be tried again but for its body,
-    /// which was passed on and not kept.
+    /// The final error for a call that could be retried, except that its body
+    /// was streamed and not buffered.
     fn body_gone(&self) -> ErrorAnswer {
         let text = "The backend server gave no answer, and the body is too long to send again.";
         ErrorAnswer::new(StatusCode::BAD_GATEWAY, "no_answer", text)
@@ -308,8 +313,9 @@
         response
     }
 
-    /// Passes the answer's body back. A body that breaks is broken off, never
-    /// ended, so that the caller can't take the part for the whole.
+    /// Forwards the answer's body to the caller. If the body breaks off, the
+    /// caller's connection is broken off too instead of ended properly, so that
+    /// the caller can't take the partial answer for the complete one.
     async fn download_body(
         self,
         server: ChosenServer,
@@ -340,7 +346,7 @@
                 }
                 Ok(Some(Err(_))) => {
                     server.note_broken().await;
-                    break Some("the backend server broke off");
+                    break Some("the backend server broke the connection");
                 }
                 Err(_) => break Some("the backend server stalled"),
             }
@@ -367,7 +373,7 @@
     }
 }
 
-/// Takes note of a failed attempt.
+/// Records a failed attempt on its server.
 async fn note_failure(server: &ChosenServer, error: &CallError) -> AttemptFailure {
     match error {
         CallError::NotSent(_) => {
@@ -385,7 +391,8 @@
     }
 }
 
-/// Passes the caller's body on, piece by piece, unless it contains the key.
+/// Streams the caller's body to the server, and breaks the stream off if the
+/// body contains the key.
 async fn upload_body(
     caller: Caller,
     mut body: Incoming,
--- a/crates/daemon/src/callers/plain_path.rs
+++ b/crates/daemon/src/callers/plain_path.rs
@@ -1,23 +1,24 @@
-//! Which paths are passed on to plain services.
+//! Checks the paths that are forwarded to plain services.
 
 use comfreyramp_http::{ErrorAnswer, StatusCode};
 
-/// How many layers of percent-encoding are looked through. Servers and the
-/// proxies before them decode once each.
+/// The number of layers of percent-encoding that are checked. Each server and
+/// each proxy before it may decode one layer.
 const DECODED_LAYERS: usize = 4;
 
-/// Refuses a path that a server may read as lying outside of its prefix.
+/// Rejects a path that a server may resolve to a location outside of its
+/// prefix.
 ///
-/// Paths are passed on as they came, and the prefix is compared before any
-/// server decodes them. With `/proofs/%2e%2e/admin` a caller of one service
-/// would reach what lies beside it, and nobody would notice. So no layer of
-/// decoding may yield a segment of dots alone, with `\` taken for `/` and
-/// parameters after `;` cut off, as some servers do.
+/// Paths are forwarded unchanged, and the prefix is compared before any server
+/// decodes them. With `/proofs/%2e%2e/admin` a caller of one service would
+/// reach paths beside that service unnoticed. So no layer of decoding may yield
+/// a segment of only dots. `\` counts as `/`, and parameters after `;` are
+/// ignored, as some servers do.
 pub(super) fn refuse_dot_segments(path: &str) -> Result<(), ErrorAnswer> {
     let mut bytes = path.as_bytes().to_vec();
     for _ in 0..DECODED_LAYERS {
         if has_dot_segment(&bytes) {
-            let text = "The path has a segment of dots, plain or encoded. Write it without.";
+            let text = "The path has a segment of dots, plain or encoded. Remove that segment.";
             let answer = ErrorAnswer::new(StatusCode::BAD_REQUEST, "bad_path", text);
             return Err(answer.param("path"));
         }
@@ -38,7 +39,7 @@
     })
 }
 
-/// Takes off one layer of percent-encoding. What is no encoding stays.
+/// Removes one layer of percent-encoding. Invalid escapes stay unchanged.
 fn decode(path: &[u8]) -> Vec<u8> {
     let mut decoded = Vec::with_capacity(path.len());
     let mut rest = path;
--- a/crates/daemon/src/callers/read_request.rs
+++ b/crates/daemon/src/callers/read_request.rs
@@ -1,14 +1,14 @@
-//! Reading a caller's body with bounds on its size and on the wait for it.
+//! Reads a caller's body with limits on its size and on the time it takes.
 
 use std::time::Duration;
 
 use comfreyramp_http::{BodyError, Bytes, ErrorAnswer, Incoming, StatusCode, collect_limited};
 
-/// How long a whole body may take to arrive. A client that sends it byte by
-/// byte would otherwise hold memory for ever.
+/// The maximum time in which a complete body must arrive. Without it, a client
+/// that sends its body byte by byte would hold memory forever.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Reads a body of at most `limit` bytes.
+/// Reads a body of at most `limit` bytes into memory.
 pub(super) async fn read_request_body(body: Incoming, limit: usize) -> Result<Bytes, ErrorAnswer> {
     match tokio::time::timeout(BODY_TIMEOUT, collect_limited(body, limit)).await {
         Ok(Ok(bytes)) => Ok(bytes),
--- a/crates/daemon/src/callers/run_once.rs
+++ b/crates/daemon/src/callers/run_once.rs
@@ -1,4 +1,4 @@
-//! Calls that must not run twice: their claim, and what a resend is told.
+//! Calls that must not run twice: their claims, and the answers to resends.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,14 +11,14 @@
     shared::SharedState,
 };
 
-/// The header by which a resend is recognised.
+/// The header by which a resend is recognized.
 const KEY_HEADER: &str = "idempotency-key";
-/// The longest `Idempotency-Key`, in bytes.
+/// The maximum length of an `Idempotency-Key` in bytes.
 const KEY_LIMIT: usize = 256;
-/// When a caller may come back for an answer that can't be read now.
+/// `retry_after` for a call that has run and whose answer can't be returned.
 const ANSWER_RETRY: Duration = Duration::from_secs(5);
 
-/// What a claim is for.
+/// The call for which a claim is requested.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClaimSubject<'a> {
     pub(super) service: &'a str,
@@ -26,23 +26,23 @@
     pub(super) deadline: Timestamp,
 }
 
-/// How a call goes on.
+/// How a call proceeds after the claim.
 #[derive(Debug)]
 pub(super) enum ClaimStep {
-    /// It may run more than once, and has no claim.
+    /// The call may run more than once and needs no claim.
     Unclaimed,
-    /// It may be sent once.
+    /// The call may be sent once.
     Granted(ClaimGrant),
-    /// It ran before, and this was its answer.
+    /// The call ran before; this is its stored answer.
     Answered(Response<MessageBody>),
 }
 
-/// Whether a call must not run twice.
+/// Whether the headers say that the call must not run twice.
 pub(super) fn runs_once(headers: &HeaderMap) -> bool {
     is_marked_once(headers) || headers.contains_key(KEY_HEADER)
 }
 
-/// Claims a call that must not run twice, before any byte of it leaves.
+/// Claims a call that must not run twice, before any byte of it is sent.
 pub(super) async fn claim_call(
     state: &Arc<SharedState>,
     caller: &Caller,
@@ -87,7 +87,7 @@
     place: &AnswerRef,
 ) -> Result<Response<MessageBody>, ErrorAnswer> {
     if place.0.is_empty() {
-        let text = "This call has run. Its answer was too long to be kept.";
+        let text = "This call has run. Its answer was too long to be stored.";
         return Err(already_ran("already_ran", text));
     }
     if let Some(answer) = state.claims.pending_answer(key) {
@@ -97,7 +97,7 @@
     match read.read_answer(&place.0).await {
         Ok(Some(answer)) => Ok(answer.into_response()),
         Ok(None) => {
-            let text = "This call has run. Its answer is not kept any more.";
+            let text = "This call has run. Its answer is no longer stored.";
             Err(already_ran("already_ran", text))
         }
         Err(_) => {
@@ -118,12 +118,12 @@
         ClaimCause::NoPlatform => (
             StatusCode::SERVICE_UNAVAILABLE,
             "claims_unavailable",
-            "The platform can't be asked whether this call ran before, so it was not sent.",
+            "The platform can't be queried whether this call ran before, so it was not sent.",
         ),
         ClaimCause::Busy => (
             StatusCode::SERVICE_UNAVAILABLE,
             "claims_busy",
-            "Too many calls that must not run twice wait at present.",
+            "Too many calls that must not run twice are waiting at present.",
         ),
         ClaimCause::Late => (
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/daemon/src/callers/upload.rs
+++ b/crates/daemon/src/callers/upload.rs
@@ -1,4 +1,4 @@
-//! Reading an uploaded file from a multipart body, with bounded memory.
+//! Reads an uploaded file from a multipart body with bounded memory.
 
 use std::{
     sync::{
@@ -17,28 +17,29 @@
 
 use super::lot_answers::{bad_request, lot_error};
 
-/// The only purpose that files have here.
+/// The only supported value of the field `purpose`.
 const PURPOSE: &str = "batch";
-/// The longest value of a field other than the file, in bytes.
+/// The maximum length in bytes that is read of a field other than the file.
 const MAX_VALUE: usize = 256;
-/// The longest name of a file, in bytes.
+/// The maximum length of a file's name in bytes.
 const MAX_FILENAME: usize = 255;
-/// What a file is called whose sender gave it no name.
+/// The name of a file for which the caller gave none.
 const NO_FILENAME: &str = "upload.jsonl";
-/// When a caller whose upload came too slowly may try again.
+/// `retry_after` for a caller whose upload was too slow.
 const SLOW_RETRY: Duration = Duration::from_secs(1);
 
-/// What an upload may take.
+/// The limits on the size and duration of an upload.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UploadLimits {
-    /// The longest body in bytes: the longest file, and room for the fields.
+    /// The maximum body size in bytes: the largest file, plus 64 KiB for the
+    /// other fields.
     pub(super) body: u64,
-    /// The most bytes read ahead of what was taken. A field's head without end
-    /// would otherwise fill the memory.
+    /// The maximum number of bytes read but not yet consumed as field content.
+    /// Without it, a field head that never ends would fill the memory.
     pub(super) read_ahead: u64,
-    /// The longest wait for the next bytes.
+    /// The maximum wait for the next bytes.
     pub(super) pause: Duration,
-    /// The longest time from the first byte to the last.
+    /// The maximum time from the first byte to the last.
     pub(super) whole: Duration,
 }
 
@@ -53,22 +54,22 @@
     }
 }
 
-/// An uploaded file on its way into the platform.
+/// An upload that is being read and stored in the platform.
 #[derive(Debug)]
 pub(super) struct UploadRequest<'a, S, C> {
-    /// Where it goes.
+    /// The store for the file.
     pub(super) files: &'a FileStore<S, C>,
-    /// Whose it is.
+    /// The customer that owns the file.
     pub(super) customer: &'a str,
     /// The caller's idempotency key.
     pub(super) job_key: Option<&'a str>,
-    /// What it may take.
+    /// The limits on the upload.
     pub(super) limits: UploadLimits,
 }
 
 impl<S: PlatformStore, C: WallClock> UploadRequest<'_, S, C> {
-    /// Reads the body with the fields `purpose` and `file`, in any order, and
-    /// keeps the file once both are whole.
+    /// Reads the body with the fields `purpose` and `file` in any order, and
+    /// stores the file once both are complete.
     pub(super) async fn read<B, E>(
         &self,
         boundary: String,
@@ -139,7 +140,7 @@
     }
 }
 
-/// Reads fields, with bounds on the waits.
+/// Reads the fields of a form, with limits on the waits.
 struct FieldReader {
     parts: Multipart<'static>,
     pause: Duration,
@@ -175,7 +176,7 @@
             return Ok(());
         }
         let value = String::from_utf8_lossy(&value);
-        let text = format!("The purpose `{value}` isn't known. Write `{PURPOSE}`.");
+        let text = format!("The purpose `{value}` is unknown. Use `{PURPOSE}`.");
         Err(bad_request("invalid_purpose", text).param("purpose"))
     }
 
@@ -191,7 +192,7 @@
     }
 }
 
-/// Why a body isn't read on.
+/// Why the rest of a body isn't read.
 #[derive(Debug, thiserror::Error)]
 enum LimitError {
     #[error("the body is longer than {0} bytes")]
@@ -202,8 +203,8 @@
     Connection(Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// Ends a body with an error once it is too long, or once too much of it was
-/// read without being taken.
+/// Ends a body with an error once it is too long, or once too many bytes were
+/// read without being consumed.
 fn bounded<B, E>(
     body: B,
     limits: UploadLimits,
@@ -214,10 +215,11 @@
     E: std::error::Error + Send + Sync + 'static,
 {
     let mut read = 0;
-    // The multipart reader takes in all that is ready before it hands anything
-    // on. One piece at a time keeps a fast sender from filling the memory. The
-    // end comes apart from the last piece: the reader takes a body that came
-    // with its end at its second look for one without a boundary.
+    // The multipart reader buffers everything that is ready before it returns
+    // any field. Yielding before each piece keeps a fast sender from filling
+    // the memory. The end of the body comes separately after the last piece: if
+    // both came together, the reader would, on its second poll, take the body
+    // for one without a boundary.
     let end = stream::once(async { Ok(Bytes::new()) });
     let body = body.chain(end).then(|bytes| async {
         tokio::task::yield_now().await;
@@ -245,7 +247,7 @@
     match source.downcast_ref::<LimitError>() {
         Some(LimitError::Body(limit)) => too_long(*limit),
         Some(limit @ LimitError::Head(_)) => {
-            bad_request("broken_multipart", format!("Nothing was kept: {limit}."))
+            bad_request("broken_multipart", format!("Nothing was stored: {limit}."))
         }
         _ => {
             let text = format!("The body didn't arrive: {source}");
@@ -254,14 +256,14 @@
     }
 }
 
-/// The answer to a body of more than `limit` bytes.
+/// Returns the error for a body of more than `limit` bytes.
 pub(super) fn too_long(limit: u64) -> ErrorAnswer {
-    let text = format!("The body is longer than {limit} bytes. Nothing was kept; split the file.");
+    let text = format!("The body is longer than {limit} bytes. Nothing was stored; split the file.");
     ErrorAnswer::new(StatusCode::PAYLOAD_TOO_LARGE, "body_too_long", text).param("file")
 }
 
 fn too_slow() -> ErrorAnswer {
-    let text = "The upload came too slowly. Nothing of it was kept; send it again.";
+    let text = "The upload was too slow. Nothing of it was stored; send it again.";
     ErrorAnswer::new(StatusCode::REQUEST_TIMEOUT, "body_too_slow", text).retry_after(SLOW_RETRY)
 }
 
--- a/crates/daemon/src/callers/upload/tests.rs
+++ b/crates/daemon/src/callers/upload/tests.rs
@@ -1,4 +1,4 @@
-//! Uploads that go wrong on the way.
+//! Invalid, oversized and slow uploads, and valid ones in arbitrary pieces.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
 
@@ -43,7 +43,7 @@
     answer
 }
 
-/// A body that arrives in pieces of so many bytes, all of them ready.
+/// Returns a body in pieces of `bytes` bytes that are all ready at once.
 fn pieces(
     text: &str,
     bytes: usize,
@@ -132,8 +132,9 @@
     }
 }
 
-// A client dies in the middle of an upload, or a proxy cuts the body. Half a
-// file must not count as the file: its lot would lack items and look complete.
+// A client dies in the middle of an upload, or a proxy cuts the body off. A
+// partial file must not be stored as complete: its lot would lack items
+// unnoticed.
 #[tokio::test]
 async fn a_body_without_its_end_is_refused() {
     let form = purpose() + &file(&item(1, 10)) + &end();
@@ -143,9 +144,9 @@
     }
 }
 
-// A client sends a file that is too long, or a field's head without end, without
-// saying the length ahead. The daemon's memory would fill, and all of its callers
-// would be lost with it.
+// A client sends a file that is too long, or a field head that never ends,
+// without declaring its length. Reading it whole would exhaust the daemon's
+// memory and fail all of its callers.
 #[tokio::test]
 async fn what_is_too_long_is_refused_on_the_way() {
     let content: String = (0..400).map(|it| item(it, 800)).collect();
@@ -159,8 +160,8 @@
     assert_eq!(read(endless).await.unwrap_err().code, "broken_multipart");
 }
 
-// A client sends a part of an upload and then nothing, or a byte now and then.
-// Each such connection would hold memory for ever.
+// A client sends a part of an upload and then nothing, or one byte at a time.
+// Without a time limit, each such connection would hold memory forever.
 #[tokio::test(start_paused = true)]
 async fn a_slow_client_is_given_up() {
     let form = purpose() + &file(&item(1, 10));
--- a/crates/daemon/src/callers/upload_progress.rs
+++ b/crates/daemon/src/callers/upload_progress.rs
@@ -1,4 +1,4 @@
-//! How far a caller's body has come that is passed on while it arrives.
+//! The progress of a caller's body that is forwarded while it arrives.
 
 use std::sync::{
     Arc,
@@ -9,7 +9,7 @@
 
 use crate::attempts::BUSY_RETRY;
 
-/// The progress of one upload, shared with the task that passes it on.
+/// The progress of one upload, shared with the task that forwards it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UploadProgress {
     shared: Arc<UploadFlags>,
@@ -22,27 +22,27 @@
 }
 
 impl UploadProgress {
-    /// Takes in that the body is being passed on.
+    /// Records that the body is being forwarded.
     pub(super) fn begin(&self) {
         self.shared.arriving.store(true, Ordering::Release);
     }
 
-    /// Takes in that all of it was passed on.
+    /// Records that the complete body was received.
     pub(super) fn finish(&self) {
         self.shared.arriving.store(false, Ordering::Release);
     }
 
-    /// Takes in that it broke off on the caller's side.
+    /// Records that the body broke off or was rejected on the caller's side.
     pub(super) fn cut(&self) {
         self.shared.cut.store(true, Ordering::Release);
     }
 
-    /// The answer to a call that failed because of the caller's body.
+    /// Returns the error for a call that failed because of the caller's body.
     ///
-    /// A server whose request breaks off, or never ends, gives no answer
-    /// either. Counting that as its failure would let one careless client put
-    /// it out of service; it would show as a weight that falls while the server
-    /// answers everybody else.
+    /// A server whose request breaks off or never ends gives no answer either.
+    /// Counting that as the server's failure would let one faulty client get
+    /// the server ejected: its weight would fall while it answers everyone
+    /// else.
     pub(super) fn fault_of(&self, error: &CallError) -> Option<ErrorAnswer> {
         if self.shared.cut.load(Ordering::Acquire) {
             let text = "The body broke off, or it contains your key.";
@@ -51,7 +51,7 @@
         }
         let is_late = matches!(error, CallError::TimedOut(_));
         if is_late && self.shared.arriving.load(Ordering::Acquire) {
-            let text = "The request's time was over before its body had arrived.";
+            let text = "The request's deadline passed before its body had arrived.";
             let answer = ErrorAnswer::new(StatusCode::REQUEST_TIMEOUT, "body_too_slow", text);
             return Some(unfinished(answer, error));
         }
--- a/crates/daemon/src/claims/claim_grant.rs
+++ b/crates/daemon/src/claims/claim_grant.rs
@@ -1,4 +1,4 @@
-//! The right to send one call once.
+//! The right to send a claimed call once.
 
 use std::sync::{
     Arc,
@@ -9,12 +9,13 @@
 
 use super::{ClaimKeeper, StoredAnswer};
 
-/// The right to send one call once, which ends when it is dropped.
+/// The right to send one call once, which ends when this is dropped.
 ///
-/// A call can end anywhere: its caller goes away, its key is withdrawn, its
-/// server breaks off. A claim without an end would tell resends for a day that
-/// the call may still be running, so dropping it says what is known: that it
-/// was never sent, or that its answer is lost.
+/// A call can end at any point: its caller disconnects, its key is withdrawn,
+/// its server breaks the connection. If its claim had no end, resends would be
+/// answered for a day that the call may still be running. Dropping the grant
+/// therefore records what is known: that the call was never sent, or that its
+/// answer is lost.
 #[derive(Debug)]
 pub struct ClaimGrant {
     keeper: Arc<ClaimKeeper>,
@@ -33,8 +34,8 @@
         }
     }
 
-    /// Whether the call may be sent now, once. It is the last check before the
-    /// first byte.
+    /// Starts the call and returns whether it may be sent now. Must be the last
+    /// check before the first byte is sent.
     pub fn start(&self) -> bool {
         let now = self.keeper.clock().now();
         let may_send = self.keeper.book().start(self.key, self.ticket, now);
@@ -44,14 +45,14 @@
         may_send
     }
 
-    /// Takes back a start after which no connection could be opened.
+    /// Reverts a start after which no connection could be opened.
     pub fn not_sent(&self) {
         self.keeper.book().not_sent(self.key, self.ticket);
         self.is_started.store(false, Ordering::Relaxed);
     }
 
-    /// Takes in that the call was answered, with the answer if it is short
-    /// enough to be kept.
+    /// Records that the call was answered, with the answer if it is short
+    /// enough to be stored.
     pub fn finish(&self, answer: Option<StoredAnswer>) {
         self.keeper.finish(self.key, self.ticket, answer);
     }
@@ -60,7 +61,7 @@
 impl Drop for ClaimGrant {
     fn drop(&mut self) {
         if self.is_started.load(Ordering::Relaxed) {
-            // Without effect if the call has finished.
+            // Has no effect if the call has finished.
             self.keeper.book().lose(self.key, self.ticket);
         } else {
             self.keeper.book().forget(self.key, self.ticket);
--- a/crates/daemon/src/claims/claim_keeper.rs
+++ b/crates/daemon/src/claims/claim_keeper.rs
@@ -1,4 +1,4 @@
-//! The claims of this daemon, as calls see them.
+//! Claims calls, and passes each call the outcome of its claim.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -14,27 +14,27 @@
 use super::{ClaimGrant, ClaimRecords, StoredAnswer};
 use crate::clock::ProcessClock;
 
-/// When the caller of a call that is under way may come back.
+/// `retry_after` for a call that is already running or being claimed.
 const TWIN_RETRY: Duration = Duration::from_secs(5);
 
-/// What a claim came to.
+/// The outcome of a request for a claim.
 #[derive(Debug)]
 pub enum ClaimOutcome {
-    /// The call may be sent, once.
+    /// The call may be sent once.
     Granted(ClaimGrant),
-    /// The call ran, and this names its answer.
+    /// The call has run. Names its stored answer.
     Answered(AnswerRef),
-    /// The call isn't sent.
+    /// The call must not be sent.
     Refused(ClaimRefusal),
 }
 
 impl ClaimOutcome {
-    /// What a call is told that wasn't entered in the book.
+    /// Converts the verdict on a call for which no new claim was created.
     fn of_claimed(verdict: ClaimVerdict) -> Self {
         match verdict {
             ClaimVerdict::Answered(answer) => ClaimOutcome::Answered(answer),
             ClaimVerdict::Refused(refusal) => ClaimOutcome::Refused(refusal),
-            // The same call waits for its claim or has it.
+            // The same call is waiting for its claim or has been granted it.
             ClaimVerdict::Wait | ClaimVerdict::Send => ClaimOutcome::Refused(ClaimRefusal {
                 run: RunState::Unknown,
                 cause: ClaimCause::Claimed,
@@ -44,21 +44,21 @@
     }
 }
 
-/// The claims of this daemon behind one short lock.
+/// The claims of this daemon, behind one briefly held lock.
 #[derive(Debug)]
 pub struct ClaimKeeper {
     clock: ProcessClock,
     book: Mutex<ClaimBook>,
-    /// Answers on their way to the platform, sorted by key.
+    /// Answers that are not yet written to the platform, sorted by key.
     answers: Mutex<Vec<(ClaimKey, StoredAnswer)>>,
-    /// Counts up when the verdict on a claim may have changed.
+    /// Incremented when the verdict on any claim may have changed.
     progress: watch::Sender<u64>,
     pub(super) claim_added: Notify,
     pub(super) change_added: Notify,
 }
 
 impl ClaimKeeper {
-    /// A keeper without claims.
+    /// Creates an instance without claims.
     pub fn new(incarnation: Incarnation, clock: ProcessClock) -> Self {
         ClaimKeeper {
             clock,
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Claims a call and waits until its claim is written or refused.
+    /// Claims a call and waits until the claim is written or refused. `body`
+    /// identifies the call's content, by which a reused key is detected.
     pub async fn acquire(
         self: &Arc<Self>,
         key: ClaimKey,
@@ -95,13 +96,15 @@
                 ClaimVerdict::Wait => {}
             }
             if progress.changed().await.is_err() {
-                // The sender is a part of this keeper, which the grant holds.
+                // Unreachable: the sender is a field of `self`, which the grant
+                // keeps alive.
                 return std::future::pending().await;
             }
         }
     }
 
-    /// The answer of a call that ran, if it is still on its way to the platform.
+    /// Returns the answer of a call that ran, if it is not yet written to the
+    /// platform.
     pub fn pending_answer(&self, key: ClaimKey) -> Option<StoredAnswer> {
         let answers = self.lock_answers();
         let at = answers.binary_search_by_key(&key, |it| it.0).ok()?;
@@ -123,7 +126,7 @@
         self.book().finish(key, ticket, place);
     }
 
-    /// Forgets a call whose end is in the platform.
+    /// Removes a call whose end is written to the platform.
     pub(super) fn settled(&self, key: ClaimKey, ticket: ClaimTicket) {
         self.book().forget(key, ticket);
         let mut answers = self.lock_answers();
@@ -145,8 +148,8 @@
     }
 
     pub(super) fn book(&self) -> MutexGuard<'_, ClaimBook> {
-        // The book's methods leave it whole at each step; what a panic left
-        // unsaid of one claim must not refuse all others.
+        // The tracker's methods keep it consistent at each step. What a panic
+        // left out for one claim must not fail all others.
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/daemon/src/claims/claim_records.rs
+++ b/crates/daemon/src/claims/claim_records.rs
@@ -1,4 +1,4 @@
-//! Claims as the platform keeps them.
+//! The records of claims and the stored answers in the store.
 
 use comfreyramp_http::Bytes;
 use comfreyramp_policy::{
@@ -12,19 +12,21 @@
 use super::StoredAnswer;
 use crate::record_lease::RecordLease;
 
-/// Where the records lie.
+/// The prefix of the store keys of claim records.
 const RECORDS: &str = "/comfreyramp/claims/records/";
-/// Where the answers lie.
+/// The prefix of the store keys of answers.
 const ANSWERS: &str = "/comfreyramp/claims/answers/";
 
-/// Claims as the platform keeps them, for a day.
+/// Reads and writes the records of claims in the store, which keeps them for a
+/// day.
 #[derive(Debug)]
 pub struct ClaimRecords<S> {
     store: S,
     lease: RecordLease,
 }
 
-/// A record as read, for a change on condition that it is still the same.
+/// A record as it was read. Changes to it are conditional on its being
+/// unchanged.
 #[derive(Clone, Debug)]
 pub(super) struct FoundRecord {
     record: Option<ClaimRecord>,
@@ -38,7 +40,7 @@
 }
 
 impl<S: PlatformStore> ClaimRecords<S> {
-    /// The records in this store.
+    /// Accesses the records in `store`.
     pub fn new(store: S) -> Self {
         ClaimRecords {
             store,
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Writes a group in one transaction, if none of its keys exists.
+    /// Writes a group of claims in one transaction, if none of their keys
+    /// exists.
     pub(super) async fn write_group(&self, group: &ClaimGroup, now: Timestamp) -> GroupAnswer {
         let Ok(lease) = self.lease.get(&self.store, now).await else {
             return GroupAnswer::Unreachable;
@@ -73,7 +76,7 @@
         }
     }
 
-    /// Reads a record.
+    /// Reads the record of a claim.
     pub(super) async fn read(&self, key: ClaimKey) -> Result<Option<FoundRecord>, StoreError> {
         let answer = self.store.range(KeyRange::One(record_key(key)), 1).await?;
         Ok(answer.pairs.first().map(|it| FoundRecord {
@@ -82,8 +85,8 @@
         }))
     }
 
-    /// Replaces a record that was read, with its answer if there is one.
-    /// Returns whether it was still the same.
+    /// Replaces a record that was read, and writes its answer if there is one.
+    /// Returns whether the record was unchanged and so was replaced.
     pub(super) async fn settle(
         &self,
         found: &FoundRecord,
@@ -107,7 +110,8 @@
         self.change(batch).await
     }
 
-    /// Deletes a record that was read. Returns whether it was still the same.
+    /// Deletes a record that was read. Returns whether it was unchanged and so
+    /// was deleted.
     pub(super) async fn release(
         &self,
         found: &FoundRecord,
@@ -122,7 +126,7 @@
         self.change(batch).await
     }
 
-    /// Reads a kept answer.
+    /// Reads a stored answer by its store key.
     pub async fn read_answer(&self, place: &str) -> Result<Option<StoredAnswer>, StoreError> {
         let answer = self.store.range(KeyRange::One(place.to_owned()), 1).await?;
         let value = answer.pairs.first().map(|it| &it.value);
@@ -137,7 +141,7 @@
 }
 
 impl ClaimRecords<()> {
-    /// Where a call's answer lies.
+    /// Returns the store key of a call's answer.
     pub fn answer_key(key: ClaimKey) -> String {
         format!("{ANSWERS}{:032x}", key.0)
     }
@@ -159,8 +163,8 @@
     }
 }
 
-/// The records that exist. One that can't be read is somebody's all the same,
-/// and nobody can tell how far its call went.
+/// Returns the records that exist for the group's keys. A record that can't be
+/// parsed is still another call's claim, and its state is unknown.
 fn read_found(group: &ClaimGroup, found: &[KeyValue]) -> Vec<ClaimRecord> {
     let mut records = Vec::new();
     for own in &group.records {
--- a/crates/daemon/src/claims/claim_writer.rs
+++ b/crates/daemon/src/claims/claim_writer.rs
@@ -1,4 +1,4 @@
-//! The task that writes claims and their ends to the platform.
+//! The task that writes claims, and the ends of claimed calls, to the platform.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,18 +9,20 @@
 use super::{ClaimKeeper, ClaimRecords};
 use crate::shared::SharedState;
 
-/// How often claims that took too long are given up.
+/// The interval at which claims that took too long are given up.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The pause after a lost answer; it doubles with each further one.
+/// The delay after the first failed write. It doubles with each consecutive
+/// failure.
 const LOSS_PAUSE: Duration = Duration::from_millis(25);
-/// The longest pause between two tries.
+/// The maximum delay between two attempts.
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// The changes that are taken up at a time.
+/// The maximum number of changes taken from the tracker at a time.
 const CHANGES: usize = 32;
-/// How long a daemon that stops still tries to write the ends of its calls.
+/// How long a stopping daemon continues to write the ends of its calls.
 const LAST_CHANGES: Duration = Duration::from_secs(3);
 
-/// Writes claims and their ends until `stop` is cancelled.
+/// Writes claims and the ends of claimed calls until `stop` is cancelled, then
+/// the changes that are left.
 pub async fn run_claims(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
     let writer = ClaimWriter {
         keeper: state.claims.clone(),
@@ -34,7 +36,7 @@
     }
     let last = tokio::time::timeout(LAST_CHANGES, writer.write_last_changes());
     if last.await.is_err() {
-        log::warn!("claims: not all ends of calls could be written before the stop");
+        log::warn!("claims: could not write the ends of all calls before the stop");
     }
     Ok(())
 }
@@ -67,7 +69,7 @@
         let now = self.keeper.clock().now();
         let answer = self.records.write_group(group, now).await;
         if !matches!(answer, GroupAnswer::Written | GroupAnswer::Found(_)) {
-            log::debug!("claims: group {} got no answer: {answer:?}", group.number);
+            log::debug!("claims: could not write group {}: {answer:?}", group.number);
         }
         let now = self.keeper.clock().now();
         let losses = {
@@ -82,7 +84,8 @@
         }
     }
 
-    /// Gives up what took too long. It runs beside the writes, which may hang.
+    /// Gives up claims that took too long. Runs concurrently with the writes,
+    /// which may hang.
     async fn poll(&self) {
         let mut ticks = tokio::time::interval(POLL_INTERVAL);
         loop {
@@ -105,7 +108,8 @@
         while self.write_some_changes().await {}
     }
 
-    /// Returns whether there was a change to write.
+    /// Writes the next changes, repeating each until it succeeds. Returns
+    /// whether there were any.
     async fn write_some_changes(&self) -> bool {
         let mut changes = PendingChanges::take(&self.keeper);
         if changes.left.is_empty() {
@@ -120,7 +124,7 @@
                 }
                 Err(error) => {
                     failures += 1;
-                    log::debug!("claims: the end of a call isn't written yet: {error}");
+                    log::debug!("claims: could not write the end of a call, retrying: {error}");
                     tokio::time::sleep(pause_after(failures)).await;
                 }
             }
@@ -145,7 +149,8 @@
         Ok(())
     }
 
-    /// Returns whether nothing is left to do.
+    /// Writes the end of a call. Returns `false` if the record changed
+    /// meanwhile and the write must be repeated.
     async fn settle(&self, record: &ClaimRecord) -> Result<bool, StoreError> {
         let found = self.records.read(record.key).await?;
         let Some(found) = found.filter(|it| it.is_of(record.ticket)) else {
@@ -158,8 +163,8 @@
     }
 }
 
-/// Changes that go back to the book unless they were made: the task that makes
-/// them can be dropped at any point.
+/// Changes that are returned to the tracker on drop unless they were written:
+/// the task that writes them can be dropped at any await point.
 struct PendingChanges<'a> {
     keeper: &'a ClaimKeeper,
     left: Vec<ClaimChange>,
@@ -168,7 +173,7 @@
 impl<'a> PendingChanges<'a> {
     fn take(keeper: &'a ClaimKeeper) -> Self {
         let mut left = keeper.book().take_changes(CHANGES);
-        // They are made from the end, and the first came first.
+        // Changes are popped from the end, so the oldest comes last.
         left.reverse();
         PendingChanges { keeper, left }
     }
--- a/crates/daemon/src/claims/mod.rs
+++ b/crates/daemon/src/claims/mod.rs
@@ -1,8 +1,9 @@
-//! At most once: claims kept in the platform for calls that must not run twice.
+//! At-most-once execution: claims stored in the platform for calls that must
+//! not run twice.
 //!
-//! The decisions are those of [`comfreyramp_policy::ClaimBook`]. Here is what
-//! carries them out: [`ClaimKeeper`] hands out claims, [`run_claims`] writes
-//! them and their ends. See docs/LIVE.md.
+//! The decisions are made by [`comfreyramp_policy::ClaimBook`]; this module
+//! carries them out. [`ClaimKeeper`] hands out claims, and [`run_claims`]
+//! writes them and the ends of their calls. See docs/LIVE.md.
 
 mod claim_grant;
 mod claim_keeper;
--- a/crates/daemon/src/claims/stored_answer.rs
+++ b/crates/daemon/src/claims/stored_answer.rs
@@ -1,17 +1,18 @@
-//! Answers that are kept for resends.
+//! Answers that are stored for resends.
 
 use comfreyramp_http::{Bytes, HeaderMap, HeaderValue, MessageBody, Response, StatusCode, header};
 use http::HeaderName;
 use serde::{Deserialize, Serialize};
 
-/// The longest answer that is kept, in bytes. An answer is written with the end
-/// of its call, so this bounds what such calls ask of the platform.
+/// The maximum size in bytes of an answer that is stored. An answer is written
+/// together with the end of its call, so this bounds the load of such calls on
+/// the platform.
 pub const ANSWER_KEPT: usize = 64 * 1024;
 
-/// The header that tells a resend's answer from a new one.
+/// The header that marks an answer as the stored one of an earlier call.
 const REPLAYED_HEADER: &str = "idempotent-replayed";
 
-/// An answer as it was given.
+/// An answer as the caller received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredAnswer {
     head: AnswerHead,
@@ -25,7 +26,8 @@
 }
 
 impl StoredAnswer {
-    /// The answer, or none if it is too long to be kept.
+    /// Creates the stored form of an answer, or `None` if the body is longer
+    /// than [`ANSWER_KEPT`].
     pub fn of(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Option<Self> {
         if body.len() > ANSWER_KEPT {
             return None;
@@ -44,7 +46,8 @@
         Some(StoredAnswer { head, body })
     }
 
-    /// The answer as one value: its head as a line of JSON, then its body.
+    /// Encodes the answer as one value: the head as a line of JSON, then the
+    /// body.
     pub fn encode(&self) -> serde_json::Result<Bytes> {
         let mut value = serde_json::to_vec(&self.head)?;
         value.push(b'\n');
@@ -52,7 +55,7 @@
         Ok(value.into())
     }
 
-    /// Reads what [`encode`](Self::encode) wrote.
+    /// Decodes a value written by [`encode`](Self::encode).
     pub fn decode(value: &Bytes) -> Option<Self> {
         let end = value.iter().position(|it| *it == b'\n')?;
         let head = serde_json::from_slice(&value[..end]).ok()?;
@@ -60,7 +63,8 @@
         Some(StoredAnswer { head, body })
     }
 
-    /// The answer to a resend.
+    /// Converts the answer to the response to a resend, with a header that
+    /// marks it as replayed.
     pub fn into_response(self) -> Response<MessageBody> {
         let mut response = Response::new(MessageBody::from(self.body));
         *response.status_mut() = StatusCode::from_u16(self.head.status).unwrap_or_default();
@@ -76,7 +80,7 @@
     }
 }
 
-/// A copy of an answer that is passed on in pieces.
+/// A copy of an answer that is forwarded in pieces.
 #[derive(Clone, Debug)]
 pub struct AnswerCopy {
     status: StatusCode,
@@ -86,7 +90,7 @@
 }
 
 impl AnswerCopy {
-    /// A copy of an answer whose body is still to come.
+    /// Starts the copy of an answer whose body is yet to arrive.
     pub fn new(status: StatusCode, headers: HeaderMap) -> Self {
         AnswerCopy {
             status,
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Takes in the next piece.
+    /// Appends the next piece of the body.
     pub fn push(&mut self, piece: &[u8]) {
         self.is_too_long |= self.body.len() + piece.len() > ANSWER_KEPT;
         if self.is_too_long {
@@ -106,7 +110,7 @@
         }
     }
 
-    /// The whole answer, or none if it is too long to be kept.
+    /// Returns the complete answer, or `None` if it is too long to be stored.
     pub fn finish(self) -> Option<StoredAnswer> {
         if self.is_too_long {
             return None;
--- a/crates/daemon/src/live_queue/call_rank.rs
+++ b/crates/daemon/src/live_queue/call_rank.rs
@@ -1,4 +1,4 @@
-//! How urgent a request is, by the habits of its key.
+//! Ranks requests by urgency, from how their keys were used before.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -9,33 +9,35 @@
 
 use crate::{callers::Caller, clock::ProcessClock};
 
-/// The tokens that an answer is expected to have if its caller sets no limit.
+/// The number of tokens that an answer is expected to have if the caller sets
+/// no limit.
 const USUAL_TOKENS: f64 = 256.0;
-/// The tokens that a call to a plain service counts for.
+/// The number of tokens for which a call to a plain service counts.
 const PLAIN_TOKENS: f64 = 64.0;
-/// The bytes of a prompt that make a token, roughly.
+/// The approximate number of prompt bytes per token.
 const TOKEN_BYTES: f64 = 4.0;
-/// How often the habits of idle keys are forgotten.
+/// The interval at which the habits of idle keys are removed.
 pub(super) const HABITS_POLLED: Duration = Duration::from_secs(60);
 
-/// The habits of all keys, behind one short lock.
+/// The request habits of all keys, behind one briefly held lock.
 #[derive(Clone, Debug, Default)]
 pub struct UrgencyRanks {
     table: Arc<Mutex<UrgencyTable>>,
 }
 
-/// The rank of one request, which counts as running until this is dropped.
+/// The rank of one request. The request counts as running until this is
+/// dropped.
 #[derive(Debug)]
 pub struct CallRank {
-    /// Its customer.
+    /// The request's customer.
     pub customer: CustomerId,
-    /// The customer's part of scarce capacity.
+    /// The customer's weight when capacity is scarce.
     pub weight: f64,
-    /// How urgent it is.
+    /// How urgent the request is.
     pub urgency: Urgency,
-    /// The tokens that it is expected to cost, of prompt and answer.
+    /// The expected cost in tokens, of prompt and answer.
     pub tokens: f64,
-    /// The part of them that the prompt has.
+    /// The tokens of the prompt, included in `tokens`.
     prompt: f64,
     key: CallerKey,
     traits: CallTraits,
@@ -43,7 +45,8 @@
 }
 
 impl UrgencyRanks {
-    /// Ranks a request to a model.
+    /// Ranks a request to a model. The prompt's tokens are estimated from its
+    /// bytes, and `max_tokens` counts as the length of the answer.
     pub fn rank_engine_call(
         &self,
         caller: &Caller,
@@ -89,13 +92,14 @@
     }
 
     fn table(&self) -> MutexGuard<'_, UrgencyTable> {
-        // A habit that a panic left half counted is forgotten in time.
+        // A habit that a panic left half counted is removed once its key is
+        // idle.
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl CallRank {
-    /// The tokens of the prompt, as far as its length tells.
+    /// Returns the tokens of the prompt, estimated from its length.
     pub fn prompt_tokens(&self) -> f64 {
         self.prompt
     }
--- a/crates/daemon/src/live_queue/mod.rs
+++ b/crates/daemon/src/live_queue/mod.rs
@@ -1,9 +1,9 @@
-//! Live requests held back while the servers are full.
+//! Queues for live requests while the servers are full.
 //!
-//! The decisions are those of [`comfreyramp_policy::LiveQueue`] and
-//! [`comfreyramp_policy::UrgencyTable`]. Here is what carries them out:
-//! [`CallRank`] says how urgent a request is, [`StartQueues`] hold it until its
-//! turn comes. See docs/LIVE.md.
+//! The decisions are made by [`comfreyramp_policy::LiveQueue`] and
+//! [`comfreyramp_policy::UrgencyTable`]; this module carries them out.
+//! [`CallRank`] holds how urgent a request is, and [`StartQueues`] holds the
+//! request until it may start. See docs/LIVE.md.
 
 mod call_rank;
 mod start_queues;
--- a/crates/daemon/src/live_queue/start_queues.rs
+++ b/crates/daemon/src/live_queue/start_queues.rs
@@ -1,4 +1,4 @@
-//! The requests that wait for a server, by group.
+//! The requests that wait for a server, one queue for each server group.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -17,41 +17,44 @@
     suspects::RunRequest,
 };
 
-/// How often it is looked whether a server has room. Most turns come when a
-/// request ends; what other daemons sent fades from the estimates by itself.
+/// The interval at which the queues are checked for requests that can start.
+/// Most requests start when another one ends; but the estimates of what other
+/// daemons sent also decay with time, which frees capacity without any event.
 const TURN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The requests that wait for a server.
+/// The queues of all groups, behind one briefly held lock.
 #[derive(Debug, Default)]
 pub struct StartQueues {
     groups: Mutex<Vec<GroupQueue>>,
 }
 
-/// The requests that wait for a server of one group.
+/// The queue of one group.
 #[derive(Debug, Default)]
 struct GroupQueue {
     group: String,
     queue: LiveQueue,
     last_number: u64,
-    /// In order of their numbers.
+    /// Sorted by number.
     waiters: Vec<Waiter>,
 }
 
 type Turn = Result<ChosenServer, AttemptFailure>;
 
-/// A request that waits, and where it may go.
+/// A waiting request and the constraints on its server.
 #[derive(Debug)]
 struct Waiter {
     number: u64,
     prefix: u64,
     exclude: Vec<ServerId>,
-    /// The server that runs a copy of it.
+    /// The server that already runs a copy of the request, which is preferred
+    /// if it has capacity.
     beside: Option<ServerKey>,
     turn: oneshot::Sender<Turn>,
 }
 
 impl SharedState {
-    /// Waits until a server has room for a request and its turn has come.
+    /// Waits until the request is the next to start and a server has capacity
+    /// for it. Returns the server, with the request counted on it.
     pub(crate) async fn wait_for_turn(
         &self,
         request: RunRequest<'_>,
@@ -78,11 +81,12 @@
         };
         let turn = turn.await;
         drop(place);
-        // A waiter that is gone without a word had to make way.
+        // The sender is dropped without a result only if the request was
+        // removed from the queue.
         turn.unwrap_or(Err(AttemptFailure::HeldBack(BUSY_RETRY)))
     }
 
-    /// Takes a request into its queue, and returns its number there.
+    /// Adds a request to its group's queue and returns its number there.
     fn enter(&self, request: RunRequest<'_>, mut waiter: Waiter) -> Result<u64, AttemptFailure> {
         let now = self.clock.now();
         let CallRank {
@@ -114,8 +118,8 @@
         Ok(call.number)
     }
 
-    /// Lets the requests go that a server has room for, and refuses those whose
-    /// time has passed or that can't start in time any more.
+    /// Starts the requests for which a server has capacity, and rejects those
+    /// whose deadline has passed or that can no longer start in time.
     fn give_turns(&self, group: &mut GroupQueue) {
         let now = self.clock.now();
         for late in group.queue.take_late(now) {
@@ -146,7 +150,7 @@
             let beside =
                 beside.and_then(|it| self.servers.take_with_room(it, &waiter.exclude, self.clock));
             let server = beside.or_else(|| self.servers.choose(query, self.clock));
-            // A caller that is gone gives the server back.
+            // If the caller has disconnected, dropping the server releases it.
             let _ = waiter.turn.send(server.ok_or(AttemptFailure::NoServer));
         }
     }
@@ -159,8 +163,8 @@
         }
     }
 
-    /// Charges a customer for what a call cost beyond, or short of, what was
-    /// expected of it.
+    /// Charges a customer for the difference between the tokens that a call
+    /// cost and those that were expected. The difference may be negative.
     pub(crate) fn charge_tokens(&self, group: &str, rank: &CallRank, tokens: f64) {
         let mut groups = self.queues.lock();
         let group = group_queue(&mut groups, group);
@@ -168,7 +172,8 @@
     }
 }
 
-/// Gives turns until `stop` is cancelled.
+/// Starts waiting requests, and expires the statistics of idle keys, until
+/// `stop` is cancelled.
 pub async fn run_start_queues(
     state: Arc<SharedState>,
     stop: CancellationToken,
@@ -187,13 +192,13 @@
 
 impl StartQueues {
     fn lock(&self) -> MutexGuard<'_, Vec<GroupQueue>> {
-        // What a panic left of one request is refused when its time is up.
+        // A request that a panic left in the queue is rejected at its deadline.
         self.groups.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl GroupQueue {
-    /// Tells a request that it isn't served.
+    /// Rejects a waiting request.
     fn refuse(&mut self, number: u64) {
         if let Some(waiter) = take_waiter(&mut self.waiters, number) {
             let _ = waiter.turn.send(Err(AttemptFailure::HeldBack(BUSY_RETRY)));
@@ -201,7 +206,7 @@
     }
 }
 
-/// A request's place in its queue, left when the request is dropped.
+/// A request's entry in its queue, which is removed when this is dropped.
 struct QueuePlace<'a> {
     state: &'a SharedState,
     group: &'a str,
--- a/crates/daemon/src/lot_work/answer_builder.rs
+++ b/crates/daemon/src/lot_work/answer_builder.rs
@@ -1,12 +1,12 @@
-//! Putting a streamed answer together into a whole one.
+//! Assembles a streamed answer into a complete one.
 
 use serde::Deserialize;
 use serde_json::{Map, Value, json, value::RawValue};
 
-/// What came of an answer so far. An item that stepped aside goes on from it.
+/// The part of an answer received so far. A preempted item resumes from it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AnswerBuilder {
-    /// Tokens received.
+    /// The number of tokens received.
     pub(super) tokens: u32,
     text: String,
     finish: Option<String>,
@@ -21,7 +21,7 @@
     model: Value,
 }
 
-/// Which endpoint answers, and so in which shape.
+/// The shape of an answer, which depends on the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerShape {
     Chat,
@@ -38,7 +38,7 @@
 }
 
 impl AnswerBuilder {
-    /// Takes in the data of one event that isn't the end.
+    /// Adds the data of one event other than the final `[DONE]`.
     pub(super) fn take(&mut self, data: &[u8]) {
         let Ok(mut chunk) = serde_json::from_slice::<Map<String, Value>>(data) else {
             return;
@@ -68,7 +68,8 @@
         }
     }
 
-    /// The whole answer in the published shape.
+    /// Returns the complete answer in the shape of the OpenAI API, or `None` if
+    /// no event with an answer's head arrived.
     pub(super) fn finish(self, shape: AnswerShape) -> Option<Box<RawValue>> {
         let head = self.head?;
         let (object, mut choice) = match shape {
--- a/crates/daemon/src/lot_work/bulk_gate.rs
+++ b/crates/daemon/src/lot_work/bulk_gate.rs
@@ -1,4 +1,5 @@
-//! The one way by which bulk work reaches a backend server.
+//! Limits the bulk requests on each backend server. All bulk work gets its
+//! slots here.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -15,25 +16,27 @@
 
 use crate::server_pool::ChosenServer;
 
-/// How long servers are asked for their load after somebody wanted a slot.
+/// How long servers are queried for their load after the last request for a
+/// slot.
 const WANTED_SPAN: Duration = Duration::from_secs(2);
 
-/// A server as the gates are told of it.
+/// The state of a server that its bulk limiter needs.
 #[derive(Clone, Debug)]
 pub struct GateServer {
     /// Its id.
     pub id: ServerId,
     /// Where it listens, as `ip:port`.
     pub address: String,
-    /// The group it serves in.
+    /// The group to which it belongs.
     pub group: String,
-    /// Requests of this daemon on it, bulk ones included.
+    /// The number of this daemon's requests on it, bulk ones included.
     pub in_flight: u32,
-    /// Whether bulk work may reach it through this daemon.
+    /// Whether this daemon may send bulk requests to it: this daemon is its
+    /// home, and the server takes new work.
     pub is_home: bool,
 }
 
-/// A bulk request on a server.
+/// A bulk request that runs on a server.
 #[derive(Debug)]
 struct OpenSlot {
     number: u64,
@@ -43,19 +46,20 @@
 #[derive(Debug)]
 struct GatedServer {
     server: GateServer,
-    /// None until the server has told the size of its batch.
+    /// `None` until the server has reported the size of its batch.
     gate: Option<BulkGate<FixedLimit>>,
-    /// The live requests of this daemon that the gate was told of.
+    /// The number of this daemon's live requests that the limiter knows of.
     live: u32,
     open: Vec<OpenSlot>,
 }
 
-/// The bulk slots of a server, for operators.
+/// The bulk slots of a server, as reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct SlotView {
-    /// Bulk requests on it now.
+    /// The number of bulk requests that run on it.
     pub open: u32,
-    /// How many it may have; unknown until it has told the size of its batch.
+    /// The maximum number of bulk requests; unknown until the server has
+    /// reported the size of its batch.
     pub allowed: Option<u32>,
 }
 
@@ -67,21 +71,22 @@
     wanted_at: Option<Timestamp>,
 }
 
-/// Gives out bulk slots on the servers whose home this daemon is, and takes
-/// them back at once when live work needs the room. How many there are is
-/// decided by a [`BulkGate`] for each server.
+/// Grants bulk slots on the servers whose home this daemon is, and revokes them
+/// at once when live work needs the capacity. A [`BulkGate`] for each server
+/// decides how many there are.
 #[derive(Clone, Debug, Default)]
 pub struct ServerGates {
     tables: Arc<Mutex<GateTables>>,
     changed: Arc<Notify>,
 }
 
-/// The right to run one bulk request on a server. Dropping it gives it back.
+/// The right to run one bulk request on a server. Dropping it releases the
+/// slot.
 #[derive(Debug)]
 pub struct BulkSlot {
     /// The server, on which the request counts as in flight.
     pub server: ChosenServer,
-    /// Cancelled when the request must make room for live work.
+    /// Cancelled when the request is preempted by live work.
     pub stop: CancellationToken,
     number: u64,
     gates: ServerGates,
@@ -97,16 +102,16 @@
 }
 
 impl ServerGates {
-    /// Takes in the servers with their present load, and stops bulk work where
-    /// it is too much.
+    /// Updates the servers and their load, and preempts bulk requests that
+    /// exceed the limits.
     pub fn update(&self, servers: Vec<GateServer>, now: Timestamp) {
         let mut tables = self.lock();
         let old = std::mem::take(&mut tables.servers);
         let mut old = old.into_iter().peekable();
         for server in servers {
             let id = server.id;
-            // Both are sorted by id. A server that is gone takes its state
-            // along; its open slots end with their requests.
+            // Both lists are sorted by id. A server that has disappeared loses
+            // its state; its open slots end with their requests.
             while old.next_if(|it| it.server.id < id).is_some() {}
             let mut gated = old
                 .next_if(|it| it.server.id == id)
@@ -119,8 +124,8 @@
         self.changed.notify_waiters();
     }
 
-    /// A live request is about to be sent to a server: bulk work makes room
-    /// before it arrives.
+    /// Records that a live request is about to be sent to a server. Bulk
+    /// requests are preempted before it arrives.
     pub fn note_arrival(&self, server: ServerId, now: Timestamp) {
         let mut tables = self.lock();
         if let Some(gated) = tables.get(server) {
@@ -130,8 +135,9 @@
         }
     }
 
-    /// Another daemon sends live requests to a server: bulk work makes room.
-    /// Returns the bulk requests that are left on it.
+    /// Records that another daemon is sending `count` live requests to a
+    /// server, and preempts bulk requests for them. Returns the number of bulk
+    /// requests left on the server.
     pub fn announce(&self, server: ServerId, count: u32, now: Timestamp) -> u32 {
         let mut tables = self.lock();
         let Some(gated) = tables.get(server) else {
@@ -145,7 +151,7 @@
         u32::try_from(left.count()).unwrap_or(u32::MAX)
     }
 
-    /// Takes in a server's report of its load.
+    /// Applies a server's report of its load.
     pub fn note_report(&self, server: ServerId, report: LoadReport, now: Timestamp) {
         let mut tables = self.lock();
         if let Some(gated) = tables.get(server) {
@@ -154,8 +160,9 @@
         }
     }
 
-    /// Opens a slot on the home server of the group with the least bulk work,
-    /// if one has room. `choose` counts the request on the server.
+    /// Opens a slot on the server with the least bulk work among those of the
+    /// group whose home this daemon is, if any has capacity. `choose` counts
+    /// the request on the server.
     pub fn open(
         &self,
         group: &str,
@@ -189,9 +196,9 @@
         self.changed.notified().await;
     }
 
-    /// The servers that shall be asked for their load: the home servers, while
-    /// bulk work runs or waits. Without reports, nothing would be known of the
-    /// live requests that other daemons have on them.
+    /// Returns the servers to query for their load: those whose home this
+    /// daemon is, while bulk work runs or waits. Without their reports, nothing
+    /// would be known of the live requests that other daemons have on them.
     pub fn to_ask(&self, now: Timestamp) -> Vec<(ServerId, String)> {
         let tables = self.lock();
         let recent = |it: Timestamp| now.since(it) < WANTED_SPAN;
@@ -203,7 +210,8 @@
             .collect()
     }
 
-    /// The bulk slots of the servers whose home this daemon is, by id.
+    /// Returns the bulk slots of the servers whose home this daemon is, sorted
+    /// by id.
     pub fn slots(&self, now: Timestamp) -> Vec<(ServerId, SlotView)> {
         let tables = self.lock();
         let homes = tables.servers.iter().filter(|it| it.server.is_home);
@@ -218,7 +226,7 @@
             .collect()
     }
 
-    /// Bulk requests open now.
+    /// Returns the number of open bulk requests.
     pub fn bulk(&self) -> usize {
         self.lock().servers.iter().map(|it| it.open.len()).sum()
     }
@@ -232,7 +240,8 @@
         self.changed.notify_waiters();
     }
 
-    /// A panic under this lock leaves counts that the next update corrects.
+    /// Locks the tables. After a panic under this lock, the next update
+    /// corrects the counts.
     fn lock(&self) -> MutexGuard<'_, GateTables> {
         self.tables.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -297,12 +306,14 @@
             return;
         }
         if self.gate.is_none() {
-            // Feedback from live latencies was measured and rejected, since live
-            // prompts alone look like harm. See docs/DESIGN.md.
+            // A limit that follows live latencies was tried and rejected: live
+            // prompts alone already raise latencies as if bulk work did harm.
+            // See docs/DESIGN.md.
             let slots = f64::from(report.batch);
             let limit = FixedLimit { slots };
             let mut gate = BulkGate::new(GateTiming::default(), limit);
-            // What is on the server is known already and isn't a burst now.
+            // The requests already on the server are entered as begun earlier,
+            // so that they don't count as a burst.
             (0..self.live).for_each(|_| gate.live_begins(now - WANTED_SPAN));
             gate.tick(now);
             self.gate = Some(gate);
@@ -312,7 +323,8 @@
         }
     }
 
-    /// Tells the gate of this daemon's own live requests that began or ended.
+    /// Updates the limiter with this daemon's live requests that began or
+    /// ended.
     fn show_live(&mut self, now: Timestamp) {
         let bulk = u32::try_from(self.open.len()).unwrap_or(u32::MAX);
         let live = self.server.in_flight.saturating_sub(bulk);
@@ -323,15 +335,16 @@
         self.live = live;
     }
 
-    /// Stops what is too much, the last to start first: it has the least to
-    /// lose if its engine doesn't resume.
+    /// Preempts the bulk requests beyond the limit, the latest to start first:
+    /// they lose the least work if their engine can't resume them.
     fn stop_excess(&mut self) {
         let all = self.open.len();
         let excess = match &self.gate {
             Some(gate) if self.server.is_home => gate.excess() as usize,
             _ => all,
         };
-        // Those stopped before may still be on their way out.
+        // Slots that were cancelled before may still be ending, and count
+        // again.
         for slot in self.open.iter().rev().take(excess.min(all)) {
             slot.stop.cancel();
         }
--- a/crates/daemon/src/lot_work/engine_runner.rs
+++ b/crates/daemon/src/lot_work/engine_runner.rs
@@ -1,4 +1,4 @@
-//! Running one item on an engine.
+//! Runs single items of lots on engines.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,14 +23,14 @@
     shared::SharedState,
 };
 
-/// The longest answer of an item.
+/// The maximum size in bytes of an item's answer that isn't streamed.
 const ANSWER_LIMIT: usize = 512 * 1024;
-/// The longest wait for an answer to begin, and between two of its pieces. Bulk
-/// work may wait long in a full batch; an engine that is this slow is hung.
+/// The maximum wait for an answer to begin, and between two of its pieces. Bulk
+/// work may wait long in a full batch, but an engine that is this slow is hung.
 const LONGEST_GAP: Duration = Duration::from_secs(60);
-/// How long a server may take to show that it is alive.
+/// The timeout of the health check after a broken connection.
 const ALIVE_LIMIT: Duration = Duration::from_millis(500);
-/// Fields whose answers can't be put together from plain text.
+/// Request fields whose answers can't be assembled from a stream of plain text.
 const WHOLE_ONLY: [&str; 6] = [
     "n",
     "best_of",
@@ -42,7 +42,7 @@
 
 type Outcome = ItemOutcome<AnswerBuilder>;
 
-/// Runs items on the engines whose slots the gate gave out.
+/// Runs items on the engines for which the bulk limiters granted slots.
 #[derive(Debug)]
 pub(super) struct EngineRunner {
     state: Arc<SharedState>,
@@ -56,7 +56,7 @@
     /// Sends the item and reads its answer.
     async fn answer(&self, run: &mut ItemRun) -> Outcome {
         let Some(request) = run.request() else {
-            return run.failed("invalid_body", "the body is no JSON object");
+            return run.failed("invalid_body", "the body is not a JSON object");
         };
         let response = match self.state.client.send_within(LONGEST_GAP, request).await {
             Ok(response) => response,
@@ -88,8 +88,8 @@
         }
     }
 
-    /// The connection broke while the item ran. If the server is gone, the item
-    /// may be what took it down.
+    /// Classifies a connection that broke while the item ran. If the server is
+    /// gone too, the item may have crashed it.
     async fn broken(&self, run: &ItemRun) -> Outcome {
         let server = &run.slot.server;
         let request = Request::builder()
@@ -121,7 +121,7 @@
         });
         let text = String::from_utf8_lossy(&body).into_owned();
         let Ok(raw) = RawValue::from_string(text) else {
-            let message = format!("{status} with a body that is no JSON");
+            let message = format!("{status} with a body that is not JSON");
             return ItemOutcome::ServerFault { message };
         };
         let tokens = serde_json::from_slice::<Value>(&body)
@@ -193,7 +193,7 @@
     }
 }
 
-/// An item under way.
+/// An item that is running.
 struct ItemRun {
     order: ItemOrder<AnswerBuilder>,
     slot: BulkSlot,
@@ -229,8 +229,8 @@
         Some(request)
     }
 
-    /// The item's body, asking for a stream where the answer can be put together
-    /// from one: a stream can be stopped and resumed.
+    /// Returns the item's body. It requests a stream where the answer can be
+    /// assembled from one, since a stream can be stopped and resumed.
     fn body(&mut self) -> Option<Bytes> {
         let mut fields: Map<String, Value> = serde_json::from_slice(&self.order.body).ok()?;
         self.is_stream = !WHOLE_ONLY.iter().any(|it| fields.contains_key(*it));
@@ -261,7 +261,7 @@
                 tokens,
             },
             None => ItemOutcome::ServerFault {
-                message: "the stream ended without an answer".to_owned(),
+                message: "the stream contained no answer".to_owned(),
             },
         }
     }
--- a/crates/daemon/src/lot_work/mod.rs
+++ b/crates/daemon/src/lot_work/mod.rs
@@ -1,4 +1,4 @@
-//! Lots at this daemon: running their items beside live work. See docs/LOTS.md.
+//! Runs the items of lots concurrently with live requests. See docs/LOTS.md.
 
 mod answer_builder;
 mod bulk_gate;
@@ -19,17 +19,18 @@
 use engine_runner::EngineRunner;
 use slot_source::DaemonSlots;
 
-/// Files and lots as this daemon sees them.
+/// The store of files and lots, as this daemon accesses it.
 pub type DaemonLots = LotStore<GatewayStore<DaemonMetrics>, SystemClock>;
 
-/// How often the gates look at the load that this daemon knows of.
+/// The interval at which the bulk limiters are updated with the load that this
+/// daemon knows of.
 const GATE_INTERVAL: Duration = Duration::from_millis(25);
-/// How often servers are asked for their load.
+/// The interval at which servers are queried for their load.
 const ASK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a server may take to tell its load.
+/// The timeout of a query for a server's load.
 const ASK_LIMIT: Duration = Duration::from_millis(500);
 
-/// Works on open lots until `stop` is cancelled.
+/// Runs the items of open lots until `stop` is cancelled.
 pub async fn run_lots(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
     let runner = Arc::new(EngineRunner::new(state.clone()));
     let slots = Arc::new(DaemonSlots::new(state.clone()));
@@ -45,8 +46,8 @@
     Ok(())
 }
 
-/// Keeps the gates' view of the servers, and stops bulk work where live work
-/// needs the room.
+/// Keeps the bulk limiters updated with the servers and their load, and
+/// preempts bulk work where live work needs the capacity.
 async fn watch_servers(state: &Arc<SharedState>, stop: &CancellationToken) {
     let mut looks = tokio::time::interval(GATE_INTERVAL);
     let mut asks = tokio::time::interval(ASK_INTERVAL);
@@ -67,8 +68,8 @@
     }
 }
 
-/// Asks a server for its load. One that doesn't answer isn't heard of, and its
-/// gate closes once the last report is old.
+/// Queries a server for its load. If it doesn't answer, nothing is recorded,
+/// and its limiter allows no bulk work once the last report is outdated.
 async fn ask_load(state: Arc<SharedState>, server: ServerId, address: String) {
     let request = Request::builder()
         .uri(format!("http://{address}/load"))
--- a/crates/daemon/src/lot_work/slot_source.rs
+++ b/crates/daemon/src/lot_work/slot_source.rs
@@ -1,4 +1,4 @@
-//! Bulk slots for the models that lots ask for.
+//! Provides bulk slots for the models that lots request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,11 +7,12 @@
 use super::BulkSlot;
 use crate::shared::SharedState;
 
-/// How often a waiting item looks for a slot when nothing is told of one: a
-/// server may start bulk work again because time has passed.
+/// The interval at which a waiting item checks for a slot without a
+/// notification. A server may allow bulk work again merely because time has
+/// passed.
 const LOOK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Gives out the slots of the gates.
+/// Provides the slots of the bulk limiters to the lot worker.
 #[derive(Debug)]
 pub(super) struct DaemonSlots {
     state: Arc<SharedState>,
--- a/crates/daemon/src/server_pool.rs
+++ b/crates/daemon/src/server_pool.rs
@@ -1,4 +1,5 @@
-//! The backend servers behind one short lock.
+//! The backend servers and this daemon's load on them, behind one briefly held
+//! lock.
 
 use std::{
     net::SocketAddr,
@@ -23,51 +24,56 @@
     suspects::SuspectRun,
 };
 
-/// How long a home's word on its bulk work is believed.
+/// How long a home daemon's report of its bulk requests on a server stays
+/// valid.
 const TOLD_LIFETIME: Duration = Duration::from_secs(2);
 
-/// The group of the daemons themselves, which serve no request.
+/// The group of the daemons themselves. Its VMs are not backend servers.
 pub const ENTRY_GROUP: &str = "entry";
 
 /// A daemon of this daemon's zone.
 #[derive(Debug)]
 struct ZoneDaemon {
     name: String,
-    /// Its peers' door, if the list has a readable address.
+    /// Where it listens for peers, if the list has an address that parses.
     address: Option<SocketAddr>,
 }
 
-/// The servers, and the ids of groups and zones.
+/// The servers, the ids of groups and zones, and the zone's daemons.
 #[derive(Debug, Default)]
 struct PoolTables {
     servers: ServerTable,
     groups: NameArena,
     zones: NameArena,
-    /// The live daemons of this daemon's zone.
+    /// The live daemons of this daemon's zone, as the platform lists them.
     daemons: Vec<ZoneDaemon>,
-    /// Servers whose home told of bulk work on them, with when it did.
+    /// Servers on which their home daemon reported bulk requests, with the time
+    /// of the report.
     told: Vec<(ServerId, Timestamp)>,
 }
 
-/// The backend servers as the request path uses them.
+/// A cloneable handle to the backend servers. The request path chooses servers
+/// through it and reports the outcome of each request to it.
 #[derive(Clone, Debug, Default)]
 pub struct ServerPool {
     tables: Arc<Mutex<PoolTables>>,
     freed: Arc<Notify>,
 }
 
-/// A server that was chosen, counted as in flight until it is dropped.
+/// A server with one request counted as in flight on it until this value is
+/// dropped.
 #[derive(Debug)]
 pub struct ChosenServer {
-    /// Its id.
+    /// Its id in this process.
     pub id: ServerId,
     /// The platform's name for it.
     pub name: String,
     /// Where it listens, as `ip:port`.
     pub address: String,
-    /// How many requests this daemon has on it, this one included.
+    /// The number of this daemon's requests on it, this one included.
     pub in_flight: u32,
-    /// The run that is counted there, if it is one that could be suspected.
+    /// The run of the request on it, if the run is tracked in order to find
+    /// requests that kill servers.
     pub run: Option<SuspectRun>,
     is_bulk: bool,
     pool: ServerPool,
@@ -75,7 +81,7 @@
     clock: ProcessClock,
 }
 
-/// A server as shown to operators.
+/// A server as reported to operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerView {
     /// Its id in this process.
@@ -93,32 +99,33 @@
     pub state: &'static str,
     /// This daemon's requests on it.
     pub in_flight: u32,
-    /// Its part of the work, 0 while it rests after failures.
+    /// Its share of the work; 0 while it is ejected after failures.
     pub weight: f32,
 }
 
 impl ServerView {
-    /// Whether it gets new work.
+    /// Whether it receives new requests.
     pub fn is_usable(&self) -> bool {
         self.state == "live" && self.weight > 0.0
     }
 }
 
-/// What to route, in names.
+/// A request to route, with groups and zones given by name.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolQuery<'a> {
     /// The group that serves the request.
     pub group: &'a str,
     /// The daemon's own zone.
     pub zone: &'a str,
-    /// A hash of the prompt's beginning.
+    /// A hash of the beginning of the prompt. Requests with the same hash
+    /// prefer the same server, which has that prefix cached.
     pub prefix: Option<u64>,
-    /// Servers that must not get it.
+    /// Servers that must not receive the request.
     pub exclude: &'a [ServerId],
 }
 
 impl PoolTables {
-    /// Changes the count of this daemon's bulk requests on a server.
+    /// Changes the number of this daemon's bulk requests on a server.
     fn change_bulk(&mut self, id: ServerId, change: impl FnOnce(u32) -> u32) {
         let Some(entry) = self.servers.entry(id) else {
             return;
@@ -128,7 +135,8 @@
         self.servers.set_yielding(id, yielding);
     }
 
-    /// The daemons of the zone, this one included whatever the list says.
+    /// Returns the daemons of the zone. This daemon is included even if the
+    /// platform's list lacks it.
     fn daemon_names<'a>(&'a self, own: &'a str) -> Vec<&'a str> {
         let mut names: Vec<&str> = self.daemons.iter().map(|it| it.name.as_str()).collect();
         if !names.contains(&own) {
@@ -137,8 +145,9 @@
         names
     }
 
-    /// Forgets what homes told long ago: the bulk work may be gone since, and
-    /// what was reported beside it would count as nothing.
+    /// Removes outdated reports from home daemons. The bulk work may have ended
+    /// since, and as many requests of the server's later load reports would be
+    /// ignored as preemptible.
     fn forget_told(&mut self, now: Timestamp) {
         let is_old = |it: &(ServerId, Timestamp)| now.since(it.1) >= TOLD_LIFETIME;
         let old: Vec<ServerId> = self
@@ -173,7 +182,7 @@
 }
 
 impl ServerPool {
-    /// Takes in the platform's list.
+    /// Applies the platform's list of VMs.
     pub fn update(&self, vms: &[ListedVm], zone: &str, now: Timestamp) {
         let mut tables = self.lock();
         let tables = &mut *tables;
@@ -211,7 +220,8 @@
         }
     }
 
-    /// Chooses a server and counts a request on it.
+    /// Chooses a server and counts a request on it. Returns `None` if no server
+    /// can take the request.
     pub fn choose(&self, query: PoolQuery<'_>, clock: ProcessClock) -> Option<ChosenServer> {
         let now = clock.now();
         let mut tables = self.lock();
@@ -232,7 +242,7 @@
         })
     }
 
-    /// Whether a request could be sent anywhere at all.
+    /// Whether any server could take the request, also a full one.
     pub fn has_server(&self, query: PoolQuery<'_>, clock: ProcessClock) -> bool {
         let mut tables = self.lock();
         let route = tables.route(query);
@@ -240,7 +250,8 @@
         chosen.is_some()
     }
 
-    /// Whether a server is expected to start one more request at once.
+    /// Whether some server is expected to have the capacity to start one more
+    /// request at once.
     pub fn has_room(&self, query: PoolQuery<'_>, clock: ProcessClock) -> bool {
         let mut tables = self.lock();
         let route = tables.route(query);
@@ -251,13 +262,13 @@
         chosen.is_some()
     }
 
-    /// Waits until a request has ended on some server.
+    /// Waits until a request has ended on any server.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
 
-    /// Counts a bulk request on a given server. It makes room for live ones, so
-    /// it must not make the server look full to them.
+    /// Counts a bulk request on a given server. Bulk requests are preempted by
+    /// live ones, so they must not make the server look full to live requests.
     pub fn take_for_bulk(&self, id: ServerId, clock: ProcessClock) -> Option<ChosenServer> {
         let mut server = self.take(id, clock)?;
         server.is_bulk = true;
@@ -265,7 +276,7 @@
         Some(server)
     }
 
-    /// Counts a request on a given server.
+    /// Counts a request on a given server, whatever its state and load.
     pub fn take(&self, id: ServerId, clock: ProcessClock) -> Option<ChosenServer> {
         let mut tables = self.lock();
         let entry = tables.servers.entry(id)?;
@@ -285,7 +296,7 @@
         })
     }
 
-    /// The id of the server with this key.
+    /// Returns the id of the server with this key.
     pub fn id_of(&self, key: ServerKey) -> Option<ServerId> {
         let tables = self.lock();
         let mut servers = tables.servers.servers();
@@ -294,8 +305,8 @@
             .map(|(id, _)| id)
     }
 
-    /// Counts a request on the server with this key, if it takes new work and
-    /// this daemon hasn't filled it.
+    /// Counts a request on the server with this key, if the server takes new
+    /// work and this daemon's live requests don't fill its batch.
     pub fn take_with_room(
         &self,
         key: ServerKey,
@@ -313,7 +324,8 @@
             .flatten()
     }
 
-    /// Counts a request on the server with this key, if it takes new work.
+    /// Counts a request on the server with this key, if the server takes new
+    /// work.
     pub fn take_key(
         &self,
         key: ServerKey,
@@ -329,7 +341,7 @@
         is_usable.then(|| self.take(id, clock)).flatten()
     }
 
-    /// Takes in how many bulk requests a server's home has on it.
+    /// Records how many bulk requests a server's home daemon reports on it.
     pub fn note_others_bulk(&self, id: ServerId, bulk: u32, now: Timestamp) {
         let mut tables = self.lock();
         tables.told.retain(|it| it.0 != id);
@@ -337,8 +349,9 @@
         tables.set_others_bulk(id, bulk);
     }
 
-    /// A server's key and its home's peers' door, if the server is of this
-    /// daemon's zone and another daemon is its home.
+    /// Returns a server's key and the address at which its home daemon listens
+    /// for peers, if the server is in this daemon's zone and another daemon is
+    /// its home.
     pub fn other_home(
         &self,
         id: ServerId,
@@ -357,8 +370,8 @@
         Some((entry.key, daemon.address?))
     }
 
-    /// Tells the gates of the servers of this daemon's zone. Those that leave,
-    /// are dropped or ejected get no bulk work.
+    /// Updates the bulk limiters with the servers of this daemon's zone.
+    /// Servers that are leaving, dropped or ejected get no bulk work.
     pub fn show_gates(&self, gates: &ServerGates, settings: &DaemonSettings, now: Timestamp) {
         let mut tables = self.lock();
         let zone = ZoneId(tables.zones.id(&settings.zone));
@@ -387,7 +400,7 @@
         gates.update(servers, now);
     }
 
-    /// The servers for operators.
+    /// Returns the servers as reported to operators.
     pub fn view(&self, now: Timestamp) -> Vec<ServerView> {
         let tables = self.lock();
         let name = |arena: &NameArena, id| arena.name(id).unwrap_or_default().to_owned();
@@ -408,14 +421,15 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, PoolTables> {
-        // A panic under this lock leaves counts slightly off, which the next
-        // reports correct; refusing all requests from then on would be worse.
+        // A panic under this lock leaves counts slightly off until the next
+        // load reports correct them. Failing all later requests on the poisoned
+        // lock would be worse.
         self.tables.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl ChosenServer {
-    /// Takes in the load report that rode on an answer.
+    /// Applies the load report in the headers of an answer, if there is one.
     pub fn note_report(&self, headers: &HeaderMap) {
         if let Some(report) = read_report(headers) {
             self.pool
@@ -425,14 +439,14 @@
         }
     }
 
-    /// Takes in the first token of an answer.
+    /// Records that the first token of the answer has arrived.
     pub fn note_first_token(&self) {
         let span = self.clock.now().since(self.begun);
         self.pool.lock().servers.first_token(self.id, span);
     }
 
-    /// Takes in that the connection broke, and finds out whether the server
-    /// died. Returns when the caller may be told.
+    /// Records that the connection broke, and finds out whether the server
+    /// died. Returns once the caller may be answered.
     pub async fn note_broken(&self) {
         self.note_outcome(ServerOutcome::Broken);
         if let Some(run) = &self.run {
@@ -440,7 +454,7 @@
         }
     }
 
-    /// Takes in that no connection could be opened.
+    /// Records that no connection could be opened.
     pub fn note_not_sent(&self) {
         self.note_outcome(ServerOutcome::ConnectFailed);
         if let Some(run) = &self.run {
@@ -448,7 +462,7 @@
         }
     }
 
-    /// Takes in how the attempt went.
+    /// Records the outcome of the attempt.
     pub fn note_outcome(&self, outcome: ServerOutcome) {
         if let (ServerOutcome::Ok, Some(run)) = (outcome, &self.run) {
             run.finish();
