--- a/crates/daemon/src/attempts.rs
+++ b/crates/daemon/src/attempts.rs
@@ -27,16 +27,16 @@
     NotSent,
     /// The server answered that it is full or starting, and did not run the
     /// request.
-    TurnedAway,
+    Rejected,
     /// The request was sent, and no complete answer arrived.
     Broken,
     /// The request's deadline passed.
     TimedOut,
     /// The request's claim expired before any byte of the request was sent.
-    ClaimLapsed,
+    ClaimExpired,
     /// All servers are full for longer than the request may wait. Holds the
     /// `retry_after` for the caller.
-    HeldBack(Duration),
+    QueueTooLong(Duration),
     /// A server died, or may have died, of this request, which can't run again
     /// for the given time.
     Suspected(Duration),
@@ -48,11 +48,11 @@
         match self {
             AttemptFailure::NoServer => "no_server",
             AttemptFailure::NotSent => "not_sent",
-            AttemptFailure::TurnedAway => "turned_away",
+            AttemptFailure::Rejected => "turned_away",
             AttemptFailure::Broken => "broken",
             AttemptFailure::TimedOut => "timed_out",
-            AttemptFailure::ClaimLapsed => "claim_lapsed",
-            AttemptFailure::HeldBack(_) => "held_back",
+            AttemptFailure::ClaimExpired => "claim_lapsed",
+            AttemptFailure::QueueTooLong(_) => "held_back",
             AttemptFailure::Suspected(_) => "suspected",
         }
     }
@@ -150,7 +150,7 @@
             AttemptFailure::Broken | AttemptFailure::TimedOut => log.lost += 1,
             _ => {}
         }
-        let verdict = self.judge_failure(log, failure);
+        let verdict = self.evaluate_failure(log, failure);
         let step = TraceStep::Failed {
             failure: failure.as_str(),
             again: verdict.is_ok(),
@@ -159,19 +159,23 @@
         verdict
     }
 
-    fn judge_failure(&self, log: &AttemptLog, failure: AttemptFailure) -> Result<(), ErrorAnswer> {
+    fn evaluate_failure(
+        &self,
+        log: &AttemptLog,
+        failure: AttemptFailure,
+    ) -> Result<(), ErrorAnswer> {
         if failure == AttemptFailure::NoServer {
             return Err(no_server(log));
         }
-        if failure == AttemptFailure::ClaimLapsed {
-            return Err(claim_lapsed());
+        if failure == AttemptFailure::ClaimExpired {
+            return Err(claim_expired());
         }
-        if let AttemptFailure::HeldBack(span) = failure {
-            return Err(held_back(log, span));
+        if let AttemptFailure::QueueTooLong(retry_after) = failure {
+            return Err(servers_busy(log, retry_after));
         }
         let is_blocked = self.suspects.is_blocked(log.fingerprint);
-        if let AttemptFailure::Suspected(span) = failure {
-            return Err(suspected(log, is_blocked, span));
+        if let AttemptFailure::Suspected(retry_after) = failure {
+            return Err(suspected(log, is_blocked, retry_after));
         }
         let report = AttemptReport {
             idempotent: log.idempotent,
@@ -200,7 +204,7 @@
             RetryDecision::Final(answer) if answer.cause == FinalCause::Blocked => {
                 Err(suspected(log, is_blocked, answer.retry_after))
             }
-            RetryDecision::Final(answer) => Err(last_word(log, failure, &answer)),
+            RetryDecision::Final(answer) => Err(final_error(log, failure, &answer)),
         }
     }
 }
@@ -215,13 +219,13 @@
 /// The error for a call whose claim expired. It always says that the call did
 /// not run: a call that was started has no second attempt in which its claim
 /// could expire.
-fn claim_lapsed() -> ErrorAnswer {
+fn claim_expired() -> ErrorAnswer {
     let text = "The claim of this call expired before the call could be sent, so it was not sent.";
     ErrorAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "claim_late", text).retry_after(BUSY_RETRY)
 }
 
 /// The final error for a request of which servers died or may have died.
-fn suspected(log: &AttemptLog, is_blocked: bool, span: Duration) -> ErrorAnswer {
+fn suspected(log: &AttemptLog, is_blocked: bool, retry_after: Duration) -> ErrorAnswer {
     let (status, code, text) = match is_blocked {
         true => (
             StatusCode::UNPROCESSABLE_ENTITY,
@@ -236,18 +240,18 @@
     };
     ErrorAnswer::new(status, code, text)
         .ran(log.run_state())
-        .retry_after(span)
+        .retry_after(retry_after)
 }
 
-fn held_back(log: &AttemptLog, span: Duration) -> ErrorAnswer {
+fn servers_busy(log: &AttemptLog, retry_after: Duration) -> ErrorAnswer {
     let text = "All backend servers will be full for longer than this request may wait.";
     ErrorAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "servers_busy", text)
         .ran(log.run_state())
-        .retry_after(span)
+        .retry_after(retry_after)
 }
 
-fn last_word(log: &AttemptLog, failure: AttemptFailure, last: &FinalAnswer) -> ErrorAnswer {
-    let (status, code, text) = match last.cause {
+fn final_error(log: &AttemptLog, failure: AttemptFailure, answer: &FinalAnswer) -> ErrorAnswer {
+    let (status, code, text) = match answer.cause {
         FinalCause::NotIdempotent => (
             StatusCode::BAD_GATEWAY,
             "answer_lost",
@@ -259,7 +263,7 @@
             "timed_out",
             "The request's deadline has passed.",
         ),
-        FinalCause::Attempts if failure == AttemptFailure::TurnedAway => (
+        FinalCause::Attempts if failure == AttemptFailure::Rejected => (
             StatusCode::SERVICE_UNAVAILABLE,
             "servers_busy",
             "The backend servers that were tried are full.",
@@ -274,7 +278,7 @@
             "too_many_failures",
             "Too many requests are failing at present for this one to be retried.",
         ),
-        FinalCause::Blocked => return suspected(log, true, last.retry_after),
+        FinalCause::Blocked => return suspected(log, true, answer.retry_after),
         FinalCause::Begun => (
             StatusCode::BAD_GATEWAY,
             "stream_broken",
@@ -283,5 +287,5 @@
     };
     ErrorAnswer::new(status, code, text)
         .ran(log.run_state())
-        .retry_after(last.retry_after)
+        .retry_after(answer.retry_after)
 }
--- a/crates/daemon/src/callers/batches.rs
+++ b/crates/daemon/src/callers/batches.rs
@@ -54,7 +54,7 @@
     let key = job_key(&head.headers)?;
     let body = read_request_body(body, REQUEST_LIMIT).await?;
     let wanted: BatchRequest = serde_json::from_slice(&body)
-        .map_err(|error| bad_request("broken_json", format!("The body is not a valid batch: {error}")))?;
+        .map_err(|error| bad_request("broken_json", format!("Invalid batch body: {error}")))?;
     let customer = &caller.customer.name;
     let new = NewLot {
         completion_window: wanted.completion_window.parse().map_err(lot_error)?,
--- a/crates/daemon/src/callers/caller.rs
+++ b/crates/daemon/src/callers/caller.rs
@@ -57,8 +57,8 @@
         let Some(customer) = snapshot.customer(entry.customer) else {
             return Err(unknown_key());
         };
-        if is_view_too_old(state, customer.when_cut, now) {
-            return Err(view_too_old());
+        if are_settings_too_old(state, customer.when_cut, now) {
+            return Err(settings_too_old());
         }
         let key = key.to_owned();
         let customer = customer.clone();
@@ -84,7 +84,7 @@
     }
 
     /// Whether these bytes contain the key.
-    pub fn shows_key(&self, bytes: &[u8]) -> bool {
+    pub fn contains_key(&self, bytes: &[u8]) -> bool {
         let key = self.key.as_bytes();
         bytes.len() >= key.len() && bytes.windows(key.len()).any(|it| it == key)
     }
@@ -148,13 +148,13 @@
         .retry_after(Duration::from_secs(2))
 }
 
-fn view_too_old() -> ErrorAnswer {
+fn settings_too_old() -> ErrorAnswer {
     let text = "This daemon is disconnected from the platform and can't tell whether the key is still valid.";
     ErrorAnswer::new(StatusCode::SERVICE_UNAVAILABLE, "settings_too_old", text)
         .retry_after(Duration::from_secs(10))
 }
 
-fn is_view_too_old(state: &SharedState, policy: CutPolicy, now: Timestamp) -> bool {
+fn are_settings_too_old(state: &SharedState, policy: CutPolicy, now: Timestamp) -> bool {
     match policy {
         CutPolicy::Serve => false,
         CutPolicy::RefuseAfter { seconds } => {
--- a/crates/daemon/src/callers/engine_call.rs
+++ b/crates/daemon/src/callers/engine_call.rs
@@ -15,7 +15,7 @@
     Answer, Caller,
     caller::{key_withdrawn, withdrawn_answer},
     engine_stream,
-    forwarded::{forwarded_headers, refuse_shown_key, returned_headers},
+    forwarded::{forwarded_headers, reject_contained_key, returned_headers},
     models::unknown_model,
     read_request::read_request_body,
     run_once::{ClaimStep, ClaimSubject, claim_call, runs_once},
@@ -147,7 +147,7 @@
     let customer = call.caller.customer.name.clone();
     let arrived = call.caller.arrived;
     let result = tokio::select! {
-        result = whole_answer(state, &call, log) => result,
+        result = complete_answer(state, &call, log) => result,
         () = key_withdrawn(state, &call.caller) => Err(withdrawn_answer().ran(RunState::Unknown)),
     };
     let whole = state.clock.now().since(arrived);
@@ -181,10 +181,10 @@
 ) -> Result<EngineCall, ErrorAnswer> {
     let (head, body) = request.into_parts();
     if let Some(query) = head.uri.query() {
-        refuse_shown_key(&caller, "query", query.as_bytes())?;
+        reject_contained_key(&caller, "query", query.as_bytes())?;
     }
     let body = read_request_body(body, REQUEST_LIMIT).await?;
-    refuse_shown_key(&caller, "body", &body)?;
+    reject_contained_key(&caller, "body", &body)?;
     let fields = parse_fields(&body)?;
     let Some(model) = &fields.model else {
         let text = "The body names no model. Add \"model\": one that GET /v1/models lists.";
@@ -263,16 +263,16 @@
 }
 
 /// Requests an answer that isn't streamed, with retries on other servers.
-async fn whole_answer(state: &SharedState, call: &EngineCall, mut log: AttemptLog) -> Answer {
+async fn complete_answer(state: &SharedState, call: &EngineCall, mut log: AttemptLog) -> Answer {
     loop {
-        match whole_attempt(state, call, &mut log).await {
+        match complete_attempt(state, call, &mut log).await {
             Ok(response) => return Ok(response),
             Err(failure) => state.after_failure(&mut log, failure)?,
         }
     }
 }
 
-async fn whole_attempt(
+async fn complete_attempt(
     state: &SharedState,
     call: &EngineCall,
     log: &mut AttemptLog,
@@ -311,9 +311,9 @@
     };
     log.tried.push(server.id);
     let now = state.clock.now();
-    let left_out = log.tried.len() - 1;
+    let excluded = log.tried.len() - 1;
     log.trace
-        .tried(&server.name, server.in_flight, left_out, now);
+        .tried(&server.name, server.in_flight, excluded, now);
     state.bulk.note_arrival(server.id, now);
     state.announcer.note(server.id);
     if log.tried.len() == 1 {
@@ -327,14 +327,14 @@
     };
     let left = call.deadline.since(now);
     if call.claim.as_ref().is_some_and(|it| !it.start()) {
-        return Err(AttemptFailure::ClaimLapsed);
+        return Err(AttemptFailure::ClaimExpired);
     }
     let answer = state.client.send_within(left, request).await;
     log.bytes_sent |= !answer.as_ref().is_err_and(CallError::is_not_sent);
     match answer {
-        Ok(response) if is_turned_away(response.status()) => {
+        Ok(response) if is_rejected(response.status()) => {
             server.note_report(response.headers());
-            Err(AttemptFailure::TurnedAway)
+            Err(AttemptFailure::Rejected)
         }
         Ok(response) if response.status().is_server_error() => {
             server.note_outcome(ServerOutcome::Broken);
@@ -362,7 +362,7 @@
     }
 }
 
-fn is_turned_away(status: StatusCode) -> bool {
+fn is_rejected(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
--- a/crates/daemon/src/callers/engine_stream.rs
+++ b/crates/daemon/src/callers/engine_stream.rs
@@ -26,7 +26,7 @@
 };
 
 /// The maximum time between two tokens, after which an engine counts as hung.
-const LONGEST_GAP: Duration = Duration::from_secs(5);
+const MAX_TOKEN_GAP: Duration = Duration::from_secs(5);
 
 /// Handles a streamed request.
 ///
@@ -52,20 +52,20 @@
         let headers = response.headers().clone();
         AnswerCopy::new(response.status(), headers)
     });
-    let pump = StreamPump {
+    let forwarder = StreamForwarder {
         state: state.clone(),
         copy,
         last_token: call.caller.arrived,
         call,
         log,
     };
-    tokio::spawn(pump.run(server, upstream, sender));
+    tokio::spawn(forwarder.run(server, upstream, sender));
     Ok(response)
 }
 
 /// Forwards the events of one answer to its caller.
 #[derive(Debug)]
-struct StreamPump {
+struct StreamForwarder {
     state: Arc<SharedState>,
     call: EngineCall,
     log: AttemptLog,
@@ -86,13 +86,13 @@
     TimedOut,
 }
 
-impl StreamPump {
+impl StreamForwarder {
     async fn run(mut self, server: ChosenServer, upstream: Response<Incoming>, sender: BodySender) {
         let state = self.state.clone();
         let caller = self.call.caller.clone();
         let withdrawn = key_withdrawn(&state, &caller);
         let problem = tokio::select! {
-            problem = self.pump(server, upstream, &sender) => problem,
+            problem = self.forward(server, upstream, &sender) => problem,
             () = withdrawn => Some(withdrawn_answer().ran(RunState::Partly)),
             () = sender.closed() => None,
         };
@@ -119,14 +119,14 @@
     /// Forwards events until the answer ends, resuming on other engines as
     /// often as needed. Returns the error for the caller if the answer can't be
     /// completed.
-    async fn pump(
+    async fn forward(
         &mut self,
         mut server: ChosenServer,
         mut upstream: Response<Incoming>,
         sender: &BodySender,
     ) -> Option<ErrorAnswer> {
         loop {
-            match self.pass_on(&server, upstream, sender).await {
+            match self.forward_events(&server, upstream, sender).await {
                 StreamEnd::Done | StreamEnd::CallerGone => return None,
                 StreamEnd::TimedOut => {
                     let failure = AttemptFailure::TimedOut;
@@ -142,7 +142,7 @@
         }
     }
 
-    async fn pass_on(
+    async fn forward_events(
         &mut self,
         server: &ChosenServer,
         upstream: Response<Incoming>,
@@ -151,11 +151,11 @@
         let mut body = upstream.into_body();
         let mut splitter = EventSplitter::default();
         loop {
-            let frame = match tokio::time::timeout(self.patience(), body.frame()).await {
+            let frame = match tokio::time::timeout(self.event_timeout(), body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(_))) => {
                     server.note_broken().await;
-                    return self.lost_stream(server);
+                    return self.note_lost_stream(server);
                 }
                 Ok(None) => return self.broken(server),
                 Err(_) if self.state.clock.now() < self.call.deadline => {
@@ -207,21 +207,21 @@
     /// until their deadlines. A gap far longer than is typical between tokens
     /// reveals such an engine. The first token may take long, since other
     /// requests may be queued before this one.
-    fn patience(&self) -> Duration {
+    fn event_timeout(&self) -> Duration {
         let left = self.call.deadline.since(self.state.clock.now());
         if self.log.delivered == 0 {
             left
         } else {
-            left.min(LONGEST_GAP)
+            left.min(MAX_TOKEN_GAP)
         }
     }
 
     fn broken(&self, server: &ChosenServer) -> StreamEnd {
         server.note_outcome(ServerOutcome::Broken);
-        self.lost_stream(server)
+        self.note_lost_stream(server)
     }
 
-    fn lost_stream(&self, server: &ChosenServer) -> StreamEnd {
+    fn note_lost_stream(&self, server: &ChosenServer) -> StreamEnd {
         log::warn!(
             "callers: {} lost its stream from {} after {} tokens",
             self.call.caller.request_id,
--- a/crates/daemon/src/callers/files.rs
+++ b/crates/daemon/src/callers/files.rs
@@ -51,7 +51,7 @@
     }
     let kind = head.headers.get(header::CONTENT_TYPE);
     let kind = kind.and_then(|it| it.to_str().ok()).unwrap_or_default();
-    let boundary = multer::parse_boundary(kind).map_err(|_| no_form(kind))?;
+    let boundary = multer::parse_boundary(kind).map_err(|_| not_multipart(kind))?;
     let upload = UploadRequest {
         files: &state.lots.files(),
         customer: &caller.customer.name,
@@ -63,7 +63,7 @@
     Ok(json_answer(&FileObject::from(&file)))
 }
 
-fn no_form(kind: &str) -> ErrorAnswer {
+fn not_multipart(kind: &str) -> ErrorAnswer {
     let text = format!("`{kind}` is not multipart/form-data with a boundary. Send a form.");
     bad_request("invalid_content_type", text).param("content-type")
 }
--- a/crates/daemon/src/callers/forwarded.rs
+++ b/crates/daemon/src/callers/forwarded.rs
@@ -7,7 +7,7 @@
 
 /// Headers that belong to a single connection or carry credentials, and so are
 /// never forwarded. Sorted for binary search.
-const KEPT_BACK: &[&str] = &[
+const NOT_FORWARDED: &[&str] = &[
     "authorization",
     "connection",
     "content-length",
@@ -39,38 +39,38 @@
 /// clients put keys in headers of their own, and a backend server must never
 /// receive one.
 pub(super) fn forwarded_headers(caller: &Caller, headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let kept_back = KEPT_BACK.binary_search(&name.as_str()).is_ok();
-        if !kept_back && !caller.shows_key(value.as_bytes()) {
-            passed.append(name.clone(), value.clone());
+        let is_withheld = NOT_FORWARDED.binary_search(&name.as_str()).is_ok();
+        if !is_withheld && !caller.contains_key(value.as_bytes()) {
+            forwarded.append(name.clone(), value.clone());
         }
     }
     if let Ok(id) = caller.request_id.parse() {
-        passed.insert(REQUEST_ID_HEADER, id);
+        forwarded.insert(REQUEST_ID_HEADER, id);
     }
-    passed
+    forwarded
 }
 
 /// Returns the backend server's headers without those of its connection.
 pub(super) fn returned_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if name != header::CONTENT_LENGTH && KEPT_BACK.binary_search(&name.as_str()).is_ok() {
+        if name != header::CONTENT_LENGTH && NOT_FORWARDED.binary_search(&name.as_str()).is_ok() {
             continue;
         }
-        passed.append(name.clone(), value.clone());
+        forwarded.append(name.clone(), value.clone());
     }
-    passed
+    forwarded
 }
 
 /// Rejects a path, query or body that contains the caller's key.
-pub(super) fn refuse_shown_key(
+pub(super) fn reject_contained_key(
     caller: &Caller,
     place: &str,
     bytes: &[u8],
 ) -> Result<(), ErrorAnswer> {
-    if !caller.shows_key(bytes) {
+    if !caller.contains_key(bytes) {
         return Ok(());
     }
     let text = format!("The {place} contains your key. Send it in the Authorization header only.");
--- a/crates/daemon/src/callers/key_filter.rs
+++ b/crates/daemon/src/callers/key_filter.rs
@@ -31,13 +31,13 @@
         if self.held.windows(self.key.len()).any(|it| it == self.key) {
             return Err(KeyFound);
         }
-        let longest = self.held.len().min(self.key.len() - 1);
-        let kept = (0..=longest)
+        let max_held = self.held.len().min(self.key.len() - 1);
+        let held_back = (0..=max_held)
             .rev()
             .find(|&it| self.held.ends_with(&self.key[..it]))
             .unwrap_or_default();
-        let kept = self.held.split_off(self.held.len() - kept);
-        Ok(std::mem::replace(&mut self.held, kept))
+        let held_back = self.held.split_off(self.held.len() - held_back);
+        Ok(std::mem::replace(&mut self.held, held_back))
     }
 
     /// Returns the bytes that are still held back, once the stream has ended.
--- a/crates/daemon/src/callers/lot_answers.rs
+++ b/crates/daemon/src/callers/lot_answers.rs
@@ -14,9 +14,9 @@
 const PLATFORM_RETRY: Duration = Duration::from_secs(5);
 /// `retry_after` when the request itself is invalid and must be corrected
 /// first.
-const MEND_RETRY: Duration = Duration::from_secs(1);
+const INVALID_REQUEST_RETRY: Duration = Duration::from_secs(1);
 /// The maximum number of findings listed in an error message.
-const TOLD_FINDINGS: usize = 20;
+const MAX_LISTED_FINDINGS: usize = 20;
 /// The page size if the caller gives none. [`MAX_LIMIT`] is the maximum.
 const DEFAULT_LIMIT: usize = 20;
 const MAX_LIMIT: usize = 100;
@@ -75,7 +75,7 @@
     let answer = |status, code, text| ErrorAnswer::new(status, code, text);
     match error {
         LotError::Findings(findings) => {
-            let text = tell_findings(&findings);
+            let text = format_findings(&findings);
             answer(StatusCode::BAD_REQUEST, "invalid_file", text).param("file")
         }
         LotError::Invalid { param, message } => {
@@ -122,10 +122,10 @@
     .retry_after(PLATFORM_RETRY)
 }
 
-fn tell_findings(findings: &[LineFinding]) -> String {
-    let told = findings.iter().take(TOLD_FINDINGS);
-    let mut lines: Vec<String> = told.map(LineFinding::to_string).collect();
-    let more = findings.len().saturating_sub(TOLD_FINDINGS);
+fn format_findings(findings: &[LineFinding]) -> String {
+    let listed = findings.iter().take(MAX_LISTED_FINDINGS);
+    let mut lines: Vec<String> = listed.map(LineFinding::to_string).collect();
+    let more = findings.len().saturating_sub(MAX_LISTED_FINDINGS);
     if more > 0 {
         lines.push(format!("and {more} more"));
     }
@@ -134,5 +134,5 @@
 
 /// The error for a request that is itself invalid.
 pub(super) fn bad_request(code: &'static str, text: impl Into<String>) -> ErrorAnswer {
-    ErrorAnswer::new(StatusCode::BAD_REQUEST, code, text).retry_after(MEND_RETRY)
+    ErrorAnswer::new(StatusCode::BAD_REQUEST, code, text).retry_after(INVALID_REQUEST_RETRY)
 }
--- a/crates/daemon/src/callers/methods.rs
+++ b/crates/daemon/src/callers/methods.rs
@@ -9,7 +9,7 @@
 
 /// Rejects a method that a known path doesn't allow, naming the allowed ones.
 /// Passes unknown paths, which get their own error.
-pub(super) fn refuse_wrong_method(method: &Method, path: &str) -> Result<(), ErrorAnswer> {
+pub(super) fn reject_wrong_method(method: &Method, path: &str) -> Result<(), ErrorAnswer> {
     let Some(allowed) = allowed_methods(path) else {
         return Ok(());
     };
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -81,7 +81,7 @@
     mut request: Request<Incoming>,
 ) -> Answer {
     let path = request.uri().path().to_owned();
-    methods::refuse_wrong_method(request.method(), &path)?;
+    methods::reject_wrong_method(request.method(), &path)?;
     if request.method() == Method::HEAD && path.starts_with("/v1/") {
         // HEAD gets the head of the same GET; the server loop omits the body.
         *request.method_mut() = Method::GET;
--- a/crates/daemon/src/callers/plain_call.rs
+++ b/crates/daemon/src/callers/plain_call.rs
@@ -13,9 +13,9 @@
 use super::{
     Answer, Caller,
     caller::{key_withdrawn, withdrawn_answer},
-    forwarded::{forwarded_headers, refuse_shown_key, returned_headers},
+    forwarded::{forwarded_headers, reject_contained_key, returned_headers},
     key_filter::KeyFilter,
-    plain_path::refuse_dot_segments,
+    plain_path::reject_dot_segments,
     read_request::read_request_body,
     run_once::{ClaimStep, ClaimSubject, claim_call, runs_once},
     upload_progress::UploadProgress,
@@ -34,7 +34,7 @@
 /// The maximum size in bytes of a request body that is buffered while a call
 /// runs, so that the call can be retried. A longer body is streamed, and its
 /// call gets one attempt.
-const KEPT_BODY: u64 = 64 * 1024;
+const MAX_REPLAYABLE_BODY: u64 = 64 * 1024;
 
 /// The class that operators see for each call to a plain service.
 const CLASS: TraceStep = TraceStep::Classed {
@@ -53,12 +53,12 @@
         .path_and_query()
         .map_or("/", |it| it.as_str())
         .to_owned();
-    refuse_shown_key(&caller, "path", target.as_bytes())?;
-    refuse_dot_segments(request.uri().path())?;
+    reject_contained_key(&caller, "path", target.as_bytes())?;
+    reject_dot_segments(request.uri().path())?;
     let snapshot = state.snapshot();
     let Some(service) = snapshot.service_of_path(request.uri().path()) else {
         let text = format!(
-            "No service is at {}. See docs/API.md.",
+            "There is no service at {}. See docs/API.md.",
             request.uri().path()
         );
         return Err(ErrorAnswer::new(
@@ -116,20 +116,20 @@
 /// The request body of a call.
 enum CallBody {
     /// The complete body, which can be sent again.
-    Kept(Bytes),
+    Buffered(Bytes),
     /// A body that is still arriving and is streamed to the server.
-    Arriving(Incoming),
+    Streamed(Incoming),
 }
 
 impl CallBody {
     async fn read(caller: &Caller, body: Incoming) -> Result<CallBody, ErrorAnswer> {
         let size = body.size_hint().upper();
-        if size.is_none_or(|it| it > KEPT_BODY) {
-            return Ok(CallBody::Arriving(body));
+        if size.is_none_or(|it| it > MAX_REPLAYABLE_BODY) {
+            return Ok(CallBody::Streamed(body));
         }
-        let bytes = read_request_body(body, KEPT_BODY as usize).await?;
-        refuse_shown_key(caller, "body", &bytes)?;
-        Ok(CallBody::Kept(bytes))
+        let bytes = read_request_body(body, MAX_REPLAYABLE_BODY as usize).await?;
+        reject_contained_key(caller, "body", &bytes)?;
+        Ok(CallBody::Buffered(bytes))
     }
 }
 
@@ -169,8 +169,8 @@
     /// not be blocked with it.
     fn run_fingerprint(&self, body: &CallBody) -> Fingerprint {
         match body {
-            CallBody::Kept(_) => self.fingerprint(body),
-            CallBody::Arriving(_) => Fingerprint(rand::random()),
+            CallBody::Buffered(_) => self.fingerprint(body),
+            CallBody::Streamed(_) => Fingerprint(rand::random()),
         }
     }
 
@@ -180,8 +180,8 @@
     fn fingerprint(&self, body: &CallBody) -> Fingerprint {
         let mut text = format!("{} {}\n", self.method, self.target).into_bytes();
         match body {
-            CallBody::Kept(bytes) => text.extend_from_slice(bytes),
-            CallBody::Arriving(incoming) => {
+            CallBody::Buffered(bytes) => text.extend_from_slice(bytes),
+            CallBody::Streamed(incoming) => {
                 let length = format!("{:?}", incoming.size_hint().upper());
                 text.extend_from_slice(length.as_bytes());
             }
@@ -191,19 +191,19 @@
 
     async fn run(mut self, mut body: CallBody) -> Answer {
         loop {
-            let again = match &body {
-                CallBody::Kept(bytes) => Some(CallBody::Kept(bytes.clone())),
-                CallBody::Arriving(_) => None,
+            let replay = match &body {
+                CallBody::Buffered(bytes) => Some(CallBody::Buffered(bytes.clone())),
+                CallBody::Streamed(_) => None,
             };
             let failure = match self.attempt(body).await? {
-                Ok((server, upstream)) => return Ok(self.pass_back(server, upstream)),
+                Ok((server, upstream)) => return Ok(self.forward_response(server, upstream)),
                 Err(failure) => failure,
             };
             self.state.after_failure(&mut self.log, failure)?;
-            let Some(kept) = again else {
-                return Err(self.body_gone());
+            let Some(replay_body) = replay else {
+                return Err(self.body_not_replayable());
             };
-            body = kept;
+            body = replay_body;
         }
     }
 
@@ -223,9 +223,9 @@
         };
         self.log.tried.push(server.id);
         let now = self.state.clock.now();
-        let left_out = self.log.tried.len() - 1;
+        let excluded = self.log.tried.len() - 1;
         let trace = &self.caller.trace;
-        trace.tried(&server.name, server.in_flight, left_out, now);
+        trace.tried(&server.name, server.in_flight, excluded, now);
         if self.log.tried.len() == 1 {
             let wait = now.since(self.caller.arrived);
             self.state
@@ -234,7 +234,7 @@
         }
         let request = self.build_request(&server, body)?;
         if self.claim.as_ref().is_some_and(|it| !it.start()) {
-            return Ok(Err(AttemptFailure::ClaimLapsed));
+            return Ok(Err(AttemptFailure::ClaimExpired));
         }
         let sent = tokio::select! {
             sent = self.state.client.send_within(self.log.deadline.since(now), request) => sent,
@@ -249,7 +249,7 @@
                 if let (CallError::NotSent(_), Some(claim)) = (&error, &self.claim) {
                     claim.not_sent();
                 }
-                if let Some(answer) = self.upload.fault_of(&error) {
+                if let Some(answer) = self.upload.caller_error(&error) {
                     return Err(answer);
                 }
                 Err(note_failure(&server, &error).await)
@@ -264,13 +264,13 @@
     ) -> Result<Request<MessageBody>, ErrorAnswer> {
         let uri = format!("http://{}{}", server.address, self.target);
         let body = match body {
-            CallBody::Kept(bytes) => MessageBody::from(bytes),
-            CallBody::Arriving(incoming) => {
+            CallBody::Buffered(bytes) => MessageBody::from(bytes),
+            CallBody::Streamed(incoming) => {
                 let (sender, upload) = MessageBody::stream();
                 self.upload.begin();
                 let progress = self.upload.clone();
                 let caller = self.caller.clone();
-                tokio::spawn(upload_body(caller, incoming, sender, progress));
+                tokio::spawn(forward_request_body(caller, incoming, sender, progress));
                 upload
             }
         };
@@ -288,14 +288,14 @@
 
     /// The final error for a call that could be retried, except that its body
     /// was streamed and not buffered.
-    fn body_gone(&self) -> ErrorAnswer {
+    fn body_not_replayable(&self) -> ErrorAnswer {
         let text = "The backend server gave no answer, and the body is too long to send again.";
         ErrorAnswer::new(StatusCode::BAD_GATEWAY, "no_answer", text)
             .ran(self.log.run_state())
             .retry_after(BUSY_RETRY)
     }
 
-    fn pass_back(
+    fn forward_response(
         self,
         server: ChosenServer,
         upstream: Response<Incoming>,
@@ -309,14 +309,14 @@
             let headers = response.headers().clone();
             AnswerCopy::new(response.status(), headers)
         });
-        tokio::spawn(self.download_body(server, upstream.into_body(), sender, copy));
+        tokio::spawn(self.forward_response_body(server, upstream.into_body(), sender, copy));
         response
     }
 
     /// Forwards the answer's body to the caller. If the body breaks off, the
     /// caller's connection is broken off too instead of ended properly, so that
     /// the caller can't take the partial answer for the complete one.
-    async fn download_body(
+    async fn forward_response_body(
         self,
         server: ChosenServer,
         mut body: Incoming,
@@ -393,7 +393,7 @@
 
 /// Streams the caller's body to the server, and breaks the stream off if the
 /// body contains the key.
-async fn upload_body(
+async fn forward_request_body(
     caller: Caller,
     mut body: Incoming,
     sender: BodySender,
@@ -405,12 +405,12 @@
             Ok(Ok(data)) => data,
             Ok(Err(_)) => continue,
             Err(error) => {
-                progress.cut();
+                progress.mark_broken();
                 return sender.cut_short(BodyError::from(error).to_string()).await;
             }
         };
         let Ok(passed) = filter.push(&data) else {
-            progress.cut();
+            progress.mark_broken();
             return sender.cut_short("the body contains the caller's key").await;
         };
         if !passed.is_empty() && !sender.send(passed).await {
--- a/crates/daemon/src/callers/plain_path.rs
+++ b/crates/daemon/src/callers/plain_path.rs
@@ -4,7 +4,7 @@
 
 /// The number of layers of percent-encoding that are checked. Each server and
 /// each proxy before it may decode one layer.
-const DECODED_LAYERS: usize = 4;
+const MAX_DECODED_LAYERS: usize = 4;
 
 /// Rejects a path that a server may resolve to a location outside of its
 /// prefix.
@@ -14,9 +14,9 @@
 /// reach paths beside that service unnoticed. So no layer of decoding may yield
 /// a segment of only dots. `\` counts as `/`, and parameters after `;` are
 /// ignored, as some servers do.
-pub(super) fn refuse_dot_segments(path: &str) -> Result<(), ErrorAnswer> {
+pub(super) fn reject_dot_segments(path: &str) -> Result<(), ErrorAnswer> {
     let mut bytes = path.as_bytes().to_vec();
-    for _ in 0..DECODED_LAYERS {
+    for _ in 0..MAX_DECODED_LAYERS {
         if has_dot_segment(&bytes) {
             let text = "The path has a segment of dots, plain or encoded. Remove that segment.";
             let answer = ErrorAnswer::new(StatusCode::BAD_REQUEST, "bad_path", text);
--- a/crates/daemon/src/callers/run_once.rs
+++ b/crates/daemon/src/callers/run_once.rs
@@ -14,7 +14,7 @@
 /// The header by which a resend is recognized.
 const KEY_HEADER: &str = "idempotency-key";
 /// The maximum length of an `Idempotency-Key` in bytes.
-const KEY_LIMIT: usize = 256;
+const MAX_KEY_BYTES: usize = 256;
 /// `retry_after` for a call that has run and whose answer can't be returned.
 const ANSWER_RETRY: Duration = Duration::from_secs(5);
 
@@ -59,11 +59,11 @@
     let claim = state.claims.acquire(key, subject.body, subject.deadline);
     match claim.await {
         ClaimOutcome::Granted(grant) => Ok(ClaimStep::Granted(grant)),
-        ClaimOutcome::Answered(place) => {
-            let answer = read_answer(state, key, &place).await?;
+        ClaimOutcome::Answered(location) => {
+            let answer = read_answer(state, key, &location).await?;
             Ok(ClaimStep::Answered(answer))
         }
-        ClaimOutcome::Refused(refusal) => Err(refused(&refusal)),
+        ClaimOutcome::Refused(refusal) => Err(claim_error(&refusal)),
     }
 }
 
@@ -72,11 +72,11 @@
         return Ok(None);
     };
     let key = value.to_str().ok();
-    let key = key.filter(|it| !it.is_empty() && it.len() <= KEY_LIMIT);
+    let key = key.filter(|it| !it.is_empty() && it.len() <= MAX_KEY_BYTES);
     if key.is_some() {
         return Ok(key);
     }
-    let text = format!("Idempotency-Key must be 1 to {KEY_LIMIT} characters of ASCII text.");
+    let text = format!("Idempotency-Key must be 1 to {MAX_KEY_BYTES} characters of ASCII text.");
     let answer = ErrorAnswer::new(StatusCode::BAD_REQUEST, "bad_idempotency_key", text);
     Err(answer.param("Idempotency-Key"))
 }
@@ -84,9 +84,9 @@
 async fn read_answer(
     state: &SharedState,
     key: ClaimKey,
-    place: &AnswerRef,
+    location: &AnswerRef,
 ) -> Result<Response<MessageBody>, ErrorAnswer> {
-    if place.0.is_empty() {
+    if location.0.is_empty() {
         let text = "This call has run. Its answer was too long to be stored.";
         return Err(already_ran("already_ran", text));
     }
@@ -94,7 +94,7 @@
         return Ok(answer.into_response());
     }
     let read = ClaimRecords::new(state.store.clone());
-    match read.read_answer(&place.0).await {
+    match read.read_answer(&location.0).await {
         Ok(Some(answer)) => Ok(answer.into_response()),
         Ok(None) => {
             let text = "This call has run. Its answer is no longer stored.";
@@ -113,7 +113,7 @@
         .retry_after(ANSWER_RETRY)
 }
 
-fn refused(refusal: &ClaimRefusal) -> ErrorAnswer {
+fn claim_error(refusal: &ClaimRefusal) -> ErrorAnswer {
     let (status, code, text) = match refusal.cause {
         ClaimCause::NoPlatform => (
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/daemon/src/callers/upload.rs
+++ b/crates/daemon/src/callers/upload.rs
@@ -20,11 +20,11 @@
 /// The only supported value of the field `purpose`.
 const PURPOSE: &str = "batch";
 /// The maximum length in bytes that is read of a field other than the file.
-const MAX_VALUE: usize = 256;
+const MAX_FIELD_VALUE: usize = 256;
 /// The maximum length of a file's name in bytes.
 const MAX_FILENAME: usize = 255;
 /// The name of a file for which the caller gave none.
-const NO_FILENAME: &str = "upload.jsonl";
+const DEFAULT_FILENAME: &str = "upload.jsonl";
 /// `retry_after` for a caller whose upload was too slow.
 const SLOW_RETRY: Duration = Duration::from_secs(1);
 
@@ -38,9 +38,9 @@
     /// Without it, a field head that never ends would fill the memory.
     pub(super) read_ahead: u64,
     /// The maximum wait for the next bytes.
-    pub(super) pause: Duration,
+    pub(super) idle_timeout: Duration,
     /// The maximum time from the first byte to the last.
-    pub(super) whole: Duration,
+    pub(super) total_timeout: Duration,
 }
 
 impl Default for UploadLimits {
@@ -48,8 +48,8 @@
         UploadLimits {
             body: (200 << 20) + (64 << 10),
             read_ahead: 1 << 20,
-            pause: Duration::from_secs(30),
-            whole: Duration::from_secs(15 * 60),
+            idle_timeout: Duration::from_secs(30),
+            total_timeout: Duration::from_secs(15 * 60),
         }
     }
 }
@@ -79,13 +79,13 @@
         B: Stream<Item = Result<Bytes, E>> + Send + 'static,
         E: std::error::Error + Send + Sync + 'static,
     {
-        let taken = Arc::new(AtomicU64::new(0));
-        let body = bounded(body, self.limits, taken.clone());
+        let consumed = Arc::new(AtomicU64::new(0));
+        let body = limit_body(body, self.limits, consumed.clone());
         let mut reader = FieldReader {
             parts: Multipart::new(body, boundary),
-            pause: self.limits.pause,
-            end: Instant::now() + self.limits.whole,
-            taken,
+            idle_timeout: self.limits.idle_timeout,
+            deadline: Instant::now() + self.limits.total_timeout,
+            consumed,
         };
         let mut upload = None;
         match self.read_fields(&mut reader, &mut upload).await {
@@ -98,7 +98,7 @@
             }
         }
         let Some(upload) = upload else {
-            return Err(missing("file", "the items, one JSON object a line"));
+            return Err(missing_field("file", "the items, one JSON object a line"));
         };
         upload.finish().await.map_err(lot_error)
     }
@@ -119,18 +119,18 @@
                     let target = upload.insert(self.begin(&field)?);
                     reader.copy_file(field, target).await?;
                 }
-                name => return Err(unwanted(name)),
+                name => return Err(unknown_field(name)),
             }
         }
         if !has_purpose {
-            return Err(missing("purpose", &format!("the value `{PURPOSE}`")));
+            return Err(missing_field("purpose", &format!("the value `{PURPOSE}`")));
         }
         Ok(())
     }
 
     fn begin(&self, field: &Field<'_>) -> Result<FileUpload<S, C>, ErrorAnswer> {
         let filename = field.file_name().filter(|it| !it.is_empty());
-        let filename = filename.unwrap_or(NO_FILENAME);
+        let filename = filename.unwrap_or(DEFAULT_FILENAME);
         if filename.len() > MAX_FILENAME {
             let text = format!("The file's name is longer than {MAX_FILENAME} bytes. Shorten it.");
             return Err(bad_request("invalid_filename", text).param("file"));
@@ -143,34 +143,36 @@
 /// Reads the fields of a form, with limits on the waits.
 struct FieldReader {
     parts: Multipart<'static>,
-    pause: Duration,
-    end: Instant,
-    taken: Arc<AtomicU64>,
+    idle_timeout: Duration,
+    deadline: Instant,
+    consumed: Arc<AtomicU64>,
 }
 
 impl FieldReader {
     async fn next_field(&mut self) -> Result<Option<Field<'static>>, ErrorAnswer> {
-        let until = self.end.min(Instant::now() + self.pause);
+        let until = self.deadline.min(Instant::now() + self.idle_timeout);
         let field = tokio::time::timeout_at(until, self.parts.next_field()).await;
-        field.map_err(|_| too_slow())?.map_err(|it| body_error(&it))
+        field
+            .map_err(|_| upload_too_slow())?
+            .map_err(|it| body_error(&it))
     }
 
     async fn next_bytes(&self, field: &mut Field<'_>) -> Result<Option<Bytes>, ErrorAnswer> {
-        let until = self.end.min(Instant::now() + self.pause);
+        let until = self.deadline.min(Instant::now() + self.idle_timeout);
         let bytes = tokio::time::timeout_at(until, field.chunk()).await;
         let bytes = bytes
-            .map_err(|_| too_slow())?
+            .map_err(|_| upload_too_slow())?
             .map_err(|it| body_error(&it))?;
         let count = bytes.as_ref().map_or(0, Bytes::len) as u64;
-        self.taken.fetch_add(count, Ordering::Relaxed);
+        self.consumed.fetch_add(count, Ordering::Relaxed);
         Ok(bytes)
     }
 
     async fn check_purpose(&self, mut field: Field<'_>) -> Result<(), ErrorAnswer> {
         let mut value = Vec::new();
         while let Some(bytes) = self.next_bytes(&mut field).await? {
-            let room = MAX_VALUE.saturating_sub(value.len());
-            value.extend_from_slice(&bytes[..bytes.len().min(room)]);
+            let capacity = MAX_FIELD_VALUE.saturating_sub(value.len());
+            value.extend_from_slice(&bytes[..bytes.len().min(capacity)]);
         }
         if value == PURPOSE.as_bytes() {
             return Ok(());
@@ -205,10 +207,10 @@
 
 /// Ends a body with an error once it is too long, or once too many bytes were
 /// read without being consumed.
-fn bounded<B, E>(
+fn limit_body<B, E>(
     body: B,
     limits: UploadLimits,
-    taken: Arc<AtomicU64>,
+    consumed: Arc<AtomicU64>,
 ) -> impl Stream<Item = Result<Bytes, LimitError>> + Send + 'static
 where
     B: Stream<Item = Result<Bytes, E>> + Send + 'static,
@@ -231,7 +233,7 @@
         if read > limits.body {
             return Err(LimitError::Body(limits.body));
         }
-        let ahead = read.saturating_sub(taken.load(Ordering::Relaxed));
+        let ahead = read.saturating_sub(consumed.load(Ordering::Relaxed));
         if ahead > limits.read_ahead + bytes.len() as u64 {
             return Err(LimitError::Head(limits.read_ahead));
         }
@@ -241,7 +243,7 @@
 
 fn body_error(error: &multer::Error) -> ErrorAnswer {
     let multer::Error::StreamReadFailed(source) = error else {
-        let text = format!("The multipart body is broken: {error}. Nothing of it was kept.");
+        let text = format!("The multipart body is broken: {error}. Nothing of it was stored.");
         return bad_request("broken_multipart", text);
     };
     match source.downcast_ref::<LimitError>() {
@@ -258,21 +260,22 @@
 
 /// Returns the error for a body of more than `limit` bytes.
 pub(super) fn too_long(limit: u64) -> ErrorAnswer {
-    let text = format!("The body is longer than {limit} bytes. Nothing was stored; split the file.");
+    let text =
+        format!("The body is longer than {limit} bytes. Nothing was stored; split the file.");
     ErrorAnswer::new(StatusCode::PAYLOAD_TOO_LARGE, "body_too_long", text).param("file")
 }
 
-fn too_slow() -> ErrorAnswer {
+fn upload_too_slow() -> ErrorAnswer {
     let text = "The upload was too slow. Nothing of it was stored; send it again.";
     ErrorAnswer::new(StatusCode::REQUEST_TIMEOUT, "body_too_slow", text).retry_after(SLOW_RETRY)
 }
 
-fn missing(field: &'static str, what: &str) -> ErrorAnswer {
+fn missing_field(field: &'static str, what: &str) -> ErrorAnswer {
     let text = format!("The form has no field `{field}`. Add it with {what}.");
     bad_request("missing_field", text).param(field)
 }
 
-fn unwanted(name: Option<&str>) -> ErrorAnswer {
+fn unknown_field(name: Option<&str>) -> ErrorAnswer {
     let name = name.unwrap_or_default();
     let text = format!("The form may have `purpose` and `file` once each; leave out `{name}`.");
     bad_request("unknown_field", text).param(name)
--- a/crates/daemon/src/callers/upload/tests.rs
+++ b/crates/daemon/src/callers/upload/tests.rs
@@ -21,8 +21,8 @@
     UploadLimits {
         body: 256 << 10,
         read_ahead: 16 << 10,
-        pause: Duration::from_secs(30),
-        whole: Duration::from_secs(900),
+        idle_timeout: Duration::from_secs(30),
+        total_timeout: Duration::from_secs(900),
     }
 }
 
--- a/crates/daemon/src/callers/upload_progress.rs
+++ b/crates/daemon/src/callers/upload_progress.rs
@@ -17,24 +17,24 @@
 
 #[derive(Debug, Default)]
 struct UploadFlags {
-    arriving: AtomicBool,
-    cut: AtomicBool,
+    is_arriving: AtomicBool,
+    is_broken: AtomicBool,
 }
 
 impl UploadProgress {
     /// Records that the body is being forwarded.
     pub(super) fn begin(&self) {
-        self.shared.arriving.store(true, Ordering::Release);
+        self.shared.is_arriving.store(true, Ordering::Release);
     }
 
     /// Records that the complete body was received.
     pub(super) fn finish(&self) {
-        self.shared.arriving.store(false, Ordering::Release);
+        self.shared.is_arriving.store(false, Ordering::Release);
     }
 
     /// Records that the body broke off or was rejected on the caller's side.
-    pub(super) fn cut(&self) {
-        self.shared.cut.store(true, Ordering::Release);
+    pub(super) fn mark_broken(&self) {
+        self.shared.is_broken.store(true, Ordering::Release);
     }
 
     /// Returns the error for a call that failed because of the caller's body.
@@ -43,14 +43,14 @@
     /// Counting that as the server's failure would let one faulty client get
     /// the server ejected: its weight would fall while it answers everyone
     /// else.
-    pub(super) fn fault_of(&self, error: &CallError) -> Option<ErrorAnswer> {
-        if self.shared.cut.load(Ordering::Acquire) {
+    pub(super) fn caller_error(&self, error: &CallError) -> Option<ErrorAnswer> {
+        if self.shared.is_broken.load(Ordering::Acquire) {
             let text = "The body broke off, or it contains your key.";
             let answer = ErrorAnswer::new(StatusCode::BAD_REQUEST, "body_incomplete", text);
             return Some(unfinished(answer, error));
         }
         let is_late = matches!(error, CallError::TimedOut(_));
-        if is_late && self.shared.arriving.load(Ordering::Acquire) {
+        if is_late && self.shared.is_arriving.load(Ordering::Acquire) {
             let text = "The request's deadline passed before its body had arrived.";
             let answer = ErrorAnswer::new(StatusCode::REQUEST_TIMEOUT, "body_too_slow", text);
             return Some(unfinished(answer, error));
--- a/crates/daemon/src/claims/claim_grant.rs
+++ b/crates/daemon/src/claims/claim_grant.rs
@@ -18,16 +18,16 @@
 /// answer is lost.
 #[derive(Debug)]
 pub struct ClaimGrant {
-    keeper: Arc<ClaimKeeper>,
+    manager: Arc<ClaimKeeper>,
     key: ClaimKey,
     ticket: ClaimTicket,
     is_started: AtomicBool,
 }
 
 impl ClaimGrant {
-    pub(super) fn new(keeper: Arc<ClaimKeeper>, key: ClaimKey, ticket: ClaimTicket) -> Self {
+    pub(super) fn new(manager: Arc<ClaimKeeper>, key: ClaimKey, ticket: ClaimTicket) -> Self {
         ClaimGrant {
-            keeper,
+            manager,
             key,
             ticket,
             is_started: AtomicBool::new(false),
@@ -37,8 +37,8 @@
     /// Starts the call and returns whether it may be sent now. Must be the last
     /// check before the first byte is sent.
     pub fn start(&self) -> bool {
-        let now = self.keeper.clock().now();
-        let may_send = self.keeper.book().start(self.key, self.ticket, now);
+        let now = self.manager.clock().now();
+        let may_send = self.manager.tracker().start(self.key, self.ticket, now);
         if may_send {
             self.is_started.store(true, Ordering::Relaxed);
         }
@@ -47,14 +47,14 @@
 
     /// Reverts a start after which no connection could be opened.
     pub fn not_sent(&self) {
-        self.keeper.book().not_sent(self.key, self.ticket);
+        self.manager.tracker().not_sent(self.key, self.ticket);
         self.is_started.store(false, Ordering::Relaxed);
     }
 
     /// Records that the call was answered, with the answer if it is short
     /// enough to be stored.
     pub fn finish(&self, answer: Option<StoredAnswer>) {
-        self.keeper.finish(self.key, self.ticket, answer);
+        self.manager.finish(self.key, self.ticket, answer);
     }
 }
 
@@ -62,10 +62,10 @@
     fn drop(&mut self) {
         if self.is_started.load(Ordering::Relaxed) {
             // Has no effect if the call has finished.
-            self.keeper.book().lose(self.key, self.ticket);
+            self.manager.tracker().lose(self.key, self.ticket);
         } else {
-            self.keeper.book().forget(self.key, self.ticket);
+            self.manager.tracker().forget(self.key, self.ticket);
         }
-        self.keeper.note_change();
+        self.manager.notify_change();
     }
 }
--- a/crates/daemon/src/claims/claim_keeper.rs
+++ b/crates/daemon/src/claims/claim_manager.rs
@@ -15,7 +15,7 @@
 use crate::clock::ProcessClock;
 
 /// `retry_after` for a call that is already running or being claimed.
-const TWIN_RETRY: Duration = Duration::from_secs(5);
+const DUPLICATE_RETRY: Duration = Duration::from_secs(5);
 
 /// The outcome of a request for a claim.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
 
 impl ClaimOutcome {
     /// Converts the verdict on a call for which no new claim was created.
-    fn of_claimed(verdict: ClaimVerdict) -> Self {
+    fn from_verdict(verdict: ClaimVerdict) -> Self {
         match verdict {
             ClaimVerdict::Answered(answer) => ClaimOutcome::Answered(answer),
             ClaimVerdict::Refused(refusal) => ClaimOutcome::Refused(refusal),
@@ -38,7 +38,7 @@
             ClaimVerdict::Wait | ClaimVerdict::Send => ClaimOutcome::Refused(ClaimRefusal {
                 run: RunState::Unknown,
                 cause: ClaimCause::Claimed,
-                retry_after: TWIN_RETRY,
+                retry_after: DUPLICATE_RETRY,
             }),
         }
     }
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct ClaimKeeper {
     clock: ProcessClock,
-    book: Mutex<ClaimBook>,
+    tracker: Mutex<ClaimBook>,
     /// Answers that are not yet written to the platform, sorted by key.
     answers: Mutex<Vec<(ClaimKey, StoredAnswer)>>,
     /// Incremented when the verdict on any claim may have changed.
@@ -62,7 +62,7 @@
     pub fn new(incarnation: Incarnation, clock: ProcessClock) -> Self {
         ClaimKeeper {
             clock,
-            book: Mutex::new(ClaimBook::new(incarnation)),
+            tracker: Mutex::new(ClaimBook::new(incarnation)),
             answers: Mutex::default(),
             progress: watch::Sender::new(0),
             claim_added: Notify::new(),
@@ -79,16 +79,16 @@
         deadline: Timestamp,
     ) -> ClaimOutcome {
         let mut progress = self.progress.subscribe();
-        let claimed = self.book().claim(key, body, deadline, self.clock.now());
+        let claimed = self.tracker().claim(key, body, deadline, self.clock.now());
         let ticket = match claimed {
             Ok(ticket) => ticket,
-            Err(verdict) => return ClaimOutcome::of_claimed(verdict),
+            Err(verdict) => return ClaimOutcome::from_verdict(verdict),
         };
         let grant = ClaimGrant::new(self.clone(), key, ticket);
         self.claim_added.notify_one();
         loop {
             progress.mark_unchanged();
-            let verdict = self.book().verdict(key, ticket);
+            let verdict = self.tracker().verdict(key, ticket);
             match verdict {
                 ClaimVerdict::Send => return ClaimOutcome::Granted(grant),
                 ClaimVerdict::Answered(answer) => return ClaimOutcome::Answered(answer),
@@ -112,7 +112,7 @@
     }
 
     pub(super) fn finish(&self, key: ClaimKey, ticket: ClaimTicket, answer: Option<StoredAnswer>) {
-        let place = match answer {
+        let location = match answer {
             Some(answer) => {
                 let mut answers = self.lock_answers();
                 match answers.binary_search_by_key(&key, |it| it.0) {
@@ -123,23 +123,23 @@
             }
             None => AnswerRef::default(),
         };
-        self.book().finish(key, ticket, place);
+        self.tracker().finish(key, ticket, location);
     }
 
     /// Removes a call whose end is written to the platform.
-    pub(super) fn settled(&self, key: ClaimKey, ticket: ClaimTicket) {
-        self.book().forget(key, ticket);
+    pub(super) fn remove_settled(&self, key: ClaimKey, ticket: ClaimTicket) {
+        self.tracker().forget(key, ticket);
         let mut answers = self.lock_answers();
         if let Ok(at) = answers.binary_search_by_key(&key, |it| it.0) {
             answers.remove(at);
         }
     }
 
-    pub(super) fn note_progress(&self) {
+    pub(super) fn notify_progress(&self) {
         self.progress.send_modify(|it| *it += 1);
     }
 
-    pub(super) fn note_change(&self) {
+    pub(super) fn notify_change(&self) {
         self.change_added.notify_one();
     }
 
@@ -147,10 +147,10 @@
         self.clock
     }
 
-    pub(super) fn book(&self) -> MutexGuard<'_, ClaimBook> {
+    pub(super) fn tracker(&self) -> MutexGuard<'_, ClaimBook> {
         // The tracker's methods keep it consistent at each step. What a panic
         // left out for one claim must not fail all others.
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+        self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn lock_answers(&self) -> MutexGuard<'_, Vec<(ClaimKey, StoredAnswer)>> {
--- a/crates/daemon/src/claims/claim_records.rs
+++ b/crates/daemon/src/claims/claim_records.rs
@@ -13,9 +13,9 @@
 use crate::record_lease::RecordLease;
 
 /// The prefix of the store keys of claim records.
-const RECORDS: &str = "/comfreyramp/claims/records/";
+const RECORD_PREFIX: &str = "/comfreyramp/claims/records/";
 /// The prefix of the store keys of answers.
-const ANSWERS: &str = "/comfreyramp/claims/answers/";
+const ANSWER_PREFIX: &str = "/comfreyramp/claims/answers/";
 
 /// Reads and writes the records of claims in the store, which keeps them for a
 /// day.
@@ -34,7 +34,7 @@
 }
 
 impl FoundRecord {
-    pub(super) fn is_of(&self, ticket: ClaimTicket) -> bool {
+    pub(super) fn belongs_to(&self, ticket: ClaimTicket) -> bool {
         self.record.as_ref().is_some_and(|it| it.ticket == ticket)
     }
 }
@@ -127,8 +127,11 @@
     }
 
     /// Reads a stored answer by its store key.
-    pub async fn read_answer(&self, place: &str) -> Result<Option<StoredAnswer>, StoreError> {
-        let answer = self.store.range(KeyRange::One(place.to_owned()), 1).await?;
+    pub async fn read_answer(&self, location: &str) -> Result<Option<StoredAnswer>, StoreError> {
+        let answer = self
+            .store
+            .range(KeyRange::One(location.to_owned()), 1)
+            .await?;
         let value = answer.pairs.first().map(|it| &it.value);
         Ok(value.and_then(StoredAnswer::decode))
     }
@@ -143,12 +146,12 @@
 impl ClaimRecords<()> {
     /// Returns the store key of a call's answer.
     pub fn answer_key(key: ClaimKey) -> String {
-        format!("{ANSWERS}{:032x}", key.0)
+        format!("{ANSWER_PREFIX}{:032x}", key.0)
     }
 }
 
 fn record_key(key: ClaimKey) -> String {
-    format!("{RECORDS}{:032x}", key.0)
+    format!("{RECORD_PREFIX}{:032x}", key.0)
 }
 
 fn encode(record: &ClaimRecord) -> Option<Bytes> {
--- a/crates/daemon/src/claims/claim_writer.rs
+++ b/crates/daemon/src/claims/claim_writer.rs
@@ -13,19 +13,19 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// The delay after the first failed write. It doubles with each consecutive
 /// failure.
-const LOSS_PAUSE: Duration = Duration::from_millis(25);
+const MIN_BACKOFF: Duration = Duration::from_millis(25);
 /// The maximum delay between two attempts.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// The maximum number of changes taken from the tracker at a time.
-const CHANGES: usize = 32;
+const MAX_CHANGES: usize = 32;
 /// How long a stopping daemon continues to write the ends of its calls.
-const LAST_CHANGES: Duration = Duration::from_secs(3);
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Writes claims and the ends of claimed calls until `stop` is cancelled, then
 /// the changes that are left.
 pub async fn run_claims(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
     let writer = ClaimWriter {
-        keeper: state.claims.clone(),
+        manager: state.claims.clone(),
         records: ClaimRecords::new(state.store.clone()),
     };
     tokio::select! {
@@ -34,7 +34,7 @@
         () = writer.poll() => {}
         () = stop.cancelled() => {}
     }
-    let last = tokio::time::timeout(LAST_CHANGES, writer.write_last_changes());
+    let last = tokio::time::timeout(STOP_TIMEOUT, writer.write_remaining_changes());
     if last.await.is_err() {
         log::warn!("claims: could not write the ends of all calls before the stop");
     }
@@ -42,23 +42,26 @@
 }
 
 struct ClaimWriter<S> {
-    keeper: Arc<ClaimKeeper>,
+    manager: Arc<ClaimKeeper>,
     records: ClaimRecords<S>,
 }
 
 impl<S: PlatformStore> ClaimWriter<S> {
     async fn write_groups(&self) {
         loop {
-            let now = self.keeper.clock().now();
-            let due = self.keeper.book().group_due();
+            let now = self.manager.clock().now();
+            let due = self.manager.tracker().group_due();
             let Some(due) = due else {
-                self.keeper.claim_added.notified().await;
+                self.manager.claim_added.notified().await;
                 continue;
             };
             if due > now {
                 tokio::time::sleep(due.since(now)).await;
             }
-            let group = self.keeper.book().next_group(self.keeper.clock().now());
+            let group = self
+                .manager
+                .tracker()
+                .next_group(self.manager.clock().now());
             if let Some(group) = group {
                 self.write_group(&group).await;
             }
@@ -66,21 +69,21 @@
     }
 
     async fn write_group(&self, group: &ClaimGroup) {
-        let now = self.keeper.clock().now();
+        let now = self.manager.clock().now();
         let answer = self.records.write_group(group, now).await;
         if !matches!(answer, GroupAnswer::Written | GroupAnswer::Found(_)) {
             log::debug!("claims: could not write group {}: {answer:?}", group.number);
         }
-        let now = self.keeper.clock().now();
+        let now = self.manager.clock().now();
         let losses = {
-            let mut book = self.keeper.book();
-            book.group_answer(group.number, &answer, now);
-            book.losses()
+            let mut tracker = self.manager.tracker();
+            tracker.group_answer(group.number, &answer, now);
+            tracker.losses()
         };
-        self.keeper.note_progress();
-        self.keeper.note_change();
+        self.manager.notify_progress();
+        self.manager.notify_change();
         if losses > 0 {
-            tokio::time::sleep(pause_after(losses)).await;
+            tokio::time::sleep(backoff_after(losses)).await;
         }
     }
 
@@ -90,42 +93,42 @@
         let mut ticks = tokio::time::interval(POLL_INTERVAL);
         loop {
             ticks.tick().await;
-            let now = self.keeper.clock().now();
-            self.keeper.book().poll(now);
-            self.keeper.note_progress();
+            let now = self.manager.clock().now();
+            self.manager.tracker().poll(now);
+            self.manager.notify_progress();
         }
     }
 
     async fn write_changes(&self) {
         loop {
             if !self.write_some_changes().await {
-                self.keeper.change_added.notified().await;
+                self.manager.change_added.notified().await;
             }
         }
     }
 
-    async fn write_last_changes(&self) {
+    async fn write_remaining_changes(&self) {
         while self.write_some_changes().await {}
     }
 
     /// Writes the next changes, repeating each until it succeeds. Returns
     /// whether there were any.
     async fn write_some_changes(&self) -> bool {
-        let mut changes = PendingChanges::take(&self.keeper);
-        if changes.left.is_empty() {
+        let mut changes = PendingChanges::take(&self.manager);
+        if changes.remaining.is_empty() {
             return false;
         }
         let mut failures = 0;
-        while let Some(change) = changes.left.last() {
+        while let Some(change) = changes.remaining.last() {
             match self.write_change(change).await {
                 Ok(()) => {
                     failures = 0;
-                    changes.left.pop();
+                    changes.remaining.pop();
                 }
                 Err(error) => {
                     failures += 1;
                     log::debug!("claims: could not write the end of a call, retrying: {error}");
-                    tokio::time::sleep(pause_after(failures)).await;
+                    tokio::time::sleep(backoff_after(failures)).await;
                 }
             }
         }
@@ -136,11 +139,11 @@
         match change {
             ClaimChange::Settle(record) => {
                 while !self.settle(record).await? {}
-                self.keeper.settled(record.key, record.ticket);
+                self.manager.remove_settled(record.key, record.ticket);
             }
             ClaimChange::Release(key, ticket) => {
                 while let Some(found) = self.records.read(*key).await? {
-                    if !found.is_of(*ticket) || self.records.release(&found, *key).await? {
+                    if !found.belongs_to(*ticket) || self.records.release(&found, *key).await? {
                         break;
                     }
                 }
@@ -153,11 +156,11 @@
     /// meanwhile and the write must be repeated.
     async fn settle(&self, record: &ClaimRecord) -> Result<bool, StoreError> {
         let found = self.records.read(record.key).await?;
-        let Some(found) = found.filter(|it| it.is_of(record.ticket)) else {
+        let Some(found) = found.filter(|it| it.belongs_to(record.ticket)) else {
             return Ok(true);
         };
-        let answer = self.keeper.pending_answer(record.key);
-        let now = self.keeper.clock().now();
+        let answer = self.manager.pending_answer(record.key);
+        let now = self.manager.clock().now();
         let settled = self.records.settle(&found, record, answer.as_ref(), now);
         settled.await
     }
@@ -166,31 +169,31 @@
 /// Changes that are returned to the tracker on drop unless they were written:
 /// the task that writes them can be dropped at any await point.
 struct PendingChanges<'a> {
-    keeper: &'a ClaimKeeper,
-    left: Vec<ClaimChange>,
+    manager: &'a ClaimKeeper,
+    remaining: Vec<ClaimChange>,
 }
 
 impl<'a> PendingChanges<'a> {
-    fn take(keeper: &'a ClaimKeeper) -> Self {
-        let mut left = keeper.book().take_changes(CHANGES);
+    fn take(manager: &'a ClaimKeeper) -> Self {
+        let mut remaining = manager.tracker().take_changes(MAX_CHANGES);
         // Changes are popped from the end, so the oldest comes last.
-        left.reverse();
-        PendingChanges { keeper, left }
+        remaining.reverse();
+        PendingChanges { manager, remaining }
     }
 }
 
 impl Drop for PendingChanges<'_> {
     fn drop(&mut self) {
-        if self.left.is_empty() {
+        if self.remaining.is_empty() {
             return;
         }
-        let mut left = std::mem::take(&mut self.left);
-        left.reverse();
-        self.keeper.book().return_changes(left);
+        let mut remaining = std::mem::take(&mut self.remaining);
+        remaining.reverse();
+        self.manager.tracker().return_changes(remaining);
     }
 }
 
-fn pause_after(failures: u32) -> Duration {
+fn backoff_after(failures: u32) -> Duration {
     let factor = 2_u32.saturating_pow(failures.saturating_sub(1).min(10));
-    LOSS_PAUSE.saturating_mul(factor).min(LONGEST_PAUSE)
+    MIN_BACKOFF.saturating_mul(factor).min(MAX_BACKOFF)
 }
--- a/crates/daemon/src/claims/mod.rs
+++ b/crates/daemon/src/claims/mod.rs
@@ -6,13 +6,13 @@
 //! writes them and the ends of their calls. See docs/LIVE.md.
 
 mod claim_grant;
-mod claim_keeper;
+mod claim_manager;
 mod claim_records;
 mod claim_writer;
 mod stored_answer;
 
 pub use claim_grant::ClaimGrant;
-pub use claim_keeper::{ClaimKeeper, ClaimOutcome};
+pub use claim_manager::{ClaimKeeper, ClaimOutcome};
 pub use claim_records::ClaimRecords;
 pub use claim_writer::run_claims;
-pub use stored_answer::{ANSWER_KEPT, AnswerCopy, StoredAnswer};
+pub use stored_answer::{AnswerCopy, MAX_STORED_ANSWER, StoredAnswer};
--- a/crates/daemon/src/claims/stored_answer.rs
+++ b/crates/daemon/src/claims/stored_answer.rs
@@ -7,7 +7,7 @@
 /// The maximum size in bytes of an answer that is stored. An answer is written
 /// together with the end of its call, so this bounds the load of such calls on
 /// the platform.
-pub const ANSWER_KEPT: usize = 64 * 1024;
+pub const MAX_STORED_ANSWER: usize = 64 * 1024;
 
 /// The header that marks an answer as the stored one of an earlier call.
 const REPLAYED_HEADER: &str = "idempotent-replayed";
@@ -27,9 +27,9 @@
 
 impl StoredAnswer {
     /// Creates the stored form of an answer, or `None` if the body is longer
-    /// than [`ANSWER_KEPT`].
+    /// than [`MAX_STORED_ANSWER`].
     pub fn of(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Option<Self> {
-        if body.len() > ANSWER_KEPT {
+        if body.len() > MAX_STORED_ANSWER {
             return None;
         }
         let kept = headers
@@ -102,7 +102,7 @@
 
     /// Appends the next piece of the body.
     pub fn push(&mut self, piece: &[u8]) {
-        self.is_too_long |= self.body.len() + piece.len() > ANSWER_KEPT;
+        self.is_too_long |= self.body.len() + piece.len() > MAX_STORED_ANSWER;
         if self.is_too_long {
             self.body = Vec::new();
         } else {
--- a/crates/daemon/src/live_queue/call_rank.rs
+++ b/crates/daemon/src/live_queue/call_rank.rs
@@ -11,13 +11,13 @@
 
 /// The number of tokens that an answer is expected to have if the caller sets
 /// no limit.
-const USUAL_TOKENS: f64 = 256.0;
+const DEFAULT_ANSWER_TOKENS: f64 = 256.0;
 /// The number of tokens for which a call to a plain service counts.
-const PLAIN_TOKENS: f64 = 64.0;
+const PLAIN_CALL_TOKENS: f64 = 64.0;
 /// The approximate number of prompt bytes per token.
-const TOKEN_BYTES: f64 = 4.0;
+const BYTES_PER_TOKEN: f64 = 4.0;
 /// The interval at which the habits of idle keys are removed.
-pub(super) const HABITS_POLLED: Duration = Duration::from_secs(60);
+pub(super) const HABIT_POLL_INTERVAL: Duration = Duration::from_secs(60);
 
 /// The request habits of all keys, behind one briefly held lock.
 #[derive(Clone, Debug, Default)]
@@ -55,8 +55,8 @@
         max_tokens: Option<u32>,
         clock: ProcessClock,
     ) -> CallRank {
-        let answer = max_tokens.map_or(USUAL_TOKENS, f64::from);
-        let prompt = prompt_bytes as f64 / TOKEN_BYTES;
+        let answer = max_tokens.map_or(DEFAULT_ANSWER_TOKENS, f64::from);
+        let prompt = prompt_bytes as f64 / BYTES_PER_TOKEN;
         let mut rank = self.rank(caller, streaming, prompt + answer, clock);
         rank.prompt = prompt;
         rank
@@ -64,7 +64,7 @@
 
     /// Ranks a call to a plain service.
     pub fn rank_plain_call(&self, caller: &Caller, clock: ProcessClock) -> CallRank {
-        self.rank(caller, false, PLAIN_TOKENS, clock)
+        self.rank(caller, false, PLAIN_CALL_TOKENS, clock)
     }
 
     fn rank(&self, caller: &Caller, streaming: bool, tokens: f64, clock: ProcessClock) -> CallRank {
--- a/crates/daemon/src/live_queue/start_queues.rs
+++ b/crates/daemon/src/live_queue/start_queues.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
-use super::{CallRank, call_rank::HABITS_POLLED};
+use super::{CallRank, call_rank::HABIT_POLL_INTERVAL};
 use crate::{
     attempts::{AttemptFailure, BUSY_RETRY},
     server_pool::{ChosenServer, PoolQuery},
@@ -20,7 +20,7 @@
 /// The interval at which the queues are checked for requests that can start.
 /// Most requests start when another one ends; but the estimates of what other
 /// daemons sent also decay with time, which frees capacity without any event.
-const TURN_INTERVAL: Duration = Duration::from_millis(20);
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The queues of all groups, behind one briefly held lock.
 #[derive(Debug, Default)]
@@ -38,7 +38,7 @@
     waiters: Vec<Waiter>,
 }
 
-type Turn = Result<ChosenServer, AttemptFailure>;
+type StartResult = Result<ChosenServer, AttemptFailure>;
 
 /// A waiting request and the constraints on its server.
 #[derive(Debug)]
@@ -48,8 +48,8 @@
     exclude: Vec<ServerId>,
     /// The server that already runs a copy of the request, which is preferred
     /// if it has capacity.
-    beside: Option<ServerKey>,
-    turn: oneshot::Sender<Turn>,
+    copy_server: Option<ServerKey>,
+    result: oneshot::Sender<StartResult>,
 }
 
 impl SharedState {
@@ -59,35 +59,35 @@
         &self,
         request: RunRequest<'_>,
         query: PoolQuery<'_>,
-        beside: Option<ServerKey>,
+        copy_server: Option<ServerKey>,
     ) -> Result<ChosenServer, AttemptFailure> {
         if !self.servers.has_server(query, self.clock) {
             return Err(AttemptFailure::NoServer);
         }
-        let (sender, turn) = oneshot::channel();
+        let (sender, result) = oneshot::channel();
         let waiter = Waiter {
             number: 0,
             prefix: query.prefix.unwrap_or_default(),
             exclude: query.exclude.to_vec(),
-            beside,
-            turn: sender,
+            copy_server,
+            result: sender,
         };
-        let number = self.enter(request, waiter)?;
-        let place = QueuePlace {
+        let number = self.enqueue(request, waiter)?;
+        let entry = QueueEntry {
             state: self,
             group: request.group,
             customer: request.rank.customer,
             number,
         };
-        let turn = turn.await;
-        drop(place);
-        // The sender is dropped without a result only if the request was
-        // removed from the queue.
-        turn.unwrap_or(Err(AttemptFailure::HeldBack(BUSY_RETRY)))
+        let result = result.await;
+        drop(entry);
+        // The sender is dropped without a result only if the request had to
+        // give way to another one.
+        result.unwrap_or(Err(AttemptFailure::QueueTooLong(BUSY_RETRY)))
     }
 
     /// Adds a request to its group's queue and returns its number there.
-    fn enter(&self, request: RunRequest<'_>, mut waiter: Waiter) -> Result<u64, AttemptFailure> {
+    fn enqueue(&self, request: RunRequest<'_>, mut waiter: Waiter) -> Result<u64, AttemptFailure> {
         let now = self.clock.now();
         let CallRank {
             customer,
@@ -109,56 +109,58 @@
         };
         group.queue.set_weight(customer, weight);
         let entered = group.queue.push(call, now);
-        let evicted = entered.map_err(|it| AttemptFailure::HeldBack(it.retry_after))?;
+        let evicted = entered.map_err(|it| AttemptFailure::QueueTooLong(it.retry_after))?;
         if let Some(evicted) = evicted {
-            group.refuse(evicted.number);
+            group.reject(evicted.number);
         }
         group.waiters.push(waiter);
-        self.give_turns(group);
+        self.start_ready(group);
         Ok(call.number)
     }
 
     /// Starts the requests for which a server has capacity, and rejects those
     /// whose deadline has passed or that can no longer start in time.
-    fn give_turns(&self, group: &mut GroupQueue) {
+    fn start_ready(&self, group: &mut GroupQueue) {
         let now = self.clock.now();
         for late in group.queue.take_late(now) {
-            group.refuse(late.number);
+            group.reject(late.number);
         }
         for hopeless in group.queue.take_hopeless(now) {
-            group.refuse(hopeless.number);
+            group.reject(hopeless.number);
         }
-        let room = PoolQuery {
+        let any_server = PoolQuery {
             group: &group.group,
             zone: &self.settings.zone,
             prefix: None,
             exclude: &[],
         };
-        while !group.queue.is_empty() && self.servers.has_room(room, self.clock) {
+        while !group.queue.is_empty() && self.servers.has_capacity(any_server, self.clock) {
             let Some(call) = group.queue.pop(now) else {
                 return;
             };
-            let Some(waiter) = take_waiter(&mut group.waiters, call.number) else {
+            let Some(waiter) = remove_waiter(&mut group.waiters, call.number) else {
                 continue;
             };
             let query = PoolQuery {
                 prefix: Some(waiter.prefix),
                 exclude: &waiter.exclude,
-                ..room
+                ..any_server
             };
-            let beside = waiter.beside;
-            let beside =
-                beside.and_then(|it| self.servers.take_with_room(it, &waiter.exclude, self.clock));
-            let server = beside.or_else(|| self.servers.choose(query, self.clock));
+            let copy_server = waiter.copy_server;
+            let copy_server = copy_server.and_then(|it| {
+                self.servers
+                    .take_with_capacity(it, &waiter.exclude, self.clock)
+            });
+            let server = copy_server.or_else(|| self.servers.choose(query, self.clock));
             // If the caller has disconnected, dropping the server releases it.
-            let _ = waiter.turn.send(server.ok_or(AttemptFailure::NoServer));
+            let _ = waiter.result.send(server.ok_or(AttemptFailure::NoServer));
         }
     }
 
-    fn give_all_turns(&self) {
+    fn start_all_ready(&self) {
         for group in self.queues.lock().iter_mut() {
             if !group.queue.is_empty() {
-                self.give_turns(group);
+                self.start_ready(group);
             }
         }
     }
@@ -172,19 +174,19 @@
     }
 }
 
-/// Starts waiting requests, and expires the statistics of idle keys, until
-/// `stop` is cancelled.
+/// Starts waiting requests, and removes the habits of idle keys, until `stop`
+/// is cancelled.
 pub async fn run_start_queues(
     state: Arc<SharedState>,
     stop: CancellationToken,
 ) -> anyhow::Result<()> {
-    let mut turns = tokio::time::interval(TURN_INTERVAL);
-    let mut polls = tokio::time::interval(HABITS_POLLED);
+    let mut dispatch_ticks = tokio::time::interval(DISPATCH_INTERVAL);
+    let mut poll_ticks = tokio::time::interval(HABIT_POLL_INTERVAL);
     loop {
         tokio::select! {
-            () = state.servers.freed() => state.give_all_turns(),
-            _ = turns.tick() => state.give_all_turns(),
-            _ = polls.tick() => state.ranks.poll(state.clock),
+            () = state.servers.freed() => state.start_all_ready(),
+            _ = dispatch_ticks.tick() => state.start_all_ready(),
+            _ = poll_ticks.tick() => state.ranks.poll(state.clock),
             () = stop.cancelled() => return Ok(()),
         }
     }
@@ -199,34 +201,36 @@
 
 impl GroupQueue {
     /// Rejects a waiting request.
-    fn refuse(&mut self, number: u64) {
-        if let Some(waiter) = take_waiter(&mut self.waiters, number) {
-            let _ = waiter.turn.send(Err(AttemptFailure::HeldBack(BUSY_RETRY)));
+    fn reject(&mut self, number: u64) {
+        if let Some(waiter) = remove_waiter(&mut self.waiters, number) {
+            let _ = waiter
+                .result
+                .send(Err(AttemptFailure::QueueTooLong(BUSY_RETRY)));
         }
     }
 }
 
 /// A request's entry in its queue, which is removed when this is dropped.
-struct QueuePlace<'a> {
+struct QueueEntry<'a> {
     state: &'a SharedState,
     group: &'a str,
     customer: CustomerId,
     number: u64,
 }
 
-impl Drop for QueuePlace<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         let mut groups = self.state.queues.lock();
         let group = group_queue(&mut groups, self.group);
-        if take_waiter(&mut group.waiters, self.number).is_some() {
+        if remove_waiter(&mut group.waiters, self.number).is_some() {
             group.queue.remove(self.customer, self.number);
         }
     }
 }
 
 fn group_queue<'a>(groups: &'a mut Vec<GroupQueue>, name: &str) -> &'a mut GroupQueue {
-    let place = groups.binary_search_by(|it| it.group.as_str().cmp(name));
-    let at = place.unwrap_or_else(|at| {
+    let position = groups.binary_search_by(|it| it.group.as_str().cmp(name));
+    let at = entry.unwrap_or_else(|at| {
         let group = GroupQueue {
             group: name.to_owned(),
             ..GroupQueue::default()
@@ -237,7 +241,7 @@
     &mut groups[at]
 }
 
-fn take_waiter(waiters: &mut Vec<Waiter>, number: u64) -> Option<Waiter> {
+fn remove_waiter(waiters: &mut Vec<Waiter>, number: u64) -> Option<Waiter> {
     let at = waiters.binary_search_by_key(&number, |it| it.number).ok()?;
     Some(waiters.remove(at))
 }
--- a/crates/daemon/src/lot_work/answer_builder.rs
+++ b/crates/daemon/src/lot_work/answer_builder.rs
@@ -56,11 +56,11 @@
         let Some(choice) = choice else {
             return;
         };
-        let piece = choice["delta"]["content"].as_str();
-        if let Some(piece) = piece.or(choice["text"].as_str())
-            && !piece.is_empty()
+        let text_piece = choice["delta"]["content"].as_str();
+        if let Some(text_piece) = text_piece.or(choice["text"].as_str())
+            && !text_piece.is_empty()
         {
-            self.text.push_str(piece);
+            self.text.push_str(text_piece);
             self.tokens += 1;
         }
         if let Some(reason) = choice["finish_reason"].as_str() {
--- a/crates/daemon/src/lot_work/bulk_gate.rs
+++ b/crates/daemon/src/lot_work/bulk_limiter.rs
@@ -18,11 +18,11 @@
 
 /// How long servers are queried for their load after the last request for a
 /// slot.
-const WANTED_SPAN: Duration = Duration::from_secs(2);
+const DEMAND_WINDOW: Duration = Duration::from_secs(2);
 
 /// The state of a server that its bulk limiter needs.
 #[derive(Clone, Debug)]
-pub struct GateServer {
+pub struct ServerInfo {
     /// Its id.
     pub id: ServerId,
     /// Where it listens, as `ip:port`.
@@ -44,10 +44,10 @@
 }
 
 #[derive(Debug)]
-struct GatedServer {
-    server: GateServer,
+struct LimitedServer {
+    server: ServerInfo,
     /// `None` until the server has reported the size of its batch.
-    gate: Option<BulkGate<FixedLimit>>,
+    limiter: Option<BulkGate<FixedLimit>>,
     /// The number of this daemon's live requests that the limiter knows of.
     live: u32,
     open: Vec<OpenSlot>,
@@ -64,11 +64,11 @@
 }
 
 #[derive(Debug, Default)]
-struct GateTables {
+struct LimiterTables {
     /// Sorted by id.
-    servers: Vec<GatedServer>,
+    servers: Vec<LimitedServer>,
     next_slot: u64,
-    wanted_at: Option<Timestamp>,
+    last_requested_at: Option<Timestamp>,
 }
 
 /// Grants bulk slots on the servers whose home this daemon is, and revokes them
@@ -76,7 +76,7 @@
 /// decides how many there are.
 #[derive(Clone, Debug, Default)]
 pub struct ServerGates {
-    tables: Arc<Mutex<GateTables>>,
+    tables: Arc<Mutex<LimiterTables>>,
     changed: Arc<Notify>,
 }
 
@@ -90,13 +90,13 @@
     pub stop: CancellationToken,
     number: u64,
     gates: ServerGates,
-    begun: Timestamp,
+    started_at: Timestamp,
     clock: crate::clock::ProcessClock,
 }
 
 impl Drop for BulkSlot {
     fn drop(&mut self) {
-        let now = self.clock.now().max(self.begun);
+        let now = self.clock.now().max(self.started_at);
         self.gates.close(self.server.id, self.number, now);
     }
 }
@@ -104,7 +104,7 @@
 impl ServerGates {
     /// Updates the servers and their load, and preempts bulk requests that
     /// exceed the limits.
-    pub fn update(&self, servers: Vec<GateServer>, now: Timestamp) {
+    pub fn update(&self, servers: Vec<ServerInfo>, now: Timestamp) {
         let mut tables = self.lock();
         let old = std::mem::take(&mut tables.servers);
         let mut old = old.into_iter().peekable();
@@ -113,12 +113,12 @@
             // Both lists are sorted by id. A server that has disappeared loses
             // its state; its open slots end with their requests.
             while old.next_if(|it| it.server.id < id).is_some() {}
-            let mut gated = old
+            let mut limited = old
                 .next_if(|it| it.server.id == id)
-                .unwrap_or_else(|| GatedServer::new(server.clone()));
-            gated.take_in(server, now);
-            gated.stop_excess();
-            tables.servers.push(gated);
+                .unwrap_or_else(|| LimitedServer::new(server.clone()));
+            limited.apply(server, now);
+            limited.stop_excess();
+            tables.servers.push(limited);
         }
         drop(tables);
         self.changed.notify_waiters();
@@ -128,10 +128,10 @@
     /// requests are preempted before it arrives.
     pub fn note_arrival(&self, server: ServerId, now: Timestamp) {
         let mut tables = self.lock();
-        if let Some(gated) = tables.get(server) {
-            gated.server.in_flight += 1;
-            gated.show_live(now);
-            gated.stop_excess();
+        if let Some(limited) = tables.get(server) {
+            limited.server.in_flight += 1;
+            limited.update_live(now);
+            limited.stop_excess();
         }
     }
 
@@ -140,23 +140,23 @@
     /// requests left on the server.
     pub fn announce(&self, server: ServerId, count: u32, now: Timestamp) -> u32 {
         let mut tables = self.lock();
-        let Some(gated) = tables.get(server) else {
+        let Some(limited) = tables.get(server) else {
             return 0;
         };
-        if let Some(gate) = &mut gated.gate {
-            (0..count).for_each(|_| gate.announce(now));
+        if let Some(limiter) = &mut limited.limiter {
+            (0..count).for_each(|_| limiter.announce(now));
         }
-        gated.stop_excess();
-        let left = gated.open.iter().filter(|it| !it.stop.is_cancelled());
+        limited.stop_excess();
+        let left = limited.open.iter().filter(|it| !it.stop.is_cancelled());
         u32::try_from(left.count()).unwrap_or(u32::MAX)
     }
 
     /// Applies a server's report of its load.
     pub fn note_report(&self, server: ServerId, report: LoadReport, now: Timestamp) {
         let mut tables = self.lock();
-        if let Some(gated) = tables.get(server) {
-            gated.report(report, now);
-            gated.stop_excess();
+        if let Some(limited) = tables.get(server) {
+            limited.report(report, now);
+            limited.stop_excess();
         }
     }
 
@@ -171,22 +171,22 @@
         choose: impl Fn(ServerId) -> Option<ChosenServer>,
     ) -> Option<BulkSlot> {
         let mut tables = self.lock();
-        tables.wanted_at = Some(now);
-        let place = (0..tables.servers.len())
+        tables.last_requested_at = Some(now);
+        let index = (0..tables.servers.len())
             .filter(|&it| tables.servers[it].may_start(group, now))
             .min_by_key(|&it| tables.servers[it].open.len())?;
-        let server = choose(tables.servers[place].server.id)?;
+        let server = choose(tables.servers[index].server.id)?;
         tables.next_slot += 1;
         let number = tables.next_slot;
         let stop = CancellationToken::new();
-        tables.servers[place].begin(number, stop.clone(), now);
+        tables.servers[index].begin(number, stop.clone(), now);
         drop(tables);
         Some(BulkSlot {
             server,
             stop,
             number,
             gates: self.clone(),
-            begun: now,
+            started_at: now,
             clock,
         })
     }
@@ -201,11 +201,11 @@
     /// would be known of the live requests that other daemons have on them.
     pub fn to_ask(&self, now: Timestamp) -> Vec<(ServerId, String)> {
         let tables = self.lock();
-        let recent = |it: Timestamp| now.since(it) < WANTED_SPAN;
-        let is_wanted = tables.wanted_at.is_some_and(recent);
+        let recent = |it: Timestamp| now.since(it) < DEMAND_WINDOW;
+        let is_requested = tables.last_requested_at.is_some_and(recent);
         let servers = tables.servers.iter();
         servers
-            .filter(|it| it.server.is_home && (is_wanted || !it.open.is_empty()))
+            .filter(|it| it.server.is_home && (is_requested || !it.open.is_empty()))
             .map(|it| (it.server.id, it.server.address.clone()))
             .collect()
     }
@@ -219,7 +219,7 @@
             .map(|it| {
                 let slots = SlotView {
                     open: u32::try_from(it.open.len()).unwrap_or(u32::MAX),
-                    allowed: it.gate.as_ref().map(|gate| gate.allowed(now)),
+                    allowed: it.limiter.as_ref().map(|limiter| limiter.allowed(now)),
                 };
                 (it.server.id, slots)
             })
@@ -233,8 +233,8 @@
 
     fn close(&self, server: ServerId, number: u64, now: Timestamp) {
         let mut tables = self.lock();
-        if let Some(gated) = tables.get(server) {
-            gated.end(number, now);
+        if let Some(limited) = tables.get(server) {
+            limited.end(number, now);
         }
         drop(tables);
         self.changed.notify_waiters();
@@ -242,42 +242,42 @@
 
     /// Locks the tables. After a panic under this lock, the next update
     /// corrects the counts.
-    fn lock(&self) -> MutexGuard<'_, GateTables> {
+    fn lock(&self) -> MutexGuard<'_, LimiterTables> {
         self.tables.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl GateTables {
-    fn get(&mut self, server: ServerId) -> Option<&mut GatedServer> {
-        let place = self
+impl LimiterTables {
+    fn get(&mut self, server: ServerId) -> Option<&mut LimitedServer> {
+        let index = self
             .servers
             .binary_search_by_key(&server, |it| it.server.id);
-        place.ok().map(|place| &mut self.servers[place])
+        index.ok().map(|index| &mut self.servers[index])
     }
 }
 
-impl GatedServer {
-    fn new(server: GateServer) -> Self {
-        GatedServer {
+impl LimitedServer {
+    fn new(server: ServerInfo) -> Self {
+        LimitedServer {
             server,
-            gate: None,
+            limiter: None,
             live: 0,
             open: Vec::new(),
         }
     }
 
     fn may_start(&self, group: &str, now: Timestamp) -> bool {
-        let gate = self.gate.as_ref();
+        let limiter = self.limiter.as_ref();
         self.server.is_home
             && self.server.group == group
-            && gate.is_some_and(|it| it.may_start(now))
+            && limiter.is_some_and(|it| it.may_start(now))
     }
 
     fn begin(&mut self, number: u64, stop: CancellationToken, now: Timestamp) {
         self.server.in_flight += 1;
         self.open.push(OpenSlot { number, stop });
-        if let Some(gate) = &mut self.gate {
-            gate.bulk_begins(now);
+        if let Some(limiter) = &mut self.limiter {
+            limiter.bulk_begins(now);
         }
     }
 
@@ -288,16 +288,16 @@
             return;
         }
         self.server.in_flight = self.server.in_flight.saturating_sub(1);
-        if let Some(gate) = &mut self.gate {
-            gate.bulk_ends(now);
+        if let Some(limiter) = &mut self.limiter {
+            limiter.bulk_ends(now);
         }
     }
 
-    fn take_in(&mut self, server: GateServer, now: Timestamp) {
+    fn apply(&mut self, server: ServerInfo, now: Timestamp) {
         self.server = server;
-        self.show_live(now);
-        if let Some(gate) = &mut self.gate {
-            gate.tick(now);
+        self.update_live(now);
+        if let Some(limiter) = &mut self.limiter {
+            limiter.tick(now);
         }
     }
 
@@ -305,32 +305,32 @@
         if report.batch == 0 {
             return;
         }
-        if self.gate.is_none() {
+        if self.limiter.is_none() {
             // A limit that follows live latencies was tried and rejected: live
             // prompts alone already raise latencies as if bulk work did harm.
             // See docs/DESIGN.md.
             let slots = f64::from(report.batch);
             let limit = FixedLimit { slots };
-            let mut gate = BulkGate::new(GateTiming::default(), limit);
+            let mut limiter = BulkGate::new(GateTiming::default(), limit);
             // The requests already on the server are entered as begun earlier,
             // so that they don't count as a burst.
-            (0..self.live).for_each(|_| gate.live_begins(now - WANTED_SPAN));
-            gate.tick(now);
-            self.gate = Some(gate);
+            (0..self.live).for_each(|_| limiter.live_begins(now - DEMAND_WINDOW));
+            limiter.tick(now);
+            self.limiter = Some(limiter);
         }
-        if let Some(gate) = &mut self.gate {
-            gate.report(report, now);
+        if let Some(limiter) = &mut self.limiter {
+            limiter.report(report, now);
         }
     }
 
     /// Updates the limiter with this daemon's live requests that began or
     /// ended.
-    fn show_live(&mut self, now: Timestamp) {
+    fn update_live(&mut self, now: Timestamp) {
         let bulk = u32::try_from(self.open.len()).unwrap_or(u32::MAX);
         let live = self.server.in_flight.saturating_sub(bulk);
-        if let Some(gate) = &mut self.gate {
-            (self.live..live).for_each(|_| gate.live_begins(now));
-            (live..self.live).for_each(|_| gate.live_ends(now));
+        if let Some(limiter) = &mut self.limiter {
+            (self.live..live).for_each(|_| limiter.live_begins(now));
+            (live..self.live).for_each(|_| limiter.live_ends(now));
         }
         self.live = live;
     }
@@ -339,12 +339,12 @@
     /// they lose the least work if their engine can't resume them.
     fn stop_excess(&mut self) {
         let all = self.open.len();
-        let excess = match &self.gate {
-            Some(gate) if self.server.is_home => gate.excess() as usize,
+        let excess = match &self.limiter {
+            Some(limiter) if self.server.is_home => limiter.excess() as usize,
             _ => all,
         };
-        // Slots that were cancelled before may still be ending, and count
-        // again.
+        // Slots that were cancelled earlier may still be open; cancelling them
+        // again has no effect.
         for slot in self.open.iter().rev().take(excess.min(all)) {
             slot.stop.cancel();
         }
--- a/crates/daemon/src/lot_work/engine_runner.rs
+++ b/crates/daemon/src/lot_work/engine_runner.rs
@@ -27,11 +27,11 @@
 const ANSWER_LIMIT: usize = 512 * 1024;
 /// The maximum wait for an answer to begin, and between two of its pieces. Bulk
 /// work may wait long in a full batch, but an engine that is this slow is hung.
-const LONGEST_GAP: Duration = Duration::from_secs(60);
+const MAX_GAP: Duration = Duration::from_secs(60);
 /// The timeout of the health check after a broken connection.
-const ALIVE_LIMIT: Duration = Duration::from_millis(500);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Request fields whose answers can't be assembled from a stream of plain text.
-const WHOLE_ONLY: [&str; 6] = [
+const UNSTREAMABLE_FIELDS: [&str; 6] = [
     "n",
     "best_of",
     "tools",
@@ -58,7 +58,7 @@
         let Some(request) = run.request() else {
             return run.failed("invalid_body", "the body is not a JSON object");
         };
-        let response = match self.state.client.send_within(LONGEST_GAP, request).await {
+        let response = match self.state.client.send_within(MAX_GAP, request).await {
             Ok(response) => response,
             Err(error) => return self.call_failed(run, &error).await,
         };
@@ -69,7 +69,7 @@
             self.state.bulk.note_report(server.id, report, now);
         }
         if !response.status().is_success() || !run.is_stream {
-            return self.whole_answer(run, response).await;
+            return self.complete_answer(run, response).await;
         }
         self.streamed_answer(run, response.into_body()).await
     }
@@ -99,7 +99,12 @@
         let Ok(request) = request else {
             return ItemOutcome::ServerFault { message };
         };
-        match self.state.client.send_within(ALIVE_LIMIT, request).await {
+        match self
+            .state
+            .client
+            .send_within(HEALTH_CHECK_TIMEOUT, request)
+            .await
+        {
             Err(CallError::NotSent(_)) => ItemOutcome::ServerCrash {
                 message: format!("{} is gone", server.name),
             },
@@ -107,10 +112,10 @@
         }
     }
 
-    async fn whole_answer(&self, run: &ItemRun, response: Response<Incoming>) -> Outcome {
+    async fn complete_answer(&self, run: &ItemRun, response: Response<Incoming>) -> Outcome {
         let status = response.status();
         let body = collect_limited(response.into_body(), ANSWER_LIMIT);
-        let Ok(Ok(body)) = tokio::time::timeout(LONGEST_GAP, body).await else {
+        let Ok(Ok(body)) = tokio::time::timeout(MAX_GAP, body).await else {
             run.slot.server.note_outcome(ServerOutcome::Broken);
             return self.broken(run).await;
         };
@@ -138,7 +143,7 @@
     async fn streamed_answer(&self, run: &mut ItemRun, mut body: Incoming) -> Outcome {
         let mut splitter = EventSplitter::default();
         loop {
-            let frame = tokio::time::timeout(LONGEST_GAP, body.frame()).await;
+            let frame = tokio::time::timeout(MAX_GAP, body.frame()).await;
             let Ok(Some(Ok(frame))) = frame else {
                 run.slot.server.note_outcome(ServerOutcome::Broken);
                 return self.broken(run).await;
@@ -175,21 +180,21 @@
         slot: BulkSlot,
         stop: CancellationToken,
     ) -> Outcome {
-        let begun = self.state.clock.now();
+        let started_at = self.state.clock.now();
         let customer = order.customer.clone();
-        let aside = slot.stop.clone();
+        let preempt = slot.stop.clone();
         let mut run = ItemRun::new(order, slot);
         let outcome = tokio::select! {
             biased;
             () = stop.cancelled() => Some(ItemOutcome::Cancelled),
-            () = aside.cancelled() => None,
+            () = preempt.cancelled() => None,
             outcome = self.answer(&mut run) => Some(outcome),
         };
-        let whole = self.state.clock.now().since(begun);
+        let whole = self.state.clock.now().since(started_at);
         self.state
             .metrics
             .whole(&customer, ServedClass::Bulk, whole);
-        outcome.unwrap_or_else(|| run.step_aside())
+        outcome.unwrap_or_else(|| run.preempted())
     }
 }
 
@@ -233,7 +238,9 @@
     /// assembled from one, since a stream can be stopped and resumed.
     fn body(&mut self) -> Option<Bytes> {
         let mut fields: Map<String, Value> = serde_json::from_slice(&self.order.body).ok()?;
-        self.is_stream = !WHOLE_ONLY.iter().any(|it| fields.contains_key(*it));
+        self.is_stream = !UNSTREAMABLE_FIELDS
+            .iter()
+            .any(|it| fields.contains_key(*it));
         if self.is_stream {
             fields.insert("stream".to_owned(), true.into());
             let options = json!({ "include_usage": true });
@@ -273,7 +280,7 @@
         }
     }
 
-    fn step_aside(self) -> Outcome {
+    fn preempted(self) -> Outcome {
         ItemOutcome::SteppedAside {
             tokens: self.tokens(),
             resume: self.is_stream.then_some(self.builder),
--- a/crates/daemon/src/lot_work/mod.rs
+++ b/crates/daemon/src/lot_work/mod.rs
@@ -1,7 +1,7 @@
 //! Runs the items of lots concurrently with live requests. See docs/LOTS.md.
 
 mod answer_builder;
-mod bulk_gate;
+mod bulk_limiter;
 mod engine_runner;
 mod slot_source;
 
@@ -13,7 +13,7 @@
 use comfreyramp_store::GatewayStore;
 use tokio_util::sync::CancellationToken;
 
-pub use bulk_gate::{BulkSlot, GateServer, ServerGates, SlotView};
+pub use bulk_limiter::{BulkSlot, ServerGates, ServerInfo, SlotView};
 
 use crate::{metrics::DaemonMetrics, server_pool::read_report, shared::SharedState};
 use engine_runner::EngineRunner;
@@ -24,11 +24,11 @@
 
 /// The interval at which the bulk limiters are updated with the load that this
 /// daemon knows of.
-const GATE_INTERVAL: Duration = Duration::from_millis(25);
+const LIMITER_INTERVAL: Duration = Duration::from_millis(25);
 /// The interval at which servers are queried for their load.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
+const LOAD_QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// The timeout of a query for a server's load.
-const ASK_LIMIT: Duration = Duration::from_millis(500);
+const LOAD_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Runs the items of open lots until `stop` is cancelled.
 pub async fn run_lots(state: Arc<SharedState>, stop: CancellationToken) -> anyhow::Result<()> {
@@ -49,18 +49,18 @@
 /// Keeps the bulk limiters updated with the servers and their load, and
 /// preempts bulk work where live work needs the capacity.
 async fn watch_servers(state: &Arc<SharedState>, stop: &CancellationToken) {
-    let mut looks = tokio::time::interval(GATE_INTERVAL);
-    let mut asks = tokio::time::interval(ASK_INTERVAL);
-    asks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut limiter_ticks = tokio::time::interval(LIMITER_INTERVAL);
+    let mut query_ticks = tokio::time::interval(LOAD_QUERY_INTERVAL);
+    query_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = looks.tick() => {
+            _ = limiter_ticks.tick() => {
                 let now = state.clock.now();
                 state.servers.show_gates(&state.bulk, &state.settings, now);
             }
-            _ = asks.tick() => {
+            _ = query_ticks.tick() => {
                 for (server, address) in state.bulk.to_ask(state.clock.now()) {
-                    tokio::spawn(ask_load(state.clone(), server, address));
+                    tokio::spawn(query_load(state.clone(), server, address));
                 }
             }
             () = stop.cancelled() => return,
@@ -70,14 +70,14 @@
 
 /// Queries a server for its load. If it doesn't answer, nothing is recorded,
 /// and its limiter allows no bulk work once the last report is outdated.
-async fn ask_load(state: Arc<SharedState>, server: ServerId, address: String) {
+async fn query_load(state: Arc<SharedState>, server: ServerId, address: String) {
     let request = Request::builder()
         .uri(format!("http://{address}/load"))
         .body(MessageBody::empty());
     let Ok(request) = request else {
         return;
     };
-    let Ok(response) = state.client.send_within(ASK_LIMIT, request).await else {
+    let Ok(response) = state.client.send_within(LOAD_QUERY_TIMEOUT, request).await else {
         return;
     };
     if let Some(report) = read_report(response.headers()) {
--- a/crates/daemon/src/lot_work/slot_source.rs
+++ b/crates/daemon/src/lot_work/slot_source.rs
@@ -10,7 +10,7 @@
 /// The interval at which a waiting item checks for a slot without a
 /// notification. A server may allow bulk work again merely because time has
 /// passed.
-const LOOK_INTERVAL: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Provides the slots of the bulk limiters to the lot worker.
 #[derive(Debug)]
@@ -26,13 +26,13 @@
     fn try_open(&self, models: &[Arc<str>]) -> Option<(usize, BulkSlot)> {
         let snapshot = self.state.snapshot();
         let now = self.state.clock.now();
-        models.iter().enumerate().find_map(|(place, model)| {
+        models.iter().enumerate().find_map(|(index, model)| {
             let service = snapshot.service_of_model(model)?;
             let group = &service.settings.group;
             let choose = |id| self.state.servers.take_for_bulk(id, self.state.clock);
             let clock = self.state.clock;
             let slot = self.state.bulk.open(group, clock, now, choose)?;
-            Some((place, slot))
+            Some((index, slot))
         })
     }
 }
@@ -47,7 +47,7 @@
             }
             tokio::select! {
                 () = self.state.bulk.changed() => {}
-                () = tokio::time::sleep(LOOK_INTERVAL) => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
         }
     }
--- a/crates/daemon/src/server_pool.rs
+++ b/crates/daemon/src/server_pool.rs
@@ -19,14 +19,14 @@
 
 use crate::{
     clock::ProcessClock,
-    lot_work::{GateServer, ServerGates},
+    lot_work::{ServerGates, ServerInfo},
     snapshot::NameArena,
     suspects::SuspectRun,
 };
 
 /// How long a home daemon's report of its bulk requests on a server stays
 /// valid.
-const TOLD_LIFETIME: Duration = Duration::from_secs(2);
+const BULK_REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
 /// The group of the daemons themselves. Its VMs are not backend servers.
 pub const ENTRY_GROUP: &str = "entry";
@@ -49,7 +49,7 @@
     daemons: Vec<ZoneDaemon>,
     /// Servers on which their home daemon reported bulk requests, with the time
     /// of the report.
-    told: Vec<(ServerId, Timestamp)>,
+    bulk_reports: Vec<(ServerId, Timestamp)>,
 }
 
 /// A cloneable handle to the backend servers. The request path chooses servers
@@ -77,7 +77,7 @@
     pub run: Option<SuspectRun>,
     is_bulk: bool,
     pool: ServerPool,
-    begun: Timestamp,
+    started_at: Timestamp,
     clock: ProcessClock,
 }
 
@@ -130,9 +130,9 @@
         let Some(entry) = self.servers.entry(id) else {
             return;
         };
-        let mut yielding = entry.load.yielding;
-        yielding.own = change(yielding.own);
-        self.servers.set_yielding(id, yielding);
+        let mut preemptible = entry.load.yielding;
+        preemptible.own = change(preemptible.own);
+        self.servers.set_yielding(id, preemptible);
     }
 
     /// Returns the daemons of the zone. This daemon is included even if the
@@ -146,29 +146,29 @@
     }
 
     /// Removes outdated reports from home daemons. The bulk work may have ended
-    /// since, and as many requests of the server's later load reports would be
-    /// ignored as preemptible.
-    fn forget_told(&mut self, now: Timestamp) {
-        let is_old = |it: &(ServerId, Timestamp)| now.since(it.1) >= TOLD_LIFETIME;
+    /// since, and an equal number of requests in the server's load reports
+    /// would wrongly be ignored as preemptible.
+    fn expire_bulk_reports(&mut self, now: Timestamp) {
+        let is_old = |it: &(ServerId, Timestamp)| now.since(it.1) >= BULK_REPORT_LIFETIME;
         let old: Vec<ServerId> = self
-            .told
+            .bulk_reports
             .iter()
             .filter(|it| is_old(it))
             .map(|it| it.0)
             .collect();
-        self.told.retain(|it| !is_old(it));
+        self.bulk_reports.retain(|it| !is_old(it));
         for server in old {
-            self.set_others_bulk(server, 0);
+            self.set_reported_bulk(server, 0);
         }
     }
 
-    fn set_others_bulk(&mut self, id: ServerId, bulk: u32) {
+    fn set_reported_bulk(&mut self, id: ServerId, bulk: u32) {
         let Some(entry) = self.servers.entry(id) else {
             return;
         };
-        let mut yielding = entry.load.yielding;
-        yielding.others = bulk;
-        self.servers.set_yielding(id, yielding);
+        let mut preemptible = entry.load.yielding;
+        preemptible.others = bulk;
+        self.servers.set_yielding(id, preemptible);
     }
 
     fn route<'a>(&mut self, query: PoolQuery<'a>) -> RouteQuery<'a> {
@@ -194,7 +194,7 @@
                 address: it.address.parse().ok(),
             })
             .collect();
-        tables.forget_told(now);
+        tables.expire_bulk_reports(now);
         let listed: Vec<ListedServer> = vms
             .iter()
             .filter(|it| it.group != ENTRY_GROUP)
@@ -237,7 +237,7 @@
             run: None,
             is_bulk: false,
             pool: self.clone(),
-            begun: now,
+            started_at: now,
             clock,
         })
     }
@@ -252,7 +252,7 @@
 
     /// Whether some server is expected to have the capacity to start one more
     /// request at once.
-    pub fn has_room(&self, query: PoolQuery<'_>, clock: ProcessClock) -> bool {
+    pub fn has_capacity(&self, query: PoolQuery<'_>, clock: ProcessClock) -> bool {
         let mut tables = self.lock();
         let route = tables.route(query);
         let now = clock.now();
@@ -291,7 +291,7 @@
             run: None,
             is_bulk: false,
             pool: self.clone(),
-            begun: clock.now(),
+            started_at: clock.now(),
             clock,
         })
     }
@@ -307,19 +307,19 @@
 
     /// Counts a request on the server with this key, if the server takes new
     /// work and this daemon's live requests don't fill its batch.
-    pub fn take_with_room(
+    pub fn take_with_capacity(
         &self,
         key: ServerKey,
         exclude: &[ServerId],
         clock: ProcessClock,
     ) -> Option<ChosenServer> {
         let id = self.id_of(key)?;
-        let has_room = {
+        let has_capacity = {
             let tables = self.lock();
             let load = &tables.servers.entry(id)?.load;
             load.in_flight.saturating_sub(load.yielding.own) < load.batch()
         };
-        has_room
+        has_capacity
             .then(|| self.take_key(key, exclude, clock))
             .flatten()
     }
@@ -344,9 +344,9 @@
     /// Records how many bulk requests a server's home daemon reports on it.
     pub fn note_others_bulk(&self, id: ServerId, bulk: u32, now: Timestamp) {
         let mut tables = self.lock();
-        tables.told.retain(|it| it.0 != id);
-        tables.told.push((id, now));
-        tables.set_others_bulk(id, bulk);
+        tables.bulk_reports.retain(|it| it.0 != id);
+        tables.bulk_reports.push((id, now));
+        tables.set_reported_bulk(id, bulk);
     }
 
     /// Returns a server's key and the address at which its home daemon listens
@@ -376,11 +376,11 @@
         let mut tables = self.lock();
         let zone = ZoneId(tables.zones.id(&settings.zone));
         let daemons = tables.daemon_names(&settings.name);
-        let mut servers: Vec<GateServer> = tables
+        let mut servers: Vec<ServerInfo> = tables
             .servers
             .servers()
             .filter(|(_, entry)| entry.zone == zone)
-            .map(|(id, entry)| GateServer {
+            .map(|(id, entry)| ServerInfo {
                 id,
                 address: entry.address.clone(),
                 group: tables
@@ -413,7 +413,7 @@
                 zone: name(&tables.zones, entry.zone.0),
                 group: name(&tables.groups, entry.group.0),
                 address: entry.address.clone(),
-                state: state_word(entry.state),
+                state: state_label(entry.state),
                 in_flight: entry.load.in_flight,
                 weight: entry.health.weight(now),
             })
@@ -441,7 +441,7 @@
 
     /// Records that the first token of the answer has arrived.
     pub fn note_first_token(&self) {
-        let span = self.clock.now().since(self.begun);
+        let span = self.clock.now().since(self.started_at);
         self.pool.lock().servers.first_token(self.id, span);
     }
 
@@ -477,7 +477,7 @@
 
 impl Drop for ChosenServer {
     fn drop(&mut self) {
-        let held = self.clock.now().since(self.begun);
+        let held = self.clock.now().since(self.started_at);
         let mut tables = self.pool.lock();
         tables.servers.end(self.id, held);
         if self.is_bulk {
@@ -504,7 +504,7 @@
     })
 }
 
-fn state_word(state: ServerState) -> &'static str {
+fn state_label(state: ServerState) -> &'static str {
     match state {
         ServerState::Live => "live",
         ServerState::Leaving => "leaving",
