--- a/crates/daemon/src/attempts.rs
+++ b/crates/daemon/src/attempts.rs
@@ -150,7 +150,7 @@
             AttemptFailure::Broken | AttemptFailure::TimedOut => log.lost += 1,
             _ => {}
         }
-        let verdict = self.evaluate_failure(log, failure);
+        let verdict = self.retry_verdict(log, failure);
         let step = TraceStep::Failed {
             failure: failure.as_str(),
             again: verdict.is_ok(),
@@ -159,11 +159,7 @@
         verdict
     }
 
-    fn evaluate_failure(
-        &self,
-        log: &AttemptLog,
-        failure: AttemptFailure,
-    ) -> Result<(), ErrorAnswer> {
+    fn retry_verdict(&self, log: &AttemptLog, failure: AttemptFailure) -> Result<(), ErrorAnswer> {
         if failure == AttemptFailure::NoServer {
             return Err(no_server(log));
         }
--- a/crates/daemon/src/claims/claim_records.rs
+++ b/crates/daemon/src/claims/claim_records.rs
@@ -13,9 +13,9 @@
 use crate::record_lease::RecordLease;
 
 /// The prefix of the store keys of claim records.
-const RECORD_PREFIX: &str = "/comfreyramp/claims/records/";
+const RECORDS: &str = "/comfreyramp/claims/records/";
 /// The prefix of the store keys of answers.
-const ANSWER_PREFIX: &str = "/comfreyramp/claims/answers/";
+const ANSWERS: &str = "/comfreyramp/claims/answers/";
 
 /// Reads and writes the records of claims in the store, which keeps them for a
 /// day.
@@ -146,12 +146,12 @@
 impl ClaimRecords<()> {
     /// Returns the store key of a call's answer.
     pub fn answer_key(key: ClaimKey) -> String {
-        format!("{ANSWER_PREFIX}{:032x}", key.0)
+        format!("{ANSWERS}{:032x}", key.0)
     }
 }
 
 fn record_key(key: ClaimKey) -> String {
-    format!("{RECORD_PREFIX}{:032x}", key.0)
+    format!("{RECORDS}{:032x}", key.0)
 }
 
 fn encode(record: &ClaimRecord) -> Option<Bytes> {
--- a/crates/daemon/src/live_queue/start_queues.rs
+++ b/crates/daemon/src/live_queue/start_queues.rs
@@ -230,7 +230,7 @@
 
 fn group_queue<'a>(groups: &'a mut Vec<GroupQueue>, name: &str) -> &'a mut GroupQueue {
     let position = groups.binary_search_by(|it| it.group.as_str().cmp(name));
-    let at = entry.unwrap_or_else(|at| {
+    let at = position.unwrap_or_else(|at| {
         let group = GroupQueue {
             group: name.to_owned(),
             ..GroupQueue::default()
