--- a/crates/daemon/src/callers/upload.rs
+++ b/crates/daemon/src/callers/upload.rs
@@ -31,8 +31,8 @@
 /// The limits on the size and duration of an upload.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UploadLimits {
-    /// The maximum body size in bytes: the largest file, plus 64 KiB for the
-    /// other fields.
+    /// The maximum body size in bytes: the largest file, plus some capacity for
+    /// the other fields.
     pub(super) body: u64,
     /// The maximum number of bytes read but not yet consumed as field content.
     /// Without it, a field head that never ends would fill the memory.
--- a/crates/daemon/src/lot_work/bulk_limiter.rs
+++ b/crates/daemon/src/lot_work/bulk_limiter.rs
@@ -89,7 +89,7 @@
     /// Cancelled when the request is preempted by live work.
     pub stop: CancellationToken,
     number: u64,
-    gates: ServerGates,
+    limiters: ServerGates,
     started_at: Timestamp,
     clock: crate::clock::ProcessClock,
 }
@@ -97,7 +97,7 @@
 impl Drop for BulkSlot {
     fn drop(&mut self) {
         let now = self.clock.now().max(self.started_at);
-        self.gates.close(self.server.id, self.number, now);
+        self.limiters.close(self.server.id, self.number, now);
     }
 }
 
@@ -185,7 +185,7 @@
             server,
             stop,
             number,
-            gates: self.clone(),
+            limiters: self.clone(),
             started_at: now,
             clock,
         })
@@ -227,7 +227,7 @@
     }
 
     /// Returns the number of open bulk requests.
-    pub fn bulk(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.lock().servers.iter().map(|it| it.open.len()).sum()
     }
 
--- a/crates/daemon/src/server_pool.rs
+++ b/crates/daemon/src/server_pool.rs
@@ -372,7 +372,7 @@
 
     /// Updates the bulk limiters with the servers of this daemon's zone.
     /// Servers that are leaving, dropped or ejected get no bulk work.
-    pub fn show_gates(&self, gates: &ServerGates, settings: &DaemonSettings, now: Timestamp) {
+    pub fn show_gates(&self, limiters: &ServerGates, settings: &DaemonSettings, now: Timestamp) {
         let mut tables = self.lock();
         let zone = ZoneId(tables.zones.id(&settings.zone));
         let daemons = tables.daemon_names(&settings.name);
@@ -397,7 +397,7 @@
         servers.sort_by_key(|it| it.id);
         drop(daemons);
         drop(tables);
-        gates.update(servers, now);
+        limiters.update(servers, now);
     }
 
     /// Returns the servers as reported to operators.
