--- a/crates/daemon/src/callers/engine_stream.rs
+++ b/crates/daemon/src/callers/engine_stream.rs
@@ -1,4 +1,5 @@
-//! Streamed answers, which go on from another engine when theirs dies.
+//! Streamed answers, which are resumed on another engine when their engine
+//! fails.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,13 +25,14 @@
     traces::TraceStep,
 };
 
-/// The longest gap between two tokens before an engine counts as hung.
-const LONGEST_GAP: Duration = Duration::from_secs(5);
+/// The maximum time between two tokens, after which an engine counts as hung.
+const MAX_TOKEN_GAP: Duration = Duration::from_secs(5);
 
-/// Answers a streamed request.
+/// Handles a streamed request.
 ///
-/// The first attempt's head is awaited, so that a refusal still gets a proper
-/// status. From then on a task of its own passes events on.
+/// The head of an answer is awaited before the response begins, so that a
+/// rejected request still gets a proper status. From then on a separate task
+/// forwards the events.
 pub(super) async fn answer(
     state: &Arc<SharedState>,
     call: EngineCall,
@@ -50,47 +52,47 @@
         let headers = response.headers().clone();
         AnswerCopy::new(response.status(), headers)
     });
-    let pump = StreamPump {
+    let forwarder = StreamForwarder {
         state: state.clone(),
         copy,
         last_token: call.caller.arrived,
         call,
         log,
     };
-    tokio::spawn(pump.run(server, upstream, sender));
+    tokio::spawn(forwarder.run(server, upstream, sender));
     Ok(response)
 }
 
-/// Passes the events of one answer on to its caller.
+/// Forwards the events of one answer to its caller.
 #[derive(Debug)]
-struct StreamPump {
+struct StreamForwarder {
     state: Arc<SharedState>,
     call: EngineCall,
     log: AttemptLog,
-    /// What the caller has, if it must be kept for resends.
+    /// A copy of what the caller received, if it must be stored for resends.
     copy: Option<AnswerCopy>,
     last_token: Timestamp,
 }
 
-/// How one upstream stream ended.
+/// How a stream from one engine ended.
 enum StreamEnd {
-    /// The whole answer was delivered.
+    /// The complete answer was forwarded.
     Done,
-    /// The caller is gone.
+    /// The caller disconnected.
     CallerGone,
-    /// The connection broke, or the engine reported an error.
+    /// The connection broke, or the engine hung or reported an error.
     Broken,
-    /// The request's time is over.
+    /// The request's deadline passed.
     TimedOut,
 }
 
-impl StreamPump {
+impl StreamForwarder {
     async fn run(mut self, server: ChosenServer, upstream: Response<Incoming>, sender: BodySender) {
         let state = self.state.clone();
         let caller = self.call.caller.clone();
         let withdrawn = key_withdrawn(&state, &caller);
         let problem = tokio::select! {
-            problem = self.pump(server, upstream, &sender) => problem,
+            problem = self.forward(server, upstream, &sender) => problem,
             () = withdrawn => Some(withdrawn_answer().ran(RunState::Partly)),
             () = sender.closed() => None,
         };
@@ -101,7 +103,7 @@
             state.metrics.refusal(&caller.customer.name, problem.code);
             // The stream ends without `[DONE]`, after an event that client
             // libraries raise as an error. Breaking the connection instead
-            // would lose the event with it.
+            // would lose that event.
             sender
                 .send(format!("data: {}\n\n", problem.to_json()))
                 .await;
@@ -114,16 +116,17 @@
             .whole(&caller.customer.name, ServedClass::Live, whole);
     }
 
-    /// Passes events on until the answer ends, through as many engines as it
-    /// takes. Returns what to tell the caller if it can't be finished.
-    async fn pump(
+    /// Forwards events until the answer ends, resuming on other engines as
+    /// often as needed. Returns the error for the caller if the answer can't be
+    /// completed.
+    async fn forward(
         &mut self,
         mut server: ChosenServer,
         mut upstream: Response<Incoming>,
         sender: &BodySender,
     ) -> Option<ErrorAnswer> {
         loop {
-            match self.pass_on(&server, upstream, sender).await {
+            match self.forward_events(&server, upstream, sender).await {
                 StreamEnd::Done | StreamEnd::CallerGone => return None,
                 StreamEnd::TimedOut => {
                     let failure = AttemptFailure::TimedOut;
@@ -139,7 +142,7 @@
         }
     }
 
-    async fn pass_on(
+    async fn forward_events(
         &mut self,
         server: &ChosenServer,
         upstream: Response<Incoming>,
@@ -148,11 +151,11 @@
         let mut body = upstream.into_body();
         let mut splitter = EventSplitter::default();
         loop {
-            let frame = match tokio::time::timeout(self.patience(), body.frame()).await {
+            let frame = match tokio::time::timeout(self.event_timeout(), body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(Some(Err(_))) => {
                     server.note_broken().await;
-                    return self.lost_stream(server);
+                    return self.note_lost_stream(server);
                 }
                 Ok(None) => return self.broken(server),
                 Err(_) if self.state.clock.now() < self.call.deadline => {
@@ -198,26 +201,27 @@
         self.call.finish(|| copy.and_then(AnswerCopy::finish));
     }
 
-    /// How long to wait for the next piece.
+    /// Returns how long to wait for the next piece.
     ///
-    /// An engine can hang with its connection open. Its callers would wait to
-    /// their deadlines; a gap far beyond any usual one between tokens tells.
-    /// The first token may rightly take long, while others are ahead in line.
-    fn patience(&self) -> Duration {
+    /// An engine can hang with its connection open, and its callers would wait
+    /// until their deadlines. A gap far longer than is typical between tokens
+    /// reveals such an engine. The first token may take long, since other
+    /// requests may be queued before this one.
+    fn event_timeout(&self) -> Duration {
         let left = self.call.deadline.since(self.state.clock.now());
         if self.log.delivered == 0 {
             left
         } else {
-            left.min(LONGEST_GAP)
+            left.min(MAX_TOKEN_GAP)
         }
     }
 
     fn broken(&self, server: &ChosenServer) -> StreamEnd {
         server.note_outcome(ServerOutcome::Broken);
-        self.lost_stream(server)
+        self.note_lost_stream(server)
     }
 
-    fn lost_stream(&self, server: &ChosenServer) -> StreamEnd {
+    fn note_lost_stream(&self, server: &ChosenServer) -> StreamEnd {
         log::warn!(
             "callers: {} lost its stream from {} after {} tokens",
             self.call.caller.request_id,
@@ -246,7 +250,7 @@
         self.last_token = now;
     }
 
-    /// Asks another engine for the rest of the answer.
+    /// Requests the rest of the answer from another engine.
     async fn resume(&mut self) -> Result<(ChosenServer, Response<Incoming>), ErrorAnswer> {
         self.log.answer_begun |= self.log.delivered > 0 && !self.call.can_resume;
         let mut failure = AttemptFailure::Broken;
@@ -264,12 +268,13 @@
     }
 }
 
-/// The request's body with the number of tokens that the caller has.
+/// Returns the request's body with the number of tokens that the caller has
+/// already received.
 fn resumed_body(body: &Bytes, delivered: u32) -> Bytes {
     if delivered == 0 {
         return body.clone();
     }
-    // The body was parsed as an object before its first attempt.
+    // The body was parsed as an object before the first attempt.
     let mut fields: serde_json::Map<String, serde_json::Value> =
         serde_json::from_slice(body).unwrap_or_default();
     fields.insert("resume_from".to_owned(), delivered.into());
--- a/crates/daemon/src/callers/forwarded.rs
+++ b/crates/daemon/src/callers/forwarded.rs
@@ -1,12 +1,13 @@
-//! What of a caller's request is passed on to a backend server.
+//! Selects the headers that are forwarded to backend servers and back to
+//! callers.
 
 use comfreyramp_http::{ErrorAnswer, HeaderMap, StatusCode, header};
 
 use super::{Caller, caller::REQUEST_ID_HEADER};
 
-/// Headers that belong to one connection, or that carry credentials, and so
-/// are never passed on.
-const KEPT_BACK: &[&str] = &[
+/// Headers that belong to a single connection or carry credentials, and so are
+/// never forwarded. Sorted for binary search.
+const NOT_FORWARDED: &[&str] = &[
     "authorization",
     "connection",
     "content-length",
@@ -32,46 +33,47 @@
     headers.get(ONCE_HEADER).is_some_and(|it| it != "false")
 }
 
-/// The caller's headers without what is kept back.
+/// Returns the caller's headers without those that must not be forwarded.
 ///
-/// A header that contains the key under whatever name is dropped too: clients
-/// put keys in headers of their own, and a backend server must never see one.
+/// A header whose value contains the key is dropped too, whatever its name:
+/// clients put keys in headers of their own, and a backend server must never
+/// receive one.
 pub(super) fn forwarded_headers(caller: &Caller, headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let kept_back = KEPT_BACK.binary_search(&name.as_str()).is_ok();
-        if !kept_back && !caller.shows_key(value.as_bytes()) {
-            passed.append(name.clone(), value.clone());
+        let is_withheld = NOT_FORWARDED.binary_search(&name.as_str()).is_ok();
+        if !is_withheld && !caller.contains_key(value.as_bytes()) {
+            forwarded.append(name.clone(), value.clone());
         }
     }
     if let Ok(id) = caller.request_id.parse() {
-        passed.insert(REQUEST_ID_HEADER, id);
+        forwarded.insert(REQUEST_ID_HEADER, id);
     }
-    passed
+    forwarded
 }
 
-/// The backend server's headers without those of its connection.
+/// Returns the backend server's headers without those of its connection.
 pub(super) fn returned_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if name != header::CONTENT_LENGTH && KEPT_BACK.binary_search(&name.as_str()).is_ok() {
+        if name != header::CONTENT_LENGTH && NOT_FORWARDED.binary_search(&name.as_str()).is_ok() {
             continue;
         }
-        passed.append(name.clone(), value.clone());
+        forwarded.append(name.clone(), value.clone());
     }
-    passed
+    forwarded
 }
 
-/// Refuses a path, query or body that contains the caller's key.
-pub(super) fn refuse_shown_key(
+/// Rejects a path, query or body that contains the caller's key.
+pub(super) fn reject_contained_key(
     caller: &Caller,
     place: &str,
     bytes: &[u8],
 ) -> Result<(), ErrorAnswer> {
-    if !caller.shows_key(bytes) {
+    if !caller.contains_key(bytes) {
         return Ok(());
     }
-    let text = format!("The {place} contains your key. Show it in the Authorization header only.");
+    let text = format!("The {place} contains your key. Send it in the Authorization header only.");
     let answer = ErrorAnswer::new(StatusCode::BAD_REQUEST, "key_in_request", text);
     Err(answer.param(place))
 }
--- a/crates/daemon/src/callers/run_once.rs
+++ b/crates/daemon/src/callers/run_once.rs
@@ -1,4 +1,4 @@
-//! Calls that must not run twice: their claim, and what a resend is told.
+//! Calls that must not run twice: their claims, and the answers to resends.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,14 +11,14 @@
     shared::SharedState,
 };
 
-/// The header by which a resend is recognised.
+/// The header by which a resend is recognized.
 const KEY_HEADER: &str = "idempotency-key";
-/// The longest `Idempotency-Key`, in bytes.
-const KEY_LIMIT: usize = 256;
-/// When a caller may come back for an answer that can't be read now.
+/// The maximum length of an `Idempotency-Key` in bytes.
+const MAX_KEY_BYTES: usize = 256;
+/// `retry_after` for a call that has run and whose answer can't be returned.
 const ANSWER_RETRY: Duration = Duration::from_secs(5);
 
-/// What a claim is for.
+/// The call for which a claim is requested.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClaimSubject<'a> {
     pub(super) service: &'a str,
@@ -26,23 +26,23 @@
     pub(super) deadline: Timestamp,
 }
 
-/// How a call goes on.
+/// How a call proceeds after the claim.
 #[derive(Debug)]
 pub(super) enum ClaimStep {
-    /// It may run more than once, and has no claim.
+    /// The call may run more than once and needs no claim.
     Unclaimed,
-    /// It may be sent once.
+    /// The call may be sent once.
     Granted(ClaimGrant),
-    /// It ran before, and this was its answer.
+    /// The call ran before; this is its stored answer.
     Answered(Response<MessageBody>),
 }
 
-/// Whether a call must not run twice.
+/// Whether the headers say that the call must not run twice.
 pub(super) fn runs_once(headers: &HeaderMap) -> bool {
     is_marked_once(headers) || headers.contains_key(KEY_HEADER)
 }
 
-/// Claims a call that must not run twice, before any byte of it leaves.
+/// Claims a call that must not run twice, before any byte of it is sent.
 pub(super) async fn claim_call(
     state: &Arc<SharedState>,
     caller: &Caller,
@@ -59,11 +59,11 @@
     let claim = state.claims.acquire(key, subject.body, subject.deadline);
     match claim.await {
         ClaimOutcome::Granted(grant) => Ok(ClaimStep::Granted(grant)),
-        ClaimOutcome::Answered(place) => {
-            let answer = read_answer(state, key, &place).await?;
+        ClaimOutcome::Answered(location) => {
+            let answer = read_answer(state, key, &location).await?;
             Ok(ClaimStep::Answered(answer))
         }
-        ClaimOutcome::Refused(refusal) => Err(refused(&refusal)),
+        ClaimOutcome::Refused(refusal) => Err(claim_error(&refusal)),
     }
 }
 
@@ -72,11 +72,11 @@
         return Ok(None);
     };
     let key = value.to_str().ok();
-    let key = key.filter(|it| !it.is_empty() && it.len() <= KEY_LIMIT);
+    let key = key.filter(|it| !it.is_empty() && it.len() <= MAX_KEY_BYTES);
     if key.is_some() {
         return Ok(key);
     }
-    let text = format!("Idempotency-Key must be 1 to {KEY_LIMIT} characters of ASCII text.");
+    let text = format!("Idempotency-Key must be 1 to {MAX_KEY_BYTES} characters of ASCII text.");
     let answer = ErrorAnswer::new(StatusCode::BAD_REQUEST, "bad_idempotency_key", text);
     Err(answer.param("Idempotency-Key"))
 }
@@ -84,20 +84,20 @@
 async fn read_answer(
     state: &SharedState,
     key: ClaimKey,
-    place: &AnswerRef,
+    location: &AnswerRef,
 ) -> Result<Response<MessageBody>, ErrorAnswer> {
-    if place.0.is_empty() {
-        let text = "This call has run. Its answer was too long to be kept.";
+    if location.0.is_empty() {
+        let text = "This call has run. Its answer was too long to be stored.";
         return Err(already_ran("already_ran", text));
     }
     if let Some(answer) = state.claims.pending_answer(key) {
         return Ok(answer.into_response());
     }
     let read = ClaimRecords::new(state.store.clone());
-    match read.read_answer(&place.0).await {
+    match read.read_answer(&location.0).await {
         Ok(Some(answer)) => Ok(answer.into_response()),
         Ok(None) => {
-            let text = "This call has run. Its answer is not kept any more.";
+            let text = "This call has run. Its answer is no longer stored.";
             Err(already_ran("already_ran", text))
         }
         Err(_) => {
@@ -113,17 +113,17 @@
         .retry_after(ANSWER_RETRY)
 }
 
-fn refused(refusal: &ClaimRefusal) -> ErrorAnswer {
+fn claim_error(refusal: &ClaimRefusal) -> ErrorAnswer {
     let (status, code, text) = match refusal.cause {
         ClaimCause::NoPlatform => (
             StatusCode::SERVICE_UNAVAILABLE,
             "claims_unavailable",
-            "The platform can't be asked whether this call ran before, so it was not sent.",
+            "The platform can't be queried whether this call ran before, so it was not sent.",
         ),
         ClaimCause::Busy => (
             StatusCode::SERVICE_UNAVAILABLE,
             "claims_busy",
-            "Too many calls that must not run twice wait at present.",
+            "Too many calls that must not run twice are waiting at present.",
         ),
         ClaimCause::Late => (
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/daemon/src/live_queue/start_queues.rs
+++ b/crates/daemon/src/live_queue/start_queues.rs
@@ -1,4 +1,4 @@
-//! The requests that wait for a server, by group.
+//! The requests that wait for a server, one queue for each server group.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
-use super::{CallRank, call_rank::HABITS_POLLED};
+use super::{CallRank, call_rank::HABIT_POLL_INTERVAL};
 use crate::{
     attempts::{AttemptFailure, BUSY_RETRY},
     server_pool::{ChosenServer, PoolQuery},
@@ -17,73 +17,77 @@
     suspects::RunRequest,
 };
 
-/// How often it is looked whether a server has room. Most turns come when a
-/// request ends; what other daemons sent fades from the estimates by itself.
-const TURN_INTERVAL: Duration = Duration::from_millis(20);
+/// The interval at which the queues are checked for requests that can start.
+/// Most requests start when another one ends; but the estimates of what other
+/// daemons sent also decay with time, which frees capacity without any event.
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The requests that wait for a server.
+/// The queues of all groups, behind one briefly held lock.
 #[derive(Debug, Default)]
 pub struct StartQueues {
     groups: Mutex<Vec<GroupQueue>>,
 }
 
-/// The requests that wait for a server of one group.
+/// The queue of one group.
 #[derive(Debug, Default)]
 struct GroupQueue {
     group: String,
     queue: LiveQueue,
     last_number: u64,
-    /// In order of their numbers.
+    /// Sorted by number.
     waiters: Vec<Waiter>,
 }
 
-type Turn = Result<ChosenServer, AttemptFailure>;
+type StartResult = Result<ChosenServer, AttemptFailure>;
 
-/// A request that waits, and where it may go.
+/// A waiting request and the constraints on its server.
 #[derive(Debug)]
 struct Waiter {
     number: u64,
     prefix: u64,
     exclude: Vec<ServerId>,
-    /// The server that runs a copy of it.
-    beside: Option<ServerKey>,
-    turn: oneshot::Sender<Turn>,
+    /// The server that already runs a copy of the request, which is preferred
+    /// if it has capacity.
+    copy_server: Option<ServerKey>,
+    result: oneshot::Sender<StartResult>,
 }
 
 impl SharedState {
-    /// Waits until a server has room for a request and its turn has come.
+    /// Waits until the request is the next to start and a server has capacity
+    /// for it. Returns the server, with the request counted on it.
     pub(crate) async fn wait_for_turn(
         &self,
         request: RunRequest<'_>,
         query: PoolQuery<'_>,
-        beside: Option<ServerKey>,
+        copy_server: Option<ServerKey>,
     ) -> Result<ChosenServer, AttemptFailure> {
         if !self.servers.has_server(query, self.clock) {
             return Err(AttemptFailure::NoServer);
         }
-        let (sender, turn) = oneshot::channel();
+        let (sender, result) = oneshot::channel();
         let waiter = Waiter {
             number: 0,
             prefix: query.prefix.unwrap_or_default(),
             exclude: query.exclude.to_vec(),
-            beside,
-            turn: sender,
+            copy_server,
+            result: sender,
         };
-        let number = self.enter(request, waiter)?;
-        let place = QueuePlace {
+        let number = self.enqueue(request, waiter)?;
+        let entry = QueueEntry {
             state: self,
             group: request.group,
             customer: request.rank.customer,
             number,
         };
-        let turn = turn.await;
-        drop(place);
-        // A waiter that is gone without a word had to make way.
-        turn.unwrap_or(Err(AttemptFailure::HeldBack(BUSY_RETRY)))
+        let result = result.await;
+        drop(entry);
+        // The sender is dropped without a result only if the request had to
+        // give way to another one.
+        result.unwrap_or(Err(AttemptFailure::QueueTooLong(BUSY_RETRY)))
     }
 
-    /// Takes a request into its queue, and returns its number there.
-    fn enter(&self, request: RunRequest<'_>, mut waiter: Waiter) -> Result<u64, AttemptFailure> {
+    /// Adds a request to its group's queue and returns its number there.
+    fn enqueue(&self, request: RunRequest<'_>, mut waiter: Waiter) -> Result<u64, AttemptFailure> {
         let now = self.clock.now();
         let CallRank {
             customer,
@@ -105,62 +109,64 @@
         };
         group.queue.set_weight(customer, weight);
         let entered = group.queue.push(call, now);
-        let evicted = entered.map_err(|it| AttemptFailure::HeldBack(it.retry_after))?;
+        let evicted = entered.map_err(|it| AttemptFailure::QueueTooLong(it.retry_after))?;
         if let Some(evicted) = evicted {
-            group.refuse(evicted.number);
+            group.reject(evicted.number);
         }
         group.waiters.push(waiter);
-        self.give_turns(group);
+        self.start_ready(group);
         Ok(call.number)
     }
 
-    /// Lets the requests go that a server has room for, and refuses those whose
-    /// time has passed or that can't start in time any more.
-    fn give_turns(&self, group: &mut GroupQueue) {
+    /// Starts the requests for which a server has capacity, and rejects those
+    /// whose deadline has passed or that can no longer start in time.
+    fn start_ready(&self, group: &mut GroupQueue) {
         let now = self.clock.now();
         for late in group.queue.take_late(now) {
-            group.refuse(late.number);
+            group.reject(late.number);
         }
         for hopeless in group.queue.take_hopeless(now) {
-            group.refuse(hopeless.number);
+            group.reject(hopeless.number);
         }
-        let room = PoolQuery {
+        let any_server = PoolQuery {
             group: &group.group,
             zone: &self.settings.zone,
             prefix: None,
             exclude: &[],
         };
-        while !group.queue.is_empty() && self.servers.has_room(room, self.clock) {
+        while !group.queue.is_empty() && self.servers.has_capacity(any_server, self.clock) {
             let Some(call) = group.queue.pop(now) else {
                 return;
             };
-            let Some(waiter) = take_waiter(&mut group.waiters, call.number) else {
+            let Some(waiter) = remove_waiter(&mut group.waiters, call.number) else {
                 continue;
             };
             let query = PoolQuery {
                 prefix: Some(waiter.prefix),
                 exclude: &waiter.exclude,
-                ..room
+                ..any_server
             };
-            let beside = waiter.beside;
-            let beside =
-                beside.and_then(|it| self.servers.take_with_room(it, &waiter.exclude, self.clock));
-            let server = beside.or_else(|| self.servers.choose(query, self.clock));
-            // A caller that is gone gives the server back.
-            let _ = waiter.turn.send(server.ok_or(AttemptFailure::NoServer));
+            let copy_server = waiter.copy_server;
+            let copy_server = copy_server.and_then(|it| {
+                self.servers
+                    .take_with_capacity(it, &waiter.exclude, self.clock)
+            });
+            let server = copy_server.or_else(|| self.servers.choose(query, self.clock));
+            // If the caller has disconnected, dropping the server releases it.
+            let _ = waiter.result.send(server.ok_or(AttemptFailure::NoServer));
         }
     }
 
-    fn give_all_turns(&self) {
+    fn start_all_ready(&self) {
         for group in self.queues.lock().iter_mut() {
             if !group.queue.is_empty() {
-                self.give_turns(group);
+                self.start_ready(group);
             }
         }
     }
 
-    /// Charges a customer for what a call cost beyond, or short of, what was
-    /// expected of it.
+    /// Charges a customer for the difference between the tokens that a call
+    /// cost and those that were expected. The difference may be negative.
     pub(crate) fn charge_tokens(&self, group: &str, rank: &CallRank, tokens: f64) {
         let mut groups = self.queues.lock();
         let group = group_queue(&mut groups, group);
@@ -168,18 +174,19 @@
     }
 }
 
-/// Gives turns until `stop` is cancelled.
+/// Starts waiting requests, and removes the habits of idle keys, until `stop`
+/// is cancelled.
 pub async fn run_start_queues(
     state: Arc<SharedState>,
     stop: CancellationToken,
 ) -> anyhow::Result<()> {
-    let mut turns = tokio::time::interval(TURN_INTERVAL);
-    let mut polls = tokio::time::interval(HABITS_POLLED);
+    let mut dispatch_ticks = tokio::time::interval(DISPATCH_INTERVAL);
+    let mut poll_ticks = tokio::time::interval(HABIT_POLL_INTERVAL);
     loop {
         tokio::select! {
-            () = state.servers.freed() => state.give_all_turns(),
-            _ = turns.tick() => state.give_all_turns(),
-            _ = polls.tick() => state.ranks.poll(state.clock),
+            () = state.servers.freed() => state.start_all_ready(),
+            _ = dispatch_ticks.tick() => state.start_all_ready(),
+            _ = poll_ticks.tick() => state.ranks.poll(state.clock),
             () = stop.cancelled() => return Ok(()),
         }
     }
@@ -187,41 +194,43 @@
 
 impl StartQueues {
     fn lock(&self) -> MutexGuard<'_, Vec<GroupQueue>> {
-        // What a panic left of one request is refused when its time is up.
+        // A request that a panic left in the queue is rejected at its deadline.
         self.groups.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl GroupQueue {
-    /// Tells a request that it isn't served.
-    fn refuse(&mut self, number: u64) {
-        if let Some(waiter) = take_waiter(&mut self.waiters, number) {
-            let _ = waiter.turn.send(Err(AttemptFailure::HeldBack(BUSY_RETRY)));
+    /// Rejects a waiting request.
+    fn reject(&mut self, number: u64) {
+        if let Some(waiter) = remove_waiter(&mut self.waiters, number) {
+            let _ = waiter
+                .result
+                .send(Err(AttemptFailure::QueueTooLong(BUSY_RETRY)));
         }
     }
 }
 
-/// A request's place in its queue, left when the request is dropped.
-struct QueuePlace<'a> {
+/// A request's entry in its queue, which is removed when this is dropped.
+struct QueueEntry<'a> {
     state: &'a SharedState,
     group: &'a str,
     customer: CustomerId,
     number: u64,
 }
 
-impl Drop for QueuePlace<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         let mut groups = self.state.queues.lock();
         let group = group_queue(&mut groups, self.group);
-        if take_waiter(&mut group.waiters, self.number).is_some() {
+        if remove_waiter(&mut group.waiters, self.number).is_some() {
             group.queue.remove(self.customer, self.number);
         }
     }
 }
 
 fn group_queue<'a>(groups: &'a mut Vec<GroupQueue>, name: &str) -> &'a mut GroupQueue {
-    let place = groups.binary_search_by(|it| it.group.as_str().cmp(name));
-    let at = place.unwrap_or_else(|at| {
+    let position = groups.binary_search_by(|it| it.group.as_str().cmp(name));
+    let at = position.unwrap_or_else(|at| {
         let group = GroupQueue {
             group: name.to_owned(),
             ..GroupQueue::default()
@@ -232,7 +241,7 @@
     &mut groups[at]
 }
 
-fn take_waiter(waiters: &mut Vec<Waiter>, number: u64) -> Option<Waiter> {
+fn remove_waiter(waiters: &mut Vec<Waiter>, number: u64) -> Option<Waiter> {
     let at = waiters.binary_search_by_key(&number, |it| it.number).ok()?;
     Some(waiters.remove(at))
 }
--- a/crates/daemon/src/lot_work/engine_runner.rs
+++ b/crates/daemon/src/lot_work/engine_runner.rs
@@ -1,4 +1,4 @@
-//! Running one item on an engine.
+//! Runs single items of lots on engines.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,15 +23,15 @@
     shared::SharedState,
 };
 
-/// The longest answer of an item.
+/// The maximum size in bytes of an item's answer that isn't streamed.
 const ANSWER_LIMIT: usize = 512 * 1024;
-/// The longest wait for an answer to begin, and between two of its pieces. Bulk
-/// work may wait long in a full batch; an engine that is this slow is hung.
-const LONGEST_GAP: Duration = Duration::from_secs(60);
-/// How long a server may take to show that it is alive.
-const ALIVE_LIMIT: Duration = Duration::from_millis(500);
-/// Fields whose answers can't be put together from plain text.
-const WHOLE_ONLY: [&str; 6] = [
+/// The maximum wait for an answer to begin, and between two of its pieces. Bulk
+/// work may wait long in a full batch, but an engine that is this slow is hung.
+const MAX_GAP: Duration = Duration::from_secs(60);
+/// The timeout of the health check after a broken connection.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Request fields whose answers can't be assembled from a stream of plain text.
+const UNSTREAMABLE_FIELDS: [&str; 6] = [
     "n",
     "best_of",
     "tools",
@@ -42,7 +42,7 @@
 
 type Outcome = ItemOutcome<AnswerBuilder>;
 
-/// Runs items on the engines whose slots the gate gave out.
+/// Runs items on the engines for which the bulk limiters granted slots.
 #[derive(Debug)]
 pub(super) struct EngineRunner {
     state: Arc<SharedState>,
@@ -56,9 +56,9 @@
     /// Sends the item and reads its answer.
     async fn answer(&self, run: &mut ItemRun) -> Outcome {
         let Some(request) = run.request() else {
-            return run.failed("invalid_body", "the body is no JSON object");
+            return run.failed("invalid_body", "the body is not a JSON object");
         };
-        let response = match self.state.client.send_within(LONGEST_GAP, request).await {
+        let response = match self.state.client.send_within(MAX_GAP, request).await {
             Ok(response) => response,
             Err(error) => return self.call_failed(run, &error).await,
         };
@@ -69,7 +69,7 @@
             self.state.bulk.note_report(server.id, report, now);
         }
         if !response.status().is_success() || !run.is_stream {
-            return self.whole_answer(run, response).await;
+            return self.complete_answer(run, response).await;
         }
         self.streamed_answer(run, response.into_body()).await
     }
@@ -88,8 +88,8 @@
         }
     }
 
-    /// The connection broke while the item ran. If the server is gone, the item
-    /// may be what took it down.
+    /// Classifies a connection that broke while the item ran. If the server is
+    /// gone too, the item may have crashed it.
     async fn broken(&self, run: &ItemRun) -> Outcome {
         let server = &run.slot.server;
         let request = Request::builder()
@@ -99,7 +99,12 @@
         let Ok(request) = request else {
             return ItemOutcome::ServerFault { message };
         };
-        match self.state.client.send_within(ALIVE_LIMIT, request).await {
+        match self
+            .state
+            .client
+            .send_within(HEALTH_CHECK_TIMEOUT, request)
+            .await
+        {
             Err(CallError::NotSent(_)) => ItemOutcome::ServerCrash {
                 message: format!("{} is gone", server.name),
             },
@@ -107,10 +112,10 @@
         }
     }
 
-    async fn whole_answer(&self, run: &ItemRun, response: Response<Incoming>) -> Outcome {
+    async fn complete_answer(&self, run: &ItemRun, response: Response<Incoming>) -> Outcome {
         let status = response.status();
         let body = collect_limited(response.into_body(), ANSWER_LIMIT);
-        let Ok(Ok(body)) = tokio::time::timeout(LONGEST_GAP, body).await else {
+        let Ok(Ok(body)) = tokio::time::timeout(MAX_GAP, body).await else {
             run.slot.server.note_outcome(ServerOutcome::Broken);
             return self.broken(run).await;
         };
@@ -121,7 +126,7 @@
         });
         let text = String::from_utf8_lossy(&body).into_owned();
         let Ok(raw) = RawValue::from_string(text) else {
-            let message = format!("{status} with a body that is no JSON");
+            let message = format!("{status} with a body that is not JSON");
             return ItemOutcome::ServerFault { message };
         };
         let tokens = serde_json::from_slice::<Value>(&body)
@@ -138,7 +143,7 @@
     async fn streamed_answer(&self, run: &mut ItemRun, mut body: Incoming) -> Outcome {
         let mut splitter = EventSplitter::default();
         loop {
-            let frame = tokio::time::timeout(LONGEST_GAP, body.frame()).await;
+            let frame = tokio::time::timeout(MAX_GAP, body.frame()).await;
             let Ok(Some(Ok(frame))) = frame else {
                 run.slot.server.note_outcome(ServerOutcome::Broken);
                 return self.broken(run).await;
@@ -175,25 +180,25 @@
         slot: BulkSlot,
         stop: CancellationToken,
     ) -> Outcome {
-        let begun = self.state.clock.now();
+        let started_at = self.state.clock.now();
         let customer = order.customer.clone();
-        let aside = slot.stop.clone();
+        let preempt = slot.stop.clone();
         let mut run = ItemRun::new(order, slot);
         let outcome = tokio::select! {
             biased;
             () = stop.cancelled() => Some(ItemOutcome::Cancelled),
-            () = aside.cancelled() => None,
+            () = preempt.cancelled() => None,
             outcome = self.answer(&mut run) => Some(outcome),
         };
-        let whole = self.state.clock.now().since(begun);
+        let whole = self.state.clock.now().since(started_at);
         self.state
             .metrics
             .whole(&customer, ServedClass::Bulk, whole);
-        outcome.unwrap_or_else(|| run.step_aside())
+        outcome.unwrap_or_else(|| run.preempted())
     }
 }
 
-/// An item under way.
+/// An item that is running.
 struct ItemRun {
     order: ItemOrder<AnswerBuilder>,
     slot: BulkSlot,
@@ -229,11 +234,13 @@
         Some(request)
     }
 
-    /// The item's body, asking for a stream where the answer can be put together
-    /// from one: a stream can be stopped and resumed.
+    /// Returns the item's body. It requests a stream where the answer can be
+    /// assembled from one, since a stream can be stopped and resumed.
     fn body(&mut self) -> Option<Bytes> {
         let mut fields: Map<String, Value> = serde_json::from_slice(&self.order.body).ok()?;
-        self.is_stream = !WHOLE_ONLY.iter().any(|it| fields.contains_key(*it));
+        self.is_stream = !UNSTREAMABLE_FIELDS
+            .iter()
+            .any(|it| fields.contains_key(*it));
         if self.is_stream {
             fields.insert("stream".to_owned(), true.into());
             let options = json!({ "include_usage": true });
@@ -261,7 +268,7 @@
                 tokens,
             },
             None => ItemOutcome::ServerFault {
-                message: "the stream ended without an answer".to_owned(),
+                message: "the stream contained no answer".to_owned(),
             },
         }
     }
@@ -273,7 +280,7 @@
         }
     }
 
-    fn step_aside(self) -> Outcome {
+    fn preempted(self) -> Outcome {
         ItemOutcome::SteppedAside {
             tokens: self.tokens(),
             resume: self.is_stream.then_some(self.builder),
--- a/crates/daemon/src/lot_work/slot_source.rs
+++ b/crates/daemon/src/lot_work/slot_source.rs
@@ -1,4 +1,4 @@
-//! Bulk slots for the models that lots ask for.
+//! Provides bulk slots for the models that lots request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,11 +7,12 @@
 use super::BulkSlot;
 use crate::shared::SharedState;
 
-/// How often a waiting item looks for a slot when nothing is told of one: a
-/// server may start bulk work again because time has passed.
-const LOOK_INTERVAL: Duration = Duration::from_millis(25);
+/// The interval at which a waiting item checks for a slot without a
+/// notification. A server may allow bulk work again merely because time has
+/// passed.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Gives out the slots of the gates.
+/// Provides the slots of the bulk limiters to the lot worker.
 #[derive(Debug)]
 pub(super) struct DaemonSlots {
     state: Arc<SharedState>,
@@ -25,13 +26,13 @@
     fn try_open(&self, models: &[Arc<str>]) -> Option<(usize, BulkSlot)> {
         let snapshot = self.state.snapshot();
         let now = self.state.clock.now();
-        models.iter().enumerate().find_map(|(place, model)| {
+        models.iter().enumerate().find_map(|(index, model)| {
             let service = snapshot.service_of_model(model)?;
             let group = &service.settings.group;
             let choose = |id| self.state.servers.take_for_bulk(id, self.state.clock);
             let clock = self.state.clock;
             let slot = self.state.bulk.open(group, clock, now, choose)?;
-            Some((place, slot))
+            Some((index, slot))
         })
     }
 }
@@ -46,7 +47,7 @@
             }
             tokio::select! {
                 () = self.state.bulk.changed() => {}
-                () = tokio::time::sleep(LOOK_INTERVAL) => {}
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
         }
     }
