--- a/crates/standins/src/bin/engine.rs
+++ b/crates/standins/src/bin/engine.rs
@@ -84,7 +84,7 @@
             crash_on: self.crash_on.clone(),
             journal: JournalOptions {
                 lag: Duration::from_millis(self.cache_event_lag_ms),
-                drop_share: self.cache_event_drop,
+                drop_fraction: self.cache_event_drop,
                 seed: self.seed,
             },
         }
--- a/crates/standins/src/engine/answer.rs
+++ b/crates/standins/src/engine/answer.rs
@@ -3,7 +3,7 @@
 use sha2::{Digest, Sha256};
 
 /// How many hex digits of the prompt's hash open an answer.
-const OPENING_DIGITS: usize = 16;
+const HASH_PREFIX_DIGITS: usize = 16;
 
 const WORDS: [&str; 32] = [
     "paper", "ink", "ribbon", "linen", "border", "script", "gold", "garden", "evening", "guests",
@@ -20,7 +20,7 @@
 pub fn answer_token(prompt: &str, index: u32) -> String {
     if index == 0 {
         let mut digits = hex::encode(Sha256::digest(prompt.as_bytes()));
-        digits.truncate(OPENING_DIGITS);
+        digits.truncate(HASH_PREFIX_DIGITS);
         return digits;
     }
     let mut hash = Sha256::new();
--- a/crates/standins/src/engine/cache_journal.rs
+++ b/crates/standins/src/engine/cache_journal.rs
@@ -9,7 +9,7 @@
 use super::prefix_cache::CacheChange;
 
 /// How many events are kept for readers that come back late.
-const KEPT_EVENTS: usize = 10_000;
+const MAX_KEPT_EVENTS: usize = 10_000;
 
 /// How late and how incomplete the events are.
 #[derive(Clone, Copy, Debug)]
@@ -17,7 +17,7 @@
     /// How long after the change an event can be read.
     pub lag: Duration,
     /// The share of events that are lost, from 0 to 1.
-    pub drop_share: f64,
+    pub drop_fraction: f64,
     /// The seed that decides which are lost.
     pub seed: u64,
 }
@@ -26,7 +26,7 @@
     fn default() -> Self {
         JournalOptions {
             lag: Duration::from_millis(300),
-            drop_share: 0.05,
+            drop_fraction: 0.05,
             seed: 1,
         }
     }
@@ -39,7 +39,7 @@
 pub struct CacheJournal {
     options: JournalOptions,
     random: StdRng,
-    next: u64,
+    next_number: u64,
     events: VecDeque<(u64, Timestamp, CacheChange)>,
 }
 
@@ -49,33 +49,33 @@
         CacheJournal {
             options,
             random: StdRng::seed_from_u64(options.seed),
-            next: 1,
+            next_number: 1,
             events: VecDeque::new(),
         }
     }
 
     /// Publishes a change, or loses it.
     pub fn publish(&mut self, at: Timestamp, change: CacheChange) {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         if self
             .random
-            .random_bool(self.options.drop_share.clamp(0.0, 1.0))
+            .random_bool(self.options.drop_fraction.clamp(0.0, 1.0))
         {
             return;
         }
         self.events.push_back((number, at, change));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_KEPT_EVENTS {
             self.events.pop_front();
         }
     }
 
     /// The events with a number above `after` that are old enough to be seen.
     pub fn read(&self, now: Timestamp, after: u64) -> Vec<(u64, &CacheChange)> {
-        let seen = |at: Timestamp| at + self.options.lag <= now;
+        let is_published = |at: Timestamp| at + self.options.lag <= now;
         self.events
             .iter()
-            .filter(|(number, at, _)| *number > after && seen(*at))
+            .filter(|(number, at, _)| *number > after && is_published(*at))
             .map(|(number, _, change)| (*number, change))
             .collect()
     }
--- a/crates/standins/src/engine/generate.rs
+++ b/crates/standins/src/engine/generate.rs
@@ -23,7 +23,7 @@
 const CUT_DELAY: Duration = Duration::from_millis(20);
 
 /// What the fault switches say about a request.
-enum FaultVerdict {
+enum FaultDecision {
     Serve { break_after: Option<u32> },
     Refuse,
     Fail,
@@ -38,18 +38,18 @@
     request_id: String,
 ) -> Response<MessageBody> {
     let log = server.log();
-    let break_after = match fault_verdict(server) {
-        FaultVerdict::Serve { break_after } => break_after,
-        FaultVerdict::Refuse => {
+    let break_after = match take_fault_decision(server) {
+        FaultDecision::Serve { break_after } => break_after,
+        FaultDecision::Refuse => {
             log.refuse(record);
             return unavailable("the engine refuses requests");
         }
-        FaultVerdict::Fail => {
+        FaultDecision::Fail => {
             log.update(record, |it| it.end = RequestEnd::Broken);
             let status = StatusCode::INTERNAL_SERVER_ERROR;
             return error_response(status, "engine_failure", "the engine failed");
         }
-        FaultVerdict::Hang => {
+        FaultDecision::Hang => {
             let _guard = OpenSequence::unsubmitted(server, record);
             log.update(record, |it| it.end = RequestEnd::Running);
             return std::future::pending().await;
@@ -81,20 +81,20 @@
     }
 }
 
-fn fault_verdict(server: &EngineServer) -> FaultVerdict {
+fn take_fault_decision(server: &EngineServer) -> FaultDecision {
     let mut state = server.lock();
     let faults = &mut state.faults;
     if faults.refuse {
-        return FaultVerdict::Refuse;
+        return FaultDecision::Refuse;
     }
     if faults.fail_next > 0 {
         faults.fail_next -= 1;
-        return FaultVerdict::Fail;
+        return FaultDecision::Fail;
     }
     if faults.hang {
-        return FaultVerdict::Hang;
+        return FaultDecision::Hang;
     }
-    FaultVerdict::Serve {
+    FaultDecision::Serve {
         break_after: faults.break_stream_after,
     }
 }
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -21,7 +21,7 @@
 pub use cache_journal::{CacheJournal, JournalOptions};
 pub use faults::FaultSwitches;
 pub use model::{EngineModel, EngineSettings, LoadReport, QueueFull};
-pub use orders::{EngineOrder, OrderBook, OrderRefusal};
+pub use orders::{EngineOrder, OrderTracker, StaleFence};
 pub use prefix_cache::{CacheChange, PrefixCache};
 pub use prompt::{BLOCK_TOKENS, PromptBlocks, TOKEN_BYTES};
 pub use sequence::{EngineEvent, EngineEventKind, EngineRequest, SequenceId};
--- a/crates/standins/src/engine/model.rs
+++ b/crates/standins/src/engine/model.rs
@@ -11,7 +11,7 @@
 };
 
 /// How many changes of the prefix cache wait to be taken.
-const KEPT_CHANGES: usize = 20_000;
+const MAX_KEPT_CHANGES: usize = 20_000;
 
 /// The size and speed of an engine.
 #[derive(Clone, Copy, Debug)]
@@ -96,7 +96,7 @@
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     settings: EngineSettings,
-    slowness: f64,
+    slowdown: f64,
     cache: PrefixCache,
     waiting: VecDeque<Sequence>,
     running: Vec<Sequence>,
@@ -112,7 +112,7 @@
     pub fn new(settings: EngineSettings) -> Self {
         EngineModel {
             settings,
-            slowness: 1.0,
+            slowdown: 1.0,
             cache: PrefixCache::new(settings.cache_blocks),
             waiting: VecDeque::new(),
             running: Vec::new(),
@@ -130,8 +130,8 @@
     }
 
     /// Makes each step from the next on take `factor` times as long.
-    pub fn set_slowness(&mut self, factor: f64) {
-        self.slowness = factor;
+    pub fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor;
     }
 
     /// Takes a request, to run as soon as the batch has room.
@@ -148,7 +148,7 @@
         if self.step_end.is_none() {
             self.start_step(now);
         }
-        self.remember_load(now);
+        self.record_load(now);
         Ok(())
     }
 
@@ -161,7 +161,7 @@
         self.waiting.retain(|it| it.request.id != id);
         self.running.retain(|it| it.request.id != id);
         let after = self.waiting.len() + self.running.len();
-        self.remember_load(now);
+        self.record_load(now);
         after < before
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// The load at this moment, which no real engine tells.
-    pub fn present_load(&self) -> LoadReport {
+    pub fn current_load(&self) -> LoadReport {
         LoadReport {
             running: self.running.len(),
             waiting: self.waiting.len(),
@@ -198,9 +198,9 @@
     /// The load as it was one report lag ago.
     pub fn reported_load(&mut self, now: Timestamp) -> LoadReport {
         self.run_until(now);
-        let seen = now - self.settings.report_lag;
+        let reported_at = now - self.settings.report_lag;
         let mut reports = self.history.iter().rev();
-        let report = reports.find(|(at, _)| *at <= seen);
+        let report = reports.find(|(at, _)| *at <= reported_at);
         report.map(|(_, report)| *report).unwrap_or_default()
     }
 
@@ -210,7 +210,7 @@
         {
             self.finish_step(end);
             self.start_step(end);
-            self.remember_load(end);
+            self.record_load(end);
         }
     }
 
@@ -221,12 +221,14 @@
             return;
         }
         let running = self.running.len() as u32;
-        let span = self.settings.prefill_per_token * prefill
+        let duration = self.settings.prefill_per_token * prefill
             + self.settings.decode
             + self.settings.decode_per_running * running;
         // A step of no length would never let the time pass.
-        let span = span.mul_f64(self.slowness).max(Duration::from_micros(1));
-        self.step_end = Some(now + span);
+        let duration = duration
+            .mul_f64(self.slowdown)
+            .max(Duration::from_micros(1));
+        self.step_end = Some(now + duration);
     }
 
     /// Fills the batch and returns how many tokens need prefill.
@@ -240,10 +242,10 @@
             let cached = self.cache.cached_blocks(&prompt.blocks) * BLOCK_TOKENS;
             let cached_tokens = u32::try_from(cached).unwrap_or(u32::MAX);
             // A resumed answer's earlier tokens are computed again.
-            let whole = prompt.tokens.saturating_add(sequence.request.first_token);
-            prefill += whole.saturating_sub(cached_tokens);
+            let total_tokens = prompt.tokens.saturating_add(sequence.request.first_token);
+            prefill += total_tokens.saturating_sub(cached_tokens);
             let changes = self.cache.store(&prompt.blocks);
-            self.note_changes(now, changes);
+            self.record_changes(now, changes);
             let kind = EngineEventKind::Started { cached_tokens };
             self.push_event(now, sequence.request.id, kind);
             self.running.push(sequence);
@@ -253,10 +255,10 @@
 
     /// A driver that never takes the changes must not make the model grow, so
     /// that the older half goes once there are too many.
-    fn note_changes(&mut self, now: Timestamp, changes: Vec<CacheChange>) {
+    fn record_changes(&mut self, now: Timestamp, changes: Vec<CacheChange>) {
         self.changes.extend(changes.into_iter().map(|it| (now, it)));
-        if self.changes.len() > KEPT_CHANGES {
-            self.changes.drain(..KEPT_CHANGES / 2);
+        if self.changes.len() > MAX_KEPT_CHANGES {
+            self.changes.drain(..MAX_KEPT_CHANGES / 2);
         }
     }
 
@@ -284,10 +286,14 @@
 
     /// Keeps what a report may still need: the last one before the lag, and
     /// all after it.
-    fn remember_load(&mut self, now: Timestamp) {
-        self.history.push_back((now, self.present_load()));
-        let seen = now - self.settings.report_lag;
-        while self.history.get(1).is_some_and(|(at, _)| *at <= seen) {
+    fn record_load(&mut self, now: Timestamp) {
+        self.history.push_back((now, self.current_load()));
+        let reported_at = now - self.settings.report_lag;
+        while self
+            .history
+            .get(1)
+            .is_some_and(|(at, _)| *at <= reported_at)
+        {
             self.history.pop_front();
         }
     }
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -40,14 +40,14 @@
 
 /// An order came with an older fencing number than one already seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OrderRefusal {
+pub struct StaleFence {
     /// The highest number seen.
     pub highest: u64,
 }
 
 /// The orders an engine has carried out, and what it serves by them.
 #[derive(Clone, Debug, Default)]
-pub struct OrderBook {
+pub struct OrderTracker {
     /// Whether an order with an old number is carried out all the same.
     pub ignores_fencing: bool,
     /// The highest number seen.
@@ -60,11 +60,11 @@
     pub applied: Vec<(u64, EngineOrder)>,
 }
 
-impl OrderBook {
+impl OrderTracker {
     /// Carries out an order, unless its number is too old.
-    pub fn apply(&mut self, fence: u64, order: EngineOrder) -> Result<(), OrderRefusal> {
+    pub fn apply(&mut self, fence: u64, order: EngineOrder) -> Result<(), StaleFence> {
         if fence < self.highest && !self.ignores_fencing {
-            return Err(OrderRefusal {
+            return Err(StaleFence {
                 highest: self.highest,
             });
         }
@@ -90,8 +90,8 @@
 
     /// Adds a name served as a model.
     pub fn add_model(&mut self, model: String) {
-        if let Err(place) = self.models.binary_search(&model) {
-            self.models.insert(place, model);
+        if let Err(index) = self.models.binary_search(&model) {
+            self.models.insert(index, model);
         }
     }
 }
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -30,7 +30,7 @@
     faults::FaultSwitches,
     generate,
     model::{EngineModel, EngineSettings},
-    orders::{FencedOrder, OrderBook},
+    orders::{FencedOrder, OrderTracker},
     sequence::SequenceId,
     state::EngineState,
 };
@@ -72,16 +72,16 @@
     started: Instant,
     next_id: AtomicU64,
     state: Mutex<EngineState>,
-    woken: Notify,
+    driver_wakeup: Notify,
     log: RequestLog,
 }
 
 impl EngineServer {
     /// An idle engine.
     pub fn new(options: EngineOptions) -> Arc<Self> {
-        let mut orders = OrderBook {
+        let mut orders = OrderTracker {
             ignores_fencing: options.ignores_fencing,
-            ..OrderBook::default()
+            ..OrderTracker::default()
         };
         for model in &options.models {
             orders.add_model(model.clone());
@@ -93,7 +93,7 @@
             started: Instant::now(),
             next_id: AtomicU64::new(0),
             state: Mutex::new(EngineState::new(model, journal, orders)),
-            woken: Notify::new(),
+            driver_wakeup: Notify::new(),
             log: RequestLog::default(),
         })
     }
@@ -127,7 +127,7 @@
 
     /// Makes the driver look at the model again.
     pub(crate) fn wake(&self) {
-        self.woken.notify_one();
+        self.driver_wakeup.notify_one();
     }
 
     pub(crate) fn next_id(&self) -> SequenceId {
@@ -167,7 +167,7 @@
             };
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = self.woken.notified() => {}
+                () = self.driver_wakeup.notified() => {}
                 () = due => {}
             }
             self.lock().deliver(self.now());
@@ -229,7 +229,7 @@
                 return bad_request(&error);
             }
         };
-        self.crash_if_asked(&request.whole_prompt);
+        self.crash_if_triggered(&request.whole_prompt);
         let request_id = head
             .headers
             .get("x-request-id")
@@ -239,7 +239,7 @@
     }
 
     /// Ends the process like a crash: nothing is finished, all streams are cut.
-    fn crash_if_asked(&self, prompt: &str) {
+    fn crash_if_triggered(&self, prompt: &str) {
         let crash_on = &self.options.crash_on;
         if !crash_on.is_empty() && prompt.contains(crash_on) {
             std::process::exit(70);
@@ -299,7 +299,7 @@
         }
         let mut state = self.lock();
         state.faults = faults;
-        state.model.set_slowness(faults.slow);
+        state.model.set_slowdown(faults.slow);
         json_response(StatusCode::OK, &json!(faults))
     }
 
--- a/crates/standins/src/engine/state.rs
+++ b/crates/standins/src/engine/state.rs
@@ -9,7 +9,7 @@
     cache_journal::CacheJournal,
     faults::FaultSwitches,
     model::{EngineModel, QueueFull},
-    orders::OrderBook,
+    orders::OrderTracker,
     sequence::{EngineEvent, EngineEventKind, EngineRequest, SequenceId},
 };
 
@@ -26,12 +26,12 @@
     pub(crate) model: EngineModel,
     pub(crate) journal: CacheJournal,
     pub(crate) faults: FaultSwitches,
-    pub(crate) orders: OrderBook,
+    pub(crate) orders: OrderTracker,
     open: HashMap<SequenceId, OpenRequest>,
 }
 
 impl EngineState {
-    pub(crate) fn new(model: EngineModel, journal: CacheJournal, orders: OrderBook) -> Self {
+    pub(crate) fn new(model: EngineModel, journal: CacheJournal, orders: OrderTracker) -> Self {
         EngineState {
             model,
             journal,
--- a/crates/standins/src/kv/door.rs
+++ b/crates/standins/src/kv/door.rs
@@ -10,14 +10,14 @@
 
 use super::{
     KvFaults, KvState,
-    state::{TransactionBody, TransactionEnd},
+    state::{TransactionBody, TransactionOutcome},
 };
 use crate::{process::stand_in_limits, response::json_response};
 
 /// The longest body that is read.
-const BODY_LIMIT: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 /// A watch looks for lapsed leases this often while it waits.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// One address at which the store is reached.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
             async move {
                 let call = faults.begin_call();
                 let answer = answer(&state, &faults, request).await;
-                if faults.swallows(call) {
+                if faults.drops_answer(call) {
                     return std::future::pending().await;
                 }
                 answer
@@ -60,7 +60,7 @@
     faults: &KvFaults,
     request: Request<Incoming>,
 ) -> Response<MessageBody> {
-    if faults.turns_away() {
+    if faults.rejects_calls() {
         return json_response(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
     }
     let path = request.uri().path().to_owned();
@@ -71,7 +71,7 @@
         named.next().map_or(String::new(), |it| it.1.to_owned())
     };
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/-/kv-key") => one(state, &field("key")),
+        (&Method::GET, "/-/kv-key") => read_key(state, &field("key")),
         (&Method::GET, "/-/kv-range") => {
             let (items, revision) = state.range(&field("prefix"), &field("after"));
             let body = json!({"items": items, "has_more": false, "store_revision": revision});
@@ -91,18 +91,18 @@
         }
         (&Method::POST, "/-/kv-txn") => transact(state, faults, request).await,
         (&Method::POST, "/-/kv-lease") => {
-            let body = collect_limited(request.into_body(), BODY_LIMIT)
+            let body = collect_limited(request.into_body(), MAX_BODY_BYTES)
                 .await
                 .unwrap_or_default();
-            let asked: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-            let ttl = asked["ttl_ms"].as_u64().unwrap_or(1_000);
+            let requested: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+            let ttl = requested["ttl_ms"].as_u64().unwrap_or(1_000);
             let lease = state.grant(Duration::from_millis(ttl));
             json_response(StatusCode::OK, &json!({"lease": lease, "ttl_ms": ttl}))
         }
         (&Method::POST, path) if path.starts_with("/-/kv-keep/") => {
             match state.renew(id_of(path)) {
-                Some(term) => {
-                    let body = json!({"ttl_ms": term.as_millis() as u64});
+                Some(ttl) => {
+                    let body = json!({"ttl_ms": ttl.as_millis() as u64});
                     json_response(StatusCode::OK, &body)
                 }
                 None => json_response(StatusCode::NOT_FOUND, &json!({})),
@@ -126,7 +126,7 @@
         .unwrap_or_default()
 }
 
-fn one(state: &KvState, key: &str) -> Response<MessageBody> {
+fn read_key(state: &KvState, key: &str) -> Response<MessageBody> {
     let (entry, revision) = state.get(key);
     let Some(entry) = entry else {
         return json_response(StatusCode::NOT_FOUND, &json!({}));
@@ -143,20 +143,20 @@
     after: i64,
     wait: Duration,
 ) -> Response<MessageBody> {
-    let until = tokio::time::Instant::now() + wait;
+    let deadline = tokio::time::Instant::now() + wait;
     loop {
-        if faults.turns_away() {
+        if faults.rejects_calls() {
             return json_response(StatusCode::SERVICE_UNAVAILABLE, &json!({}));
         }
         let Some((events, revision)) = state.events(prefix, after) else {
             return json_response(StatusCode::GONE, &json!({}));
         };
-        if !events.is_empty() || tokio::time::Instant::now() >= until {
+        if !events.is_empty() || tokio::time::Instant::now() >= deadline {
             let body = json!({"events": events, "store_revision": revision});
             return json_response(StatusCode::OK, &body);
         }
         // A change between the look and the wait is seen at the next look.
-        let _ = tokio::time::timeout(LOOK_INTERVAL, state.changed.notified()).await;
+        let _ = tokio::time::timeout(POLL_INTERVAL, state.changed.notified()).await;
     }
 }
 
@@ -165,45 +165,45 @@
     faults: &KvFaults,
     request: Request<Incoming>,
 ) -> Response<MessageBody> {
-    let body = collect_limited(request.into_body(), BODY_LIMIT)
+    let body = collect_limited(request.into_body(), MAX_BODY_BYTES)
         .await
         .unwrap_or_default();
     let Ok(body) = serde_json::from_slice::<TransactionBody>(&body) else {
         return json_response(StatusCode::BAD_REQUEST, &json!({}));
     };
-    if let Some(span) = faults.delays_write() {
+    if let Some(delay) = faults.take_write_delay() {
         let state = state.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(span).await;
+            tokio::time::sleep(delay).await;
             state.transact(body);
         });
-        return cut_short().await;
+        return truncated_answer().await;
     }
     let keys = body.written_keys();
     let end = state.transact(body);
-    if matches!(end, TransactionEnd::Written(_)) {
-        faults.note_held(keys);
+    if matches!(end, TransactionOutcome::Written(_)) {
+        faults.record_held(keys);
     }
     while faults.holds_answers() {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    if faults.loses_answer() {
-        return cut_short().await;
+    if faults.take_lost_answer() {
+        return truncated_answer().await;
     }
     match end {
-        TransactionEnd::Written(revision) => {
+        TransactionOutcome::Written(revision) => {
             json_response(StatusCode::OK, &json!({"revision": revision}))
         }
-        TransactionEnd::Conflict(items, revision) => {
+        TransactionOutcome::Conflict(items, revision) => {
             let body = json!({"items": items, "store_revision": revision});
             json_response(StatusCode::PRECONDITION_FAILED, &body)
         }
-        TransactionEnd::NoLease => json_response(StatusCode::NOT_FOUND, &json!({})),
+        TransactionOutcome::UnknownLease => json_response(StatusCode::NOT_FOUND, &json!({})),
     }
 }
 
 /// An answer that breaks off: nobody knows whether the call took effect.
-async fn cut_short() -> Response<MessageBody> {
+async fn truncated_answer() -> Response<MessageBody> {
     let (sender, body) = MessageBody::stream();
     sender.cut_short("the answer is lost").await;
     Response::new(body)
--- a/crates/standins/src/kv/faults.rs
+++ b/crates/standins/src/kv/faults.rs
@@ -10,21 +10,21 @@
 
 /// How things were when a call came in.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct BegunCall {
-    silences: u32,
+pub(super) struct CallStart {
+    silence_count: u32,
     was_silent: bool,
 }
 
 /// What goes wrong at one door of the store.
 #[derive(Debug, Default)]
 pub struct KvFaults {
-    turned_away: AtomicBool,
+    is_rejecting: AtomicBool,
     lost_answers: AtomicU32,
-    late_writes: AtomicU32,
-    late_by_ms: AtomicU64,
-    held_answers: AtomicBool,
+    delayed_writes: AtomicU32,
+    write_delay_ms: AtomicU64,
+    is_holding_answers: AtomicBool,
     is_silent: AtomicBool,
-    silences: AtomicU32,
+    silence_count: AtomicU32,
     /// The keys of writes whose answers are held back.
     held_writes: Mutex<Vec<String>>,
 }
@@ -32,29 +32,29 @@
 impl KvFaults {
     /// Turns all calls away with 503, which says that nothing was done.
     pub fn turn_away(&self, is_on: bool) {
-        self.turned_away.store(is_on, Ordering::SeqCst);
+        self.is_rejecting.store(is_on, Ordering::SeqCst);
     }
 
     /// Answers nothing while this is on. Calls that were open at any moment of it, watches
     /// that wait included, have no answer afterwards either.
     pub fn fall_silent(&self, is_on: bool) {
         if is_on {
-            self.silences.fetch_add(1, Ordering::SeqCst);
+            self.silence_count.fetch_add(1, Ordering::SeqCst);
         }
         self.is_silent.store(is_on, Ordering::SeqCst);
     }
 
     /// A call that comes in now.
-    pub(super) fn begin_call(&self) -> BegunCall {
-        BegunCall {
-            silences: self.silences.load(Ordering::SeqCst),
+    pub(super) fn begin_call(&self) -> CallStart {
+        CallStart {
+            silence_count: self.silence_count.load(Ordering::SeqCst),
             was_silent: self.is_silent.load(Ordering::SeqCst),
         }
     }
 
     /// Whether the answer to a call is never sent.
-    pub(super) fn swallows(&self, call: BegunCall) -> bool {
-        call.was_silent || call.silences != self.silences.load(Ordering::SeqCst)
+    pub(super) fn drops_answer(&self, call: CallStart) -> bool {
+        call.was_silent || call.silence_count != self.silence_count.load(Ordering::SeqCst)
     }
 
     /// Does the next writes without answering them.
@@ -63,15 +63,15 @@
     }
 
     /// Breaks the connections of the next writes off, and does them only after a span.
-    pub fn delay_writes(&self, count: u32, span: Duration) {
-        self.late_by_ms
-            .store(span.as_millis() as u64, Ordering::SeqCst);
-        self.late_writes.store(count, Ordering::SeqCst);
+    pub fn delay_writes(&self, count: u32, delay: Duration) {
+        self.write_delay_ms
+            .store(delay.as_millis() as u64, Ordering::SeqCst);
+        self.delayed_writes.store(count, Ordering::SeqCst);
     }
 
     /// Does writes, and holds the answers to them back until this is switched off.
     pub fn hold_answers(&self, is_on: bool) {
-        self.held_answers.store(is_on, Ordering::SeqCst);
+        self.is_holding_answers.store(is_on, Ordering::SeqCst);
         if !is_on {
             self.lock_held().clear();
         }
@@ -83,7 +83,7 @@
         self.lock_held().clone()
     }
 
-    pub(super) fn note_held(&self, keys: Vec<String>) {
+    pub(super) fn record_held(&self, keys: Vec<String>) {
         if self.holds_answers() {
             self.lock_held().extend(keys);
         }
@@ -96,27 +96,27 @@
     }
 
     pub(super) fn holds_answers(&self) -> bool {
-        self.held_answers.load(Ordering::SeqCst)
+        self.is_holding_answers.load(Ordering::SeqCst)
     }
 
-    pub(super) fn turns_away(&self) -> bool {
-        self.turned_away.load(Ordering::SeqCst)
+    pub(super) fn rejects_calls(&self) -> bool {
+        self.is_rejecting.load(Ordering::SeqCst)
     }
 
-    pub(super) fn loses_answer(&self) -> bool {
-        takes_one(&self.lost_answers)
+    pub(super) fn take_lost_answer(&self) -> bool {
+        take_one(&self.lost_answers)
     }
 
     /// How late the next write is done, if it is.
-    pub(super) fn delays_write(&self) -> Option<Duration> {
-        let span = Duration::from_millis(self.late_by_ms.load(Ordering::SeqCst));
-        takes_one(&self.late_writes).then_some(span)
+    pub(super) fn take_write_delay(&self) -> Option<Duration> {
+        let delay = Duration::from_millis(self.write_delay_ms.load(Ordering::SeqCst));
+        take_one(&self.delayed_writes).then_some(delay)
     }
 }
 
-fn takes_one(count: &AtomicU32) -> bool {
-    let less = |left: u32| left.checked_sub(1);
+fn take_one(count: &AtomicU32) -> bool {
+    let decremented = |left: u32| left.checked_sub(1);
     count
-        .fetch_update(Ordering::SeqCst, Ordering::SeqCst, less)
+        .fetch_update(Ordering::SeqCst, Ordering::SeqCst, decremented)
         .is_ok()
 }
--- a/crates/standins/src/kv/state.rs
+++ b/crates/standins/src/kv/state.rs
@@ -89,16 +89,16 @@
 }
 
 /// What a transaction did.
-pub(super) enum TransactionEnd {
+pub(super) enum TransactionOutcome {
     Written(i64),
     Conflict(Vec<KvEntry>, i64),
-    NoLease,
+    UnknownLease,
 }
 
 #[derive(Debug)]
 struct Lease {
-    term: Duration,
-    until: Instant,
+    ttl: Duration,
+    expires_at: Instant,
 }
 
 #[derive(Debug, Default)]
@@ -106,7 +106,7 @@
     revision: i64,
     entries: BTreeMap<String, KvEntry>,
     events: Vec<KvEvent>,
-    forgotten: i64,
+    compacted_revision: i64,
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
 }
@@ -142,7 +142,7 @@
     /// Forgets all history, so that watches have to list anew.
     pub fn forget_history(&self) {
         let mut tables = self.lock();
-        tables.forgotten = tables.revision;
+        tables.compacted_revision = tables.revision;
         tables.events.clear();
         drop(tables);
         self.changed.notify_waiters();
@@ -151,43 +151,43 @@
     /// All keys under a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<KvEntry> {
         let mut tables = self.lock();
-        tables.end_leases();
-        let fitting = tables
+        tables.expire_leases();
+        let matching = tables
             .entries
             .values()
             .filter(|it| it.key.starts_with(prefix));
-        fitting.cloned().collect()
+        matching.cloned().collect()
     }
 
     pub(super) fn get(&self, key: &str) -> (Option<KvEntry>, i64) {
         let mut tables = self.lock();
-        tables.end_leases();
+        tables.expire_leases();
         (tables.entries.get(key).cloned(), tables.revision)
     }
 
     pub(super) fn range(&self, prefix: &str, after: &str) -> (Vec<KvEntry>, i64) {
         let mut tables = self.lock();
-        tables.end_leases();
-        let fitting = tables.entries.values();
-        let fitting = fitting.filter(|it| it.key.starts_with(prefix) && it.key.as_str() > after);
-        (fitting.cloned().collect(), tables.revision)
+        tables.expire_leases();
+        let matching = tables.entries.values();
+        let matching = matching.filter(|it| it.key.starts_with(prefix) && it.key.as_str() > after);
+        (matching.cloned().collect(), tables.revision)
     }
 
     /// The changes under a prefix after a revision; nothing if they are forgotten.
     pub(super) fn events(&self, prefix: &str, after: i64) -> Option<(Vec<KvEvent>, i64)> {
         let mut tables = self.lock();
-        tables.end_leases();
-        if after < tables.forgotten {
+        tables.expire_leases();
+        if after < tables.compacted_revision {
             return None;
         }
-        let fitting = tables.events.iter();
-        let fitting = fitting.filter(|it| it.revision() > after && it.key().starts_with(prefix));
-        Some((fitting.cloned().collect(), tables.revision))
+        let matching = tables.events.iter();
+        let matching = matching.filter(|it| it.revision() > after && it.key().starts_with(prefix));
+        Some((matching.cloned().collect(), tables.revision))
     }
 
-    pub(super) fn transact(&self, body: TransactionBody) -> TransactionEnd {
+    pub(super) fn transact(&self, body: TransactionBody) -> TransactionOutcome {
         let mut tables = self.lock();
-        tables.end_leases();
+        tables.expire_leases();
         let holds = |row: &ExpectedRow| {
             let found = tables.entries.get(&row.key).map_or(0, |it| it.revision);
             found == row.revision
@@ -197,11 +197,11 @@
                 .expected
                 .iter()
                 .filter_map(|it| tables.entries.get(&it.key));
-            return TransactionEnd::Conflict(found.cloned().collect(), tables.revision);
+            return TransactionOutcome::Conflict(found.cloned().collect(), tables.revision);
         }
         let has_lease = |it: &WriteRow| it.lease == 0 || tables.leases.contains_key(&it.lease);
         if !body.writes.iter().all(has_lease) {
-            return TransactionEnd::NoLease;
+            return TransactionOutcome::UnknownLease;
         }
         tables.revision += 1;
         for write in body.writes {
@@ -213,32 +213,32 @@
         let revision = tables.revision;
         drop(tables);
         self.changed.notify_waiters();
-        TransactionEnd::Written(revision)
+        TransactionOutcome::Written(revision)
     }
 
-    pub(super) fn grant(&self, term: Duration) -> i64 {
+    pub(super) fn grant(&self, ttl: Duration) -> i64 {
         let mut tables = self.lock();
         tables.next_lease += 1;
         let id = tables.next_lease;
-        let until = Instant::now() + term;
-        tables.leases.insert(id, Lease { term, until });
+        let expires_at = Instant::now() + ttl;
+        tables.leases.insert(id, Lease { ttl, expires_at });
         id
     }
 
     pub(super) fn renew(&self, id: i64) -> Option<Duration> {
         let mut tables = self.lock();
-        tables.end_leases();
+        tables.expire_leases();
         let lease = tables.leases.get_mut(&id)?;
-        lease.until = Instant::now() + lease.term;
-        Some(lease.term)
+        lease.expires_at = Instant::now() + lease.ttl;
+        Some(lease.ttl)
     }
 
     pub(super) fn revoke(&self, id: i64) -> bool {
         let mut tables = self.lock();
-        let was_there = tables.end_lease(id);
+        let existed = tables.remove_lease(id);
         drop(tables);
         self.changed.notify_waiters();
-        was_there
+        existed
     }
 
     fn lock(&self) -> MutexGuard<'_, Tables> {
@@ -270,23 +270,23 @@
         }
     }
 
-    fn end_leases(&mut self) {
+    fn expire_leases(&mut self) {
         let now = Instant::now();
-        let over = self.leases.iter().filter(|it| it.1.until <= now);
-        let over: Vec<i64> = over.map(|it| *it.0).collect();
-        for id in over {
-            self.end_lease(id);
+        let expired = self.leases.iter().filter(|it| it.1.expires_at <= now);
+        let expired: Vec<i64> = expired.map(|it| *it.0).collect();
+        for id in expired {
+            self.remove_lease(id);
         }
     }
 
-    fn end_lease(&mut self, id: i64) -> bool {
-        let was_there = self.leases.remove(&id).is_some();
+    fn remove_lease(&mut self, id: i64) -> bool {
+        let existed = self.leases.remove(&id).is_some();
         let keys = self.entries.values().filter(|it| it.lease == id);
         let keys: Vec<String> = keys.map(|it| it.key.clone()).collect();
         for key in keys {
             self.revision += 1;
             self.remove(&key);
         }
-        was_there
+        existed
     }
 }
--- a/crates/standins/src/link/fault_link.rs
+++ b/crates/standins/src/link/fault_link.rs
@@ -17,12 +17,12 @@
 use super::{LinkFaults, LinkMode, link_faults::Direction};
 
 /// The most that is read at once.
-const CHUNK: usize = 16 << 10;
+const READ_CHUNK_BYTES: usize = 16 << 10;
 /// The most that a link holds of what was sent into a cut.
-const MOST_HELD: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 /// The end of a connection is sent anew only once what came before it was
 /// acknowledged: whoever reads there has begun with it by then.
-const END_LAG: Duration = Duration::from_millis(20);
+const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
 /// A relay of TCP connections on loopback, which stands between two processes.
 #[derive(Clone, Debug)]
@@ -71,13 +71,13 @@
     let Ok(server) = TcpStream::connect(server).await else {
         return reset(&client);
     };
-    let sockets = [dup(&client), dup(&server)];
+    let sockets = [duplicate_handle(&client), duplicate_handle(&server)];
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    let forth = pump(from_client, to_server, faults.modes(), Direction::ToServer);
-    let back = pump(from_server, to_client, faults.modes(), Direction::ToClient);
+    let to_server_copy = copy_one_way(from_client, to_server, faults.modes(), Direction::ToServer);
+    let to_client_copy = copy_one_way(from_server, to_client, faults.modes(), Direction::ToClient);
     let both = async {
-        tokio::join!(forth, back);
+        tokio::join!(to_server_copy, to_client_copy);
     };
     tokio::select! {
         () = both => {}
@@ -92,7 +92,7 @@
 }
 
 /// A second handle on a socket, to set it up for a reset while it is in use.
-fn dup(stream: &TcpStream) -> Option<socket2::Socket> {
+fn duplicate_handle(stream: &TcpStream) -> Option<socket2::Socket> {
     SockRef::from(stream).try_clone().ok()
 }
 
@@ -101,37 +101,44 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn pump(
+async fn copy_one_way(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut modes: watch::Receiver<LinkMode>,
     direction: Direction,
 ) {
-    let mut chunk = vec![0; CHUNK];
-    let mut held = Vec::new();
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
+    let mut buffered = Vec::new();
     let mut has_ended = false;
     loop {
         tokio::select! {
             biased;
             // The end of a connection doesn't pass a cut either.
-            opened = opened(&mut modes, direction), if has_ended || !held.is_empty() => {
+            opened = wait_until_open(&mut modes, direction),
+                if has_ended || !buffered.is_empty() =>
+            {
                 let Some(delay) = opened else {
                     return;
                 };
                 tokio::time::sleep(delay).await;
-                if to.write_all(&held).await.is_err() {
+                if to.write_all(&buffered).await.is_err() {
                     break;
                 }
                 if has_ended {
-                    let lag = if held.is_empty() { Duration::ZERO } else { END_LAG };
-                    tokio::time::sleep(lag).await;
+                    let close_delay = if buffered.is_empty() {
+                        Duration::ZERO
+                    } else {
+                        CLOSE_DELAY
+                    };
+                    tokio::time::sleep(close_delay).await;
                     break;
                 }
-                held.clear();
+                buffered.clear();
             }
-            read = from.read(&mut chunk), if !has_ended && held.len() < MOST_HELD => match read {
+            read = from.read(&mut chunk),
+                if !has_ended && buffered.len() < MAX_BUFFERED_BYTES => match read {
                 Ok(0) => has_ended = true,
-                Ok(length) => held.extend_from_slice(&chunk[..length]),
+                Ok(length) => buffered.extend_from_slice(&chunk[..length]),
                 // A sender that resets its connection sends nothing of it again.
                 Err(_) => break,
             },
@@ -143,7 +150,10 @@
 
 /// Waits until a link lets pass what goes in a direction, and returns by how much it
 /// is delayed; nothing where the link is gone.
-async fn opened(modes: &mut watch::Receiver<LinkMode>, direction: Direction) -> Option<Duration> {
+async fn wait_until_open(
+    modes: &mut watch::Receiver<LinkMode>,
+    direction: Direction,
+) -> Option<Duration> {
     let mode = modes.wait_for(|it| !it.blocks(direction)).await.ok()?;
     Some(mode.delay())
 }
--- a/crates/standins/src/platform/call_tally.rs
+++ b/crates/standins/src/platform/call_counters.rs
@@ -34,7 +34,7 @@
 
 /// Calls since the start, by kind, also those that a fault left unanswered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CallTally {
+pub struct CallCounters {
     /// Reads.
     pub range: u64,
     /// Transactions.
@@ -61,7 +61,7 @@
     pub bytes_out: u64,
 }
 
-impl CallTally {
+impl CallCounters {
     /// Counts a call.
     pub fn add(&mut self, kind: CallKind) {
         *self.field(kind) += 1;
--- a/crates/standins/src/platform/lease_table.rs
+++ b/crates/standins/src/platform/lease_table.rs
@@ -10,8 +10,8 @@
 #[derive(Clone, Copy, Debug)]
 struct LeaseRecord {
     id: i64,
-    span: Duration,
-    lapses: Timestamp,
+    ttl: Duration,
+    expires_at: Timestamp,
 }
 
 /// All leases, sorted by id.
@@ -23,52 +23,59 @@
 
 impl LeaseTable {
     /// Grants a lease under `id`, or under a new id for 0.
-    pub fn grant(&mut self, id: i64, span: Duration, now: Timestamp) -> Result<i64, ModelError> {
+    pub fn grant(&mut self, id: i64, ttl: Duration, now: Timestamp) -> Result<i64, ModelError> {
         let id = if id == 0 { self.next_id() } else { id };
-        let Err(place) = self.find(id) else {
+        let Err(index) = self.find(id) else {
             return Err(ModelError::LeaseExists);
         };
-        let lapses = now + span;
-        self.records.insert(place, LeaseRecord { id, span, lapses });
+        let expires_at = now + ttl;
+        self.records.insert(
+            index,
+            LeaseRecord {
+                id,
+                ttl,
+                expires_at,
+            },
+        );
         Ok(id)
     }
 
     /// Starts the lease's time again and returns it, unless it has lapsed.
     pub fn renew(&mut self, id: i64, now: Timestamp) -> Option<Duration> {
-        let place = self.find(id).ok()?;
-        let record = &mut self.records[place];
-        record.lapses = now + record.span;
-        Some(record.span)
+        let index = self.find(id).ok()?;
+        let record = &mut self.records[index];
+        record.expires_at = now + record.ttl;
+        Some(record.ttl)
     }
 
     /// Ends a lease.
     pub fn revoke(&mut self, id: i64) -> Result<(), ModelError> {
-        let place = self.find(id).map_err(|_| ModelError::LeaseNotFound)?;
-        self.records.remove(place);
+        let index = self.find(id).map_err(|_| ModelError::LeaseNotFound)?;
+        self.records.remove(index);
         Ok(())
     }
 
     /// Whether the lease is in force.
-    pub fn holds(&self, id: i64) -> bool {
+    pub fn contains(&self, id: i64) -> bool {
         self.find(id).is_ok()
     }
 
     /// Removes and returns the leases whose time is over.
-    pub fn take_lapsed(&mut self, now: Timestamp) -> Vec<i64> {
-        let lapsed = self.records.iter().filter(|it| it.lapses <= now);
-        let lapsed: Vec<i64> = lapsed.map(|it| it.id).collect();
-        self.records.retain(|it| it.lapses > now);
-        lapsed
+    pub fn take_expired(&mut self, now: Timestamp) -> Vec<i64> {
+        let expired = self.records.iter().filter(|it| it.expires_at <= now);
+        let expired: Vec<i64> = expired.map(|it| it.id).collect();
+        self.records.retain(|it| it.expires_at > now);
+        expired
     }
 
     /// When the next lease lapses.
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        self.records.iter().map(|it| it.lapses).min()
+        self.records.iter().map(|it| it.expires_at).min()
     }
 
     fn next_id(&mut self) -> i64 {
         self.last_id += 1;
-        while self.holds(self.last_id) {
+        while self.contains(self.last_id) {
             self.last_id += 1;
         }
         self.last_id
--- a/crates/standins/src/platform/memory_store.rs
+++ b/crates/standins/src/platform/memory_store.rs
@@ -8,7 +8,7 @@
     wire::{LeaseMessage, RangeRequest, TransactionRequest, WatchCreateRequest, WatchResponse},
 };
 
-use super::{CallFault, CallKind, CallOutcome, OpenWatch, SharedPlatform, WatchNews};
+use super::{CallFault, CallKind, CallOutcome, OpenWatch, SharedPlatform, WatchUpdate};
 
 /// A store and VM list without a server. Clones share their state.
 ///
@@ -122,13 +122,13 @@
 impl WatchStream for MemoryWatch {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
         match self.watch.next().await {
-            WatchNews::Events(events, _) => WatchResponse {
+            WatchUpdate::Events(events, _) => WatchResponse {
                 events,
                 ..WatchResponse::default()
             }
             .try_into(),
-            WatchNews::Compacted(oldest) => Err(StoreError::Compacted(oldest)),
-            WatchNews::Broken => Err(StoreError::AnswerLost("the watch broke".into())),
+            WatchUpdate::Compacted(oldest) => Err(StoreError::Compacted(oldest)),
+            WatchUpdate::Broken => Err(StoreError::AnswerLost("the watch broke".into())),
         }
     }
 }
--- a/crates/standins/src/platform/model.rs
+++ b/crates/standins/src/platform/model.rs
@@ -20,18 +20,18 @@
 use super::{LeaseTable, ModelError};
 
 /// How many events are kept for watches that start in the past.
-const HISTORY_EVENTS: usize = 100_000;
+const MAX_HISTORY_EVENTS: usize = 100_000;
 /// How many bytes of values are kept for watches that start in the past.
-const HISTORY_BYTES: usize = 64_000_000;
+const MAX_HISTORY_BYTES: usize = 64_000_000;
 /// The shortest lease, in seconds.
-const SHORTEST_LEASE: i64 = 1;
+const MIN_LEASE_SECONDS: i64 = 1;
 
 /// Revisions, pairs, leases and the history that watches read.
 #[derive(Clone, Debug)]
 pub struct KeyValueModel {
     revision: i64,
     /// The oldest revision whose events are all still in the history.
-    oldest: i64,
+    oldest_revision: i64,
     pairs: BTreeMap<Bytes, PairMessage>,
     leases: LeaseTable,
     history: VecDeque<EventMessage>,
@@ -42,7 +42,7 @@
     fn default() -> Self {
         KeyValueModel {
             revision: 1,
-            oldest: 1,
+            oldest_revision: 1,
             pairs: BTreeMap::default(),
             leases: LeaseTable::default(),
             history: VecDeque::default(),
@@ -73,9 +73,9 @@
             Ok(0) | Err(_) => usize::MAX,
             Ok(limit) => limit,
         };
-        let span = key_span(&request.key, &request.range_end);
-        let count = self.pairs.range(span.clone()).count();
-        let found = self.pairs.range(span).take(limit);
+        let range = key_range(&request.key, &request.range_end);
+        let count = self.pairs.range(range.clone()).count();
+        let found = self.pairs.range(range).take(limit);
         let mut kvs: Vec<PairMessage> = found.map(|(_, pair)| pair.clone()).collect();
         if request.keys_only {
             kvs.iter_mut().for_each(|it| it.value = Bytes::new());
@@ -125,9 +125,9 @@
         request: &LeaseMessage,
         now: Timestamp,
     ) -> Result<LeaseMessage, ModelError> {
-        let ttl = request.ttl.max(SHORTEST_LEASE);
-        let span = Duration::from_secs(ttl.unsigned_abs());
-        let id = self.leases.grant(request.id, span, now)?;
+        let ttl = request.ttl.max(MIN_LEASE_SECONDS);
+        let duration = Duration::from_secs(ttl.unsigned_abs());
+        let id = self.leases.grant(request.id, duration, now)?;
         Ok(LeaseMessage {
             header: self.header(),
             id,
@@ -137,18 +137,18 @@
 
     /// Renews a lease. The answer's time to live is 0 when it has lapsed.
     pub fn keep_alive(&mut self, id: i64, now: Timestamp) -> LeaseMessage {
-        let span = self.leases.renew(id, now).unwrap_or_default();
+        let duration = self.leases.renew(id, now).unwrap_or_default();
         LeaseMessage {
             header: self.header(),
             id,
-            ttl: span.as_secs() as i64,
+            ttl: duration.as_secs() as i64,
         }
     }
 
     /// Revokes a lease; its keys vanish.
     pub fn revoke(&mut self, id: i64) -> Result<HeaderResponse, ModelError> {
         self.leases.revoke(id)?;
-        self.drop_keys_of(id);
+        self.delete_keys_of_lease(id);
         Ok(HeaderResponse {
             header: self.header(),
         })
@@ -156,8 +156,8 @@
 
     /// Lets each lease lapse whose time is over; their keys vanish.
     pub fn expire(&mut self, now: Timestamp) {
-        for id in self.leases.take_lapsed(now) {
-            self.drop_keys_of(id);
+        for id in self.leases.take_expired(now) {
+            self.delete_keys_of_lease(id);
         }
     }
 
@@ -171,16 +171,18 @@
         &self,
         key: &Bytes,
         range_end: &Bytes,
-        from: i64,
+        from_revision: i64,
     ) -> Result<Vec<EventMessage>, ModelError> {
-        if from < self.oldest {
-            return Err(ModelError::Compacted(self.oldest));
+        if from_revision < self.oldest_revision {
+            return Err(ModelError::Compacted(self.oldest_revision));
         }
-        let start = self.history.partition_point(|it| it.kv.mod_revision < from);
-        let (first, end) = key_span(key, range_end);
-        let in_span = |it: &&EventMessage| {
-            let reached = match &first {
-                Bound::Included(first) => it.kv.key >= *first,
+        let first_index = self
+            .history
+            .partition_point(|it| it.kv.mod_revision < from_revision);
+        let (start, end) = key_range(key, range_end);
+        let in_range = |it: &&EventMessage| {
+            let reached = match &start {
+                Bound::Included(start) => it.kv.key >= *start,
                 _ => true,
             };
             let passed = match &end {
@@ -190,7 +192,7 @@
             };
             reached && !passed
         };
-        let events = self.history.range(start..).filter(in_span);
+        let events = self.history.range(first_index..).filter(in_range);
         Ok(events.cloned().collect())
     }
 
@@ -199,15 +201,15 @@
         if revision > self.revision {
             return Err(ModelError::FutureRevision);
         }
-        if revision < self.oldest {
-            return Err(ModelError::Compacted(self.oldest));
+        if revision < self.oldest_revision {
+            return Err(ModelError::Compacted(self.oldest_revision));
         }
         while let Some(event) = self.history.front()
             && event.kv.mod_revision < revision
         {
             self.drop_oldest_event();
         }
-        self.oldest = revision;
+        self.oldest_revision = revision;
         Ok(HeaderResponse {
             header: self.header(),
         })
@@ -249,7 +251,7 @@
 
     fn check_leases(&self, steps: &[RequestStep]) -> Result<(), ModelError> {
         let mut puts = steps.iter().filter_map(|it| it.request_put.as_ref());
-        let known = puts.all(|it| it.lease == 0 || self.leases.holds(it.lease));
+        let known = puts.all(|it| it.lease == 0 || self.leases.contains(it.lease));
         known.then_some(()).ok_or(ModelError::LeaseNotFound)
     }
 
@@ -289,12 +291,12 @@
     }
 
     fn delete(&mut self, key: &Bytes, range_end: &Bytes, revision: i64) -> i64 {
-        let span = key_span(key, range_end);
-        let keys = self.pairs.range(span).map(|(key, _)| key.clone());
+        let range = key_range(key, range_end);
+        let keys = self.pairs.range(range).map(|(key, _)| key.clone());
         self.delete_keys(keys.collect(), revision)
     }
 
-    fn drop_keys_of(&mut self, lease: i64) {
+    fn delete_keys_of_lease(&mut self, lease: i64) {
         let held = self.pairs.values().filter(|it| it.lease == lease);
         let keys = held.map(|it| it.key.clone()).collect();
         self.delete_keys(keys, self.revision + 1);
@@ -318,7 +320,7 @@
         self.revision = kv.mod_revision;
         self.history_bytes += kv.value.len();
         self.history.push_back(EventMessage { kind, kv });
-        while self.history.len() > HISTORY_EVENTS || self.history_bytes > HISTORY_BYTES {
+        while self.history.len() > MAX_HISTORY_EVENTS || self.history_bytes > MAX_HISTORY_BYTES {
             self.drop_oldest_event();
         }
     }
@@ -329,13 +331,13 @@
         };
         self.history_bytes -= event.kv.value.len();
         // Its revision may have had more events; none of it is whole any more.
-        self.oldest = event.kv.mod_revision + 1;
+        self.oldest_revision = event.kv.mod_revision + 1;
     }
 }
 
 /// An empty end means the one key, a single zero byte means no end.
-fn key_span(key: &Bytes, range_end: &Bytes) -> (Bound<Bytes>, Bound<Bytes>) {
-    let first = Bound::Included(key.clone());
+fn key_range(key: &Bytes, range_end: &Bytes) -> (Bound<Bytes>, Bound<Bytes>) {
+    let start = Bound::Included(key.clone());
     let end = match range_end.as_ref() {
         [] => Bound::Included(key.clone()),
         [0] => Bound::Unbounded,
@@ -343,5 +345,5 @@
         end if end <= key.as_ref() => Bound::Excluded(key.clone()),
         _ => Bound::Excluded(range_end.clone()),
     };
-    (first, end)
+    (start, end)
 }
--- a/crates/standins/src/platform/open_watch.rs
+++ b/crates/standins/src/platform/open_watch.rs
@@ -9,7 +9,7 @@
 
 /// What a watch has to tell.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WatchNews {
+pub enum WatchUpdate {
     /// Events, oldest first, with the store's revision.
     Events(Vec<EventMessage>, i64),
     /// The watch asked for revisions before this one, which are gone.
@@ -48,20 +48,20 @@
         let state = self.platform.lock();
         let held = state.faults.hold_watches || state.watch_epoch != self.epoch;
         let revision = state.model.revision();
-        (!held && self.cursor.from > revision).then_some(revision)
+        (!held && self.cursor.next_revision > revision).then_some(revision)
     }
 
     /// Waits until there is something to tell.
-    pub async fn next(&mut self) -> WatchNews {
+    pub async fn next(&mut self) -> WatchUpdate {
         loop {
             self.changed.borrow_and_update();
-            let (news, lapse) = self.look();
-            if let Some(news) = news {
-                return news;
+            let (update, until_expiry) = self.poll();
+            if let Some(update) = update {
+                return update;
             }
             // Only the sender's end would fail here, and we hold it.
             let changed = self.changed.changed();
-            match lapse {
+            match until_expiry {
                 None => drop(changed.await),
                 Some(wait) => drop(tokio::time::timeout(wait, changed).await),
             }
@@ -69,23 +69,23 @@
     }
 
     /// What there is to tell now, or else how long until a lease lapses.
-    fn look(&mut self) -> (Option<WatchNews>, Option<Duration>) {
+    fn poll(&mut self) -> (Option<WatchUpdate>, Option<Duration>) {
         let mut state = self.platform.lock();
         if state.watch_epoch != self.epoch {
-            return (Some(WatchNews::Broken), None);
+            return (Some(WatchUpdate::Broken), None);
         }
         let now = self.platform.now(&state);
         state.model.expire(now);
-        let lapse = state.model.next_expiry();
-        let lapse = lapse.map(|it| it.since(now) + Duration::from_millis(1));
+        let until_expiry = state.model.next_expiry();
+        let until_expiry = until_expiry.map(|it| it.since(now) + Duration::from_millis(1));
         if state.faults.hold_watches {
-            return (None, lapse);
+            return (None, until_expiry);
         }
         let revision = state.model.revision();
         match self.cursor.read(&state.model) {
-            Ok(events) if events.is_empty() => (None, lapse),
-            Ok(events) => (Some(WatchNews::Events(events, revision)), lapse),
-            Err(oldest) => (Some(WatchNews::Compacted(oldest)), lapse),
+            Ok(events) if events.is_empty() => (None, until_expiry),
+            Ok(events) => (Some(WatchUpdate::Events(events, revision)), until_expiry),
+            Err(oldest) => (Some(WatchUpdate::Compacted(oldest)), until_expiry),
         }
     }
 }
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -20,12 +20,13 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    CallFault, CallKind, CallOutcome, FaultChange, ModelError, OpenWatch, SharedPlatform, WatchNews,
+    CallFault, CallKind, CallOutcome, FaultChange, ModelError, OpenWatch, SharedPlatform,
+    WatchUpdate,
 };
 use crate::process::stand_in_limits;
 
 /// The longest body: a transaction with its largest values in base64.
-const BODY_LIMIT: usize = 8_000_000;
+const MAX_BODY_BYTES: usize = 8_000_000;
 /// How often a watch that asked for it hears of the revision while idle.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
@@ -53,7 +54,7 @@
 /// Answers one request and counts its bytes.
 async fn answer(platform: SharedPlatform, request: Request<Incoming>) -> Response<MessageBody> {
     let (head, body) = request.into_parts();
-    let body = match collect_limited(body, BODY_LIMIT).await {
+    let body = match collect_limited(body, MAX_BODY_BYTES).await {
         Ok(body) => body,
         Err(error) => return refuse(&ModelError::BadBody(error.to_string())),
     };
@@ -217,18 +218,18 @@
         };
         self.write(created).await;
         loop {
-            let news = tokio::time::timeout(PROGRESS_INTERVAL, watch.next()).await;
-            match news {
+            let update = tokio::time::timeout(PROGRESS_INTERVAL, watch.next()).await;
+            match update {
                 Err(_) => self.write_progress(&watch).await,
-                Ok(WatchNews::Events(events, _)) => {
+                Ok(WatchUpdate::Events(events, _)) => {
                     let message = WatchResponse {
                         events,
                         ..self.message()
                     };
                     self.write(message).await;
                 }
-                Ok(WatchNews::Compacted(oldest)) => return self.write_compacted(oldest).await,
-                Ok(WatchNews::Broken) => return self.sender.cut_short("the watch broke").await,
+                Ok(WatchUpdate::Compacted(oldest)) => return self.write_compacted(oldest).await,
+                Ok(WatchUpdate::Broken) => return self.sender.cut_short("the watch broke").await,
             }
         }
     }
@@ -323,13 +324,13 @@
 fn respond_fault(fault: CallFault) -> Answer {
     match fault {
         CallFault::Outage => Err(ModelError::Unavailable),
-        CallFault::AnswerLost => Ok(lost_answer()),
+        CallFault::AnswerLost => Ok(truncated_answer()),
     }
 }
 
 /// An answer that breaks off before its first byte of body, as it looks to a
 /// caller when the connection dies after the write took effect.
-fn lost_answer() -> Response<MessageBody> {
+fn truncated_answer() -> Response<MessageBody> {
     let (sender, body) = MessageBody::stream();
     tokio::spawn(sender.cut_short("lost on purpose"));
     Response::new(body)
--- a/crates/standins/src/platform/shared_platform.rs
+++ b/crates/standins/src/platform/shared_platform.rs
@@ -13,7 +13,7 @@
 use tokio::{sync::watch, time::Instant};
 
 use super::{
-    CallKind, CallTally, FaultChange, FaultSwitches, KeyValueModel, ModelError, OpenWatch,
+    CallCounters, CallKind, FaultChange, FaultSwitches, KeyValueModel, ModelError, OpenWatch,
     VmHistory, WatchCursor,
 };
 
@@ -35,9 +35,9 @@
     pub(super) model: KeyValueModel,
     vms: VmHistory,
     pub(super) faults: FaultSwitches,
-    pub(super) calls: CallTally,
+    pub(super) calls: CallCounters,
     /// How far the clock was put forward.
-    advanced: Duration,
+    clock_offset: Duration,
     /// Counts up whenever all watches are to break.
     pub(super) watch_epoch: u64,
 }
@@ -62,7 +62,7 @@
 
 impl SharedPlatform {
     /// Runs one call on the model, with the faults in force.
-    pub async fn call<T, F>(&self, kind: CallKind, act: F) -> CallOutcome<T>
+    pub async fn call<T, F>(&self, kind: CallKind, operation: F) -> CallOutcome<T>
     where
         T: Send + 'static,
         F: FnOnce(&mut KeyValueModel, Timestamp) -> Result<T, ModelError> + Send + 'static,
@@ -76,26 +76,26 @@
             state.faults.slow
         };
         if slow.is_zero() {
-            return self.run(kind, act);
+            return self.run(kind, operation);
         }
         // On a task of its own, since a slow write takes effect even though
         // its caller has given up, and that is the case worth testing.
         let platform = self.clone();
         let task = tokio::spawn(async move {
             tokio::time::sleep(slow).await;
-            platform.run(kind, act)
+            platform.run(kind, operation)
         });
         task.await.unwrap_or(Err(CallFault::AnswerLost))
     }
 
-    fn run<T, F>(&self, kind: CallKind, act: F) -> CallOutcome<T>
+    fn run<T, F>(&self, kind: CallKind, operation: F) -> CallOutcome<T>
     where
         F: FnOnce(&mut KeyValueModel, Timestamp) -> Result<T, ModelError>,
     {
         let mut state = self.lock();
         let now = self.now(&state);
         state.model.expire(now);
-        let outcome = act(&mut state.model, now);
+        let outcome = operation(&mut state.model, now);
         let lost = kind.is_write() && state.faults.lose_answers.take();
         drop(state);
         if kind.is_write() {
@@ -180,9 +180,9 @@
     }
 
     /// Puts the stand-in's clock forward, so that leases lapse without a wait.
-    pub fn advance(&self, span: Duration) {
+    pub fn advance(&self, duration: Duration) {
         let mut state = self.lock();
-        state.advanced += span;
+        state.clock_offset += duration;
         let now = self.now(&state);
         state.model.expire(now);
         drop(state);
@@ -218,7 +218,7 @@
     }
 
     /// The calls counted so far.
-    pub fn calls(&self) -> CallTally {
+    pub fn calls(&self) -> CallCounters {
         self.lock().calls
     }
 
@@ -230,7 +230,7 @@
     }
 
     pub(super) fn now(&self, state: &PlatformState) -> Timestamp {
-        Timestamp::ZERO + self.origin.elapsed() + state.advanced
+        Timestamp::ZERO + self.origin.elapsed() + state.clock_offset
     }
 
     /// A panic while the lock was held can't leave the state half-changed in
--- a/crates/standins/src/platform/vm_history.rs
+++ b/crates/standins/src/platform/vm_history.rs
@@ -27,21 +27,21 @@
 
     /// Adds a VM, or replaces the one of the same name.
     pub fn put(&mut self, vm: ListedVm, now: Timestamp) {
-        let mut vms = self.newest();
+        let mut vms = self.newest_vms();
         match vms.binary_search_by(|it| it.name.cmp(&vm.name)) {
-            Ok(place) => vms[place] = vm,
-            Err(place) => vms.insert(place, vm),
+            Ok(index) => vms[index] = vm,
+            Err(index) => vms.insert(index, vm),
         }
         self.states.push(ListedState { since: now, vms });
     }
 
     /// Removes a VM. Returns whether it was listed.
     pub fn remove(&mut self, name: &str, now: Timestamp) -> bool {
-        let mut vms = self.newest();
-        let Ok(place) = vms.binary_search_by(|it| it.name.as_str().cmp(name)) else {
+        let mut vms = self.newest_vms();
+        let Ok(index) = vms.binary_search_by(|it| it.name.as_str().cmp(name)) else {
             return false;
         };
-        vms.remove(place);
+        vms.remove(index);
         self.states.push(ListedState { since: now, vms });
         true
     }
@@ -49,13 +49,13 @@
     /// The list as it was `lag` before `now`. The first state stands for all
     /// time before it, so that a lag doesn't begin with an empty fleet.
     pub fn read(&self, lag: Duration, now: Timestamp) -> Vec<ListedVm> {
-        let then = now - lag;
-        let place = self.states.partition_point(|it| it.since <= then);
-        let state = self.states.get(place.saturating_sub(1));
+        let read_at = now - lag;
+        let index = self.states.partition_point(|it| it.since <= read_at);
+        let state = self.states.get(index.saturating_sub(1));
         state.map_or_else(Vec::new, |it| it.vms.clone())
     }
 
-    fn newest(&self) -> Vec<ListedVm> {
+    fn newest_vms(&self) -> Vec<ListedVm> {
         self.states
             .last()
             .map_or_else(Vec::new, |it| it.vms.clone())
--- a/crates/standins/src/platform/watch_cursor.rs
+++ b/crates/standins/src/platform/watch_cursor.rs
@@ -13,7 +13,7 @@
     /// The end, as in a read.
     pub range_end: Bytes,
     /// The first revision not yet reported, or 0 for the next to come.
-    pub from: i64,
+    pub next_revision: i64,
 }
 
 impl From<WatchCreateRequest> for WatchCursor {
@@ -21,16 +21,16 @@
         WatchCursor {
             key: request.key,
             range_end: request.range_end,
-            from: request.start_revision,
+            next_revision: request.start_revision,
         }
     }
 }
 
 impl WatchCursor {
     /// Fixes where to start, if the request left it open.
-    pub fn starting(mut self, next: i64) -> Self {
-        if self.from <= 0 {
-            self.from = next;
+    pub fn starting(mut self, default_start: i64) -> Self {
+        if self.next_revision <= 0 {
+            self.next_revision = default_start;
         }
         self
     }
@@ -38,12 +38,12 @@
     /// Reads what is new and moves past it. Fails with the oldest revision
     /// still there when some of it is gone.
     pub fn read(&mut self, model: &KeyValueModel) -> Result<Vec<EventMessage>, i64> {
-        let events = match model.events(&self.key, &self.range_end, self.from) {
+        let events = match model.events(&self.key, &self.range_end, self.next_revision) {
             Ok(events) => events,
             Err(ModelError::Compacted(oldest)) => return Err(oldest),
             Err(_) => Vec::new(),
         };
-        self.from = self.from.max(model.revision() + 1);
+        self.next_revision = self.next_revision.max(model.revision() + 1);
         Ok(events)
     }
 }
--- a/crates/standins/src/request_log.rs
+++ b/crates/standins/src/request_log.rs
@@ -10,9 +10,9 @@
 use sha2::{Digest, Sha256};
 
 /// How many requests are kept; the oldest go first.
-const KEPT_REQUESTS: usize = 50_000;
+const MAX_KEPT_REQUESTS: usize = 50_000;
 /// How many bytes of a prompt are kept.
-const KEPT_PROMPT_BYTES: usize = 8 * 1024;
+const MAX_PROMPT_BYTES: usize = 8 * 1024;
 
 /// How a request ended, or where it stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -86,7 +86,7 @@
 
 #[derive(Debug, Default)]
 struct LogEntries {
-    next: u64,
+    next_index: u64,
     records: VecDeque<RequestRecord>,
     runs: HashMap<RunKey, u32>,
 }
@@ -112,8 +112,8 @@
     /// Adds a request that waits, and returns its index.
     pub fn add(&self, arrival: Arrival<'_>) -> u64 {
         let mut entries = self.lock();
-        let index = entries.next;
-        entries.next += 1;
+        let index = entries.next_index;
+        entries.next_index += 1;
         let headers = header_texts(arrival.headers);
         let id = headers.get("x-request-id").cloned();
         let record = RequestRecord {
@@ -131,7 +131,7 @@
         };
         *entries.runs.entry(RunKey::of(&record)).or_default() += 1;
         entries.records.push_back(record);
-        if entries.records.len() > KEPT_REQUESTS {
+        if entries.records.len() > MAX_KEPT_REQUESTS {
             entries.records.pop_front();
         }
         index
@@ -228,7 +228,7 @@
 }
 
 fn truncate(prompt: &str) -> &str {
-    let mut end = prompt.len().min(KEPT_PROMPT_BYTES);
+    let mut end = prompt.len().min(MAX_PROMPT_BYTES);
     while !prompt.is_char_boundary(end) {
         end -= 1;
     }
--- a/crates/standins/src/runner/runner_server.rs
+++ b/crates/standins/src/runner/runner_server.rs
@@ -19,7 +19,7 @@
 use crate::{kv::KvState, process::stand_in_limits};
 
 /// The longest body that is read.
-const BODY_LIMIT: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// What a server answers with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Where its entry says that it listens.
-    shown_at: Mutex<SocketAddr>,
+    published_address: Mutex<SocketAddr>,
     arrivals: Mutex<Vec<RunnerArrival>>,
     is_full: AtomicBool,
     break_after: AtomicU32,
@@ -92,7 +92,7 @@
         let address = listener.local_addr()?;
         let server = Arc::new(RunnerServer {
             address,
-            shown_at: Mutex::new(address),
+            published_address: Mutex::new(address),
             options,
             arrivals: Mutex::default(),
             is_full: AtomicBool::new(false),
@@ -109,13 +109,19 @@
 
     /// Has its entry say that it listens elsewhere, as behind a link.
     pub fn show_at(&self, address: SocketAddr, store: &KvState) {
-        *self.shown_at.lock().unwrap_or_else(PoisonError::into_inner) = address;
+        *self
+            .published_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = address;
         self.register(store, "ready");
     }
 
     /// Writes its entry with a state.
     pub fn register(&self, store: &KvState, state: &str) {
-        let address = *self.shown_at.lock().unwrap_or_else(PoisonError::into_inner);
+        let address = *self
+            .published_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let entry = json!({
             "service": self.options.service, "address": address.to_string(),
             "zone": self.options.zone, "version": "v1", "slots": 8, "state": state,
@@ -145,7 +151,9 @@
 
     async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Response<MessageBody> {
         let (head, body) = request.into_parts();
-        let body = collect_limited(body, BODY_LIMIT).await.unwrap_or_default();
+        let body = collect_limited(body, MAX_BODY_BYTES)
+            .await
+            .unwrap_or_default();
         let text = |name: &str| {
             let value = head.headers.get(name).and_then(|it| it.to_str().ok());
             value.unwrap_or_default().to_owned()
@@ -169,7 +177,7 @@
             *answer.status_mut() = StatusCode::MISDIRECTED_REQUEST;
         } else if is_full {
             *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-            set(&mut answer, "x-not-run", "1");
+            set_header(&mut answer, "x-not-run", "1");
         } else if body.as_ref() == b"impossible" {
             *answer.status_mut() = StatusCode::UNPROCESSABLE_ENTITY;
         } else if body.as_ref() == b"fails" {
@@ -177,34 +185,34 @@
         } else {
             match self.options.kind {
                 RunnerKind::Plain => {
-                    tokio::time::sleep(asked_work(&body).unwrap_or_default()).await;
+                    tokio::time::sleep(requested_duration(&body).unwrap_or_default()).await;
                     *answer.body_mut() = MessageBody::from(body);
                 }
                 RunnerKind::Engine { events, pause } => {
                     let (sender, stream) = MessageBody::stream();
                     *answer.body_mut() = stream;
-                    let pause = asked_work(&body).map_or(pause, |it| it / events as u32);
+                    let pause = requested_duration(&body).map_or(pause, |it| it / events as u32);
                     let after = text("last-event-id").parse().unwrap_or(0);
                     let break_after = self.break_after.swap(u32::MAX, Ordering::SeqCst);
                     tokio::spawn(send_events(sender, after, events, pause, break_after));
                 }
             }
-            set(&mut answer, "x-response-signature", &self.options.id);
+            set_header(&mut answer, "x-response-signature", &self.options.id);
         }
-        set(&mut answer, "x-request-id", &request_id);
-        set(&mut answer, "x-server-load", "1,0,8");
+        set_header(&mut answer, "x-request-id", &request_id);
+        set_header(&mut answer, "x-server-load", "1,0,8");
         answer
     }
 }
 
 /// The work that a body asks for.
-fn asked_work(body: &[u8]) -> Option<Duration> {
+fn requested_duration(body: &[u8]) -> Option<Duration> {
     let text = std::str::from_utf8(body).ok()?;
     let millis = text.strip_prefix("takes ")?.parse().ok()?;
     Some(Duration::from_millis(millis))
 }
 
-fn set(answer: &mut Response<MessageBody>, name: &'static str, value: &str) {
+fn set_header(answer: &mut Response<MessageBody>, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         answer.headers_mut().insert(name, value);
     }
--- a/crates/standins/src/service/server.rs
+++ b/crates/standins/src/service/server.rs
@@ -27,7 +27,7 @@
 /// The longest body that is read whole, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 /// The longest wait that `/slow` obeys.
-const MAX_WAIT: Duration = Duration::from_secs(600);
+const MAX_DELAY: Duration = Duration::from_secs(600);
 
 /// How a plain service behaves.
 #[derive(Clone, Debug)]
@@ -123,9 +123,9 @@
         };
         let body_hash = hash_hex(&body);
         let call = self.open_call(&head, body_hash.clone());
-        call.crash_if_asked(&body);
+        call.crash_if_triggered(&body);
         if head.uri.path().ends_with("/slow") {
-            tokio::time::sleep(asked_wait(head.uri.query().unwrap_or_default())).await;
+            tokio::time::sleep(requested_delay(head.uri.query().unwrap_or_default())).await;
         }
         call.end(RequestEnd::Done, body.len() as u64);
         let mut names: Vec<&str> = head.headers.keys().map(|it| it.as_str()).collect();
@@ -185,7 +185,7 @@
     }
 
     /// Ends the process like a crash, so that all its calls are cut.
-    fn crash_if_asked(&self, body: &[u8]) {
+    fn crash_if_triggered(&self, body: &[u8]) {
         let crash_on = self.server.options.crash_on.as_bytes();
         if !crash_on.is_empty() && body.windows(crash_on.len()).any(|it| it == crash_on) {
             std::process::exit(70);
@@ -217,7 +217,7 @@
                 return;
             }
         };
-        call.crash_if_asked(&data);
+        call.crash_if_triggered(&data);
         hash.update(&data);
         bytes += data.len() as u64;
         if !sender.send(data).await {
@@ -229,11 +229,11 @@
     call.end(RequestEnd::Done, bytes);
 }
 
-fn asked_wait(query: &str) -> Duration {
+fn requested_delay(query: &str) -> Duration {
     let millis = query
         .split('&')
         .find_map(|it| it.strip_prefix("ms="))
         .and_then(|it| it.parse().ok())
         .unwrap_or(0);
-    Duration::from_millis(millis).min(MAX_WAIT)
+    Duration::from_millis(millis).min(MAX_DELAY)
 }
--- a/crates/standins/tests/common/mod.rs
+++ b/crates/standins/tests/common/mod.rs
@@ -18,13 +18,13 @@
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// A stand-in's address and a client for it.
-pub(crate) struct Peer {
+pub(crate) struct StandIn {
     pub(crate) address: SocketAddr,
     pub(crate) client: HttpClient,
     _stop: Option<DropGuard>,
 }
 
-impl Peer {
+impl StandIn {
     pub(crate) async fn start<F, R>(run: F) -> Self
     where
         F: FnOnce(tokio::net::TcpListener, CancellationToken) -> R,
@@ -34,7 +34,7 @@
         let address = listener.local_addr().unwrap();
         let stop = CancellationToken::new();
         tokio::spawn(run(listener, stop.clone()));
-        Peer {
+        StandIn {
             address,
             client: HttpClient::default(),
             _stop: Some(stop.drop_guard()),
@@ -43,7 +43,7 @@
 
     /// A stand-in that runs as a process of its own.
     pub(crate) fn at(address: SocketAddr) -> Self {
-        Peer {
+        StandIn {
             address,
             client: HttpClient::default(),
             _stop: None,
--- a/crates/standins/tests/engine_http.rs
+++ b/crates/standins/tests/engine_http.rs
@@ -19,17 +19,17 @@
 };
 use serde_json::{Value, json};
 
-use common::{Peer, next_piece, read_to_end, wait_for_record};
+use common::{StandIn, next_piece, read_to_end, wait_for_record};
 
-async fn start() -> (Arc<EngineServer>, Peer) {
+async fn start() -> (Arc<EngineServer>, StandIn) {
     let options = EngineOptions {
         settings: EngineSettings::default().time_scale(0.1),
         models: vec!["m".to_owned()],
         ..EngineOptions::default()
     };
     let server = EngineServer::new(options);
-    let peer = Peer::start(|listener, stop| server.clone().run(listener, stop)).await;
-    (server, peer)
+    let stand_in = StandIn::start(|listener, stop| server.clone().run(listener, stop)).await;
+    (server, stand_in)
 }
 
 fn chat(prompt: &str, more: &Value) -> Value {
@@ -62,14 +62,14 @@
 
 #[tokio::test]
 async fn a_stream_sends_one_token_an_event_and_ends_with_done() {
-    let (server, peer) = start().await;
+    let (server, stand_in) = start().await;
     let body = chat(
         "wording for a card",
         &json!({ "stream": true, "max_tokens": 5, "stream_options": { "include_usage": true } }),
     );
     let path = "/v1/chat/completions";
     let headers = [("x-request-id", "r1"), ("authorization", "none")];
-    let response = peer
+    let response = stand_in
         .send(Method::POST, path, &headers, body.to_string())
         .await;
     assert_eq!(response.headers()["x-engine-batch"], "16");
@@ -88,27 +88,29 @@
 
 #[tokio::test]
 async fn whole_answers_models_and_errors_have_the_published_shapes() {
-    let (_, peer) = start().await;
+    let (_, stand_in) = start().await;
     let parts = json!([{ "type": "text", "text": "verse" }]);
     let body = json!({ "model": "m", "messages": [{ "role": "user", "content": parts }] });
-    let (status, answer) = peer.call(Method::POST, "/v1/chat/completions", body).await;
+    let (status, answer) = stand_in
+        .call(Method::POST, "/v1/chat/completions", body)
+        .await;
     assert_eq!(status, 200);
     let text = answer["choices"][0]["message"]["content"].as_str().unwrap();
     assert_eq!(text, expected("verse", 0..16).concat());
     let body = json!({ "model": "m", "prompt": "verse", "max_tokens": 2 });
-    let (_, answer) = peer.call(Method::POST, "/v1/completions", body).await;
+    let (_, answer) = stand_in.call(Method::POST, "/v1/completions", body).await;
     assert_eq!(
         answer["choices"][0]["text"],
         expected("verse", 0..2).concat()
     );
-    let (_, models) = peer.call(Method::GET, "/v1/models", json!(null)).await;
+    let (_, models) = stand_in.call(Method::GET, "/v1/models", json!(null)).await;
     assert_eq!(models["data"][0]["id"], "m");
     for (body, code) in [
         (json!({ "model": "other", "prompt": "verse" }), 404),
         (json!({ "model": "m" }), 400),
         (json!({ "model": "m", "prompt": 3 }), 400),
     ] {
-        let (status, answer) = peer.call(Method::POST, "/v1/completions", body).await;
+        let (status, answer) = stand_in.call(Method::POST, "/v1/completions", body).await;
         assert_eq!(status, code);
         assert!(answer["error"]["message"].is_string());
     }
@@ -116,8 +118,8 @@
 
 #[tokio::test]
 async fn a_cut_answer_is_resumed_without_a_token_lost_or_repeated() {
-    let (server, peer) = start().await;
-    let (status, _) = peer
+    let (server, stand_in) = start().await;
+    let (status, _) = stand_in
         .call(
             Method::PUT,
             "/stand-in/faults",
@@ -127,15 +129,17 @@
     assert_eq!(status, 200);
     let path = "/v1/chat/completions";
     let body = chat("a", &json!({ "stream": true, "max_tokens": 8 })).to_string();
-    let response = peer.send(Method::POST, path, &[], body).await;
+    let response = stand_in.send(Method::POST, path, &[], body).await;
     let (text, whole) = read_to_end(response.into_body()).await;
     let (mut texts, done) = chunk_texts(&text);
     assert!(!whole && !done);
     wait_for_record(server.log(), |it| it.end == RequestEnd::Broken).await;
-    peer.call(Method::PUT, "/stand-in/faults", json!({})).await;
+    stand_in
+        .call(Method::PUT, "/stand-in/faults", json!({}))
+        .await;
     let more = json!({ "stream": true, "max_tokens": 8, "resume_from": texts.len() });
     let body = chat("a", &more).to_string();
-    let response = peer.send(Method::POST, path, &[], body).await;
+    let response = stand_in.send(Method::POST, path, &[], body).await;
     let (text, _) = read_to_end(response.into_body()).await;
     texts.extend(chunk_texts(&text).0);
     assert_eq!(texts, expected("a", 0..8));
@@ -146,20 +150,24 @@
 
 #[tokio::test]
 async fn a_cancel_and_a_disconnect_free_the_batch() {
-    let (server, peer) = start().await;
+    let (server, stand_in) = start().await;
     let path = "/v1/chat/completions";
     let endless = chat("a", &json!({ "stream": true, "max_tokens": 1_000_000 })).to_string();
     let named = [("x-request-id", "long")];
-    let mut response = peer.send(Method::POST, path, &named, endless.clone()).await;
+    let mut response = stand_in
+        .send(Method::POST, path, &named, endless.clone())
+        .await;
     next_piece(response.body_mut()).await;
     let body = json!({ "request_id": "long" });
-    let (_, answer) = peer.call(Method::POST, "/cancel", body).await;
+    let (_, answer) = stand_in.call(Method::POST, "/cancel", body).await;
     assert_eq!(answer["cancelled"], 1);
     let (_, whole) = read_to_end(response.into_body()).await;
     assert!(!whole, "a cancelled answer must not look complete");
     wait_for_record(server.log(), |it| it.end == RequestEnd::Cancelled).await;
 
-    let mut response = peer.send(Method::POST, path, &[], endless.clone()).await;
+    let mut response = stand_in
+        .send(Method::POST, path, &[], endless.clone())
+        .await;
     next_piece(response.body_mut()).await;
     drop(response);
     wait_for_record(server.log(), |it| {
@@ -169,7 +177,7 @@
 
     // A caller that waits for a whole answer and gives up.
     let whole = chat("a", &json!({ "max_tokens": 1_000_000 })).to_string();
-    let call = peer.send(Method::POST, path, &[], whole);
+    let call = stand_in.send(Method::POST, path, &[], whole);
     let given_up = tokio::time::timeout(Duration::from_millis(300), call).await;
     assert!(given_up.is_err());
     wait_for_record(server.log(), |it| {
@@ -177,7 +185,7 @@
     })
     .await;
     for _ in 0..500 {
-        let (_, load) = peer.call(Method::GET, "/load", json!(null)).await;
+        let (_, load) = stand_in.call(Method::GET, "/load", json!(null)).await;
         if load["tokens"] != 0 && load["running"] == 0 {
             return;
         }
@@ -188,45 +196,48 @@
 
 #[tokio::test]
 async fn fault_switches_refuse_fail_and_hang() {
-    let (server, peer) = start().await;
+    let (server, stand_in) = start().await;
     let path = "/v1/completions";
     let body = json!({ "model": "m", "prompt": "a", "max_tokens": 1 });
     let faults = json!({ "fail_next": 1 });
-    peer.call(Method::PUT, "/stand-in/faults", faults).await;
-    assert_eq!(peer.call(Method::POST, path, body.clone()).await.0, 500);
-    assert_eq!(peer.call(Method::POST, path, body.clone()).await.0, 200);
+    stand_in.call(Method::PUT, "/stand-in/faults", faults).await;
+    assert_eq!(stand_in.call(Method::POST, path, body.clone()).await.0, 500);
+    assert_eq!(stand_in.call(Method::POST, path, body.clone()).await.0, 200);
     let faults = json!({ "refuse": true });
-    peer.call(Method::PUT, "/stand-in/faults", faults).await;
-    assert_eq!(peer.call(Method::POST, path, body.clone()).await.0, 503);
+    stand_in.call(Method::PUT, "/stand-in/faults", faults).await;
+    assert_eq!(stand_in.call(Method::POST, path, body.clone()).await.0, 503);
     let ends: Vec<RequestEnd> = server.log().list().iter().map(|it| it.end).collect();
     let refused = RequestEnd::Refused;
     assert_eq!(ends, [RequestEnd::Broken, RequestEnd::Done, refused]);
     let faults = json!({ "hang": true });
-    peer.call(Method::PUT, "/stand-in/faults", faults).await;
-    let call = peer.call(Method::POST, path, body);
+    stand_in.call(Method::PUT, "/stand-in/faults", faults).await;
+    let call = stand_in.call(Method::POST, path, body);
     let hung = tokio::time::timeout(Duration::from_millis(200), call).await;
     assert_matches!(hung, Err(_));
     let record = wait_for_record(server.log(), |it| it.end == RequestEnd::Cancelled).await;
     assert_eq!(record.runs, 3);
     let wrong = json!({ "slow": 0.0 });
     assert_eq!(
-        peer.call(Method::PUT, "/stand-in/faults", wrong).await.0,
+        stand_in
+            .call(Method::PUT, "/stand-in/faults", wrong)
+            .await
+            .0,
         400
     );
 }
 
 #[tokio::test]
 async fn orders_are_fenced_and_change_what_is_served() {
-    let (_, peer) = start().await;
+    let (_, stand_in) = start().await;
     let load = |fence: u64| json!({ "fence": fence, "kind": "load_adapter", "adapter": "style" });
-    assert_eq!(peer.call(Method::POST, "/orders", load(7)).await.0, 200);
-    assert_eq!(peer.call(Method::POST, "/orders", load(6)).await.0, 409);
+    assert_eq!(stand_in.call(Method::POST, "/orders", load(7)).await.0, 200);
+    assert_eq!(stand_in.call(Method::POST, "/orders", load(6)).await.0, 409);
     let body = json!({ "model": "style", "prompt": "a", "max_tokens": 1 });
     assert_eq!(
-        peer.call(Method::POST, "/v1/completions", body).await.0,
+        stand_in.call(Method::POST, "/v1/completions", body).await.0,
         200
     );
-    let (_, orders) = peer.call(Method::GET, "/orders", json!(null)).await;
+    let (_, orders) = stand_in.call(Method::GET, "/orders", json!(null)).await;
     assert_eq!(orders["highest"], 7);
     assert_eq!(orders["applied"].as_array().unwrap().len(), 1);
 }
@@ -252,13 +263,13 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let peer = Peer::at(address.unwrap());
+    let stand_in = StandIn::at(address.unwrap());
     let path = "/v1/chat/completions";
     let body = chat("a", &json!({ "stream": true, "max_tokens": 1_000_000 })).to_string();
-    let mut innocent = peer.send(Method::POST, path, &[], body).await;
-    assert_ne!(next_piece(innocent.body_mut()).await, Bytes::new());
+    let mut other_stream = stand_in.send(Method::POST, path, &[], body).await;
+    assert_ne!(next_piece(other_stream.body_mut()).await, Bytes::new());
     let body = chat("CRASH-THE-ENGINE now", &json!({})).to_string();
-    assert!(peer.try_send(Method::POST, path, body).await.is_err());
-    assert!(!read_to_end(innocent.into_body()).await.1);
+    assert!(stand_in.try_send(Method::POST, path, body).await.is_err());
+    assert!(!read_to_end(other_stream.into_body()).await.1);
     assert_eq!(child.wait().unwrap().code(), Some(70));
 }
--- a/crates/standins/tests/engine_model.rs
+++ b/crates/standins/tests/engine_model.rs
@@ -8,7 +8,7 @@
 use comfreyramp_policy::Timestamp;
 use comfreyramp_standins::engine::{
     BLOCK_TOKENS, CacheChange, CacheJournal, EngineEvent, EngineEventKind, EngineModel,
-    EngineOrder, EngineRequest, EngineSettings, JournalOptions, OrderBook, PrefixCache,
+    EngineOrder, EngineRequest, EngineSettings, JournalOptions, OrderTracker, PrefixCache,
     PromptBlocks, QueueFull, SequenceId, TOKEN_BYTES, answer_token,
 };
 
@@ -72,7 +72,7 @@
         assert_eq!(taken, Ok(()), "request {id}");
         if id == 1 {
             // The first one leaves the queue when its step begins.
-            assert_eq!(model.present_load().running, 1);
+            assert_eq!(model.current_load().running, 1);
         }
         model.advance(at(0));
         if id == 4 {
@@ -140,7 +140,7 @@
         model.submit(at(0), request(id, 1, 1000)).unwrap();
     }
     model.advance(at(5000));
-    assert_eq!(model.present_load().waiting, 1);
+    assert_eq!(model.current_load().waiting, 1);
     assert!(model.cancel(at(5000), SequenceId(1)));
     assert!(!model.cancel(at(5000), SequenceId(1)));
     let events = model.advance(at(8000));
@@ -158,12 +158,12 @@
     let prompt = PromptBlocks::new(&text);
     assert_eq!((prompt.tokens, prompt.blocks.len()), (34, 2));
     let mut model = EngineModel::new(settings());
-    let ask = |id| EngineRequest {
+    let cached_request = |id| EngineRequest {
         prompt: prompt.clone(),
         ..request(id, 0, 1)
     };
-    model.submit(at(0), ask(1)).unwrap();
-    model.submit(at(10_000), ask(2)).unwrap();
+    model.submit(at(0), cached_request(1)).unwrap();
+    model.submit(at(10_000), cached_request(2)).unwrap();
     let events = model.advance(at(100_000));
     assert_eq!(token_times(&events, 1), [(1440, 0)]);
     assert_eq!(token_times(&events, 2), [(11_120, 0)]);
@@ -203,7 +203,7 @@
 #[test]
 fn a_slow_engine_takes_longer_for_each_step() {
     let mut model = EngineModel::new(settings());
-    model.set_slowness(3.0);
+    model.set_slowdown(3.0);
     model.submit(at(0), request(1, 50, 1)).unwrap();
     let events = model.advance(at(100_000));
     assert_eq!(token_times(&events, 1), [(4800, 0)]);
@@ -213,7 +213,7 @@
 fn cache_events_come_late_and_the_numbers_show_what_was_lost() {
     let options = JournalOptions {
         lag: Duration::from_micros(100),
-        drop_share: 0.3,
+        drop_fraction: 0.3,
         seed: 7,
     };
     let read = || {
@@ -237,14 +237,14 @@
 #[test]
 fn an_order_with_an_older_fence_is_refused_unless_fencing_is_ignored() {
     let order = |role: &str| EngineOrder::ChangeRole { role: role.into() };
-    let mut book = OrderBook::default();
-    book.apply(5, order("prefill")).unwrap();
-    book.apply(5, order("decode")).unwrap();
-    let refusal = book.apply(4, order("both")).unwrap_err();
-    assert_eq!((refusal.highest, book.role.as_str()), (5, "decode"));
-    book.ignores_fencing = true;
-    book.apply(4, order("both")).unwrap();
-    assert_eq!((book.highest, book.role.as_str()), (5, "both"));
+    let mut orders = OrderTracker::default();
+    orders.apply(5, order("prefill")).unwrap();
+    orders.apply(5, order("decode")).unwrap();
+    let refusal = orders.apply(4, order("both")).unwrap_err();
+    assert_eq!((refusal.highest, orders.role.as_str()), (5, "decode"));
+    orders.ignores_fencing = true;
+    orders.apply(4, order("both")).unwrap();
+    assert_eq!((orders.highest, orders.role.as_str()), (5, "both"));
 }
 
 #[test]
--- a/crates/standins/tests/service_http.rs
+++ b/crates/standins/tests/service_http.rs
@@ -12,13 +12,15 @@
 };
 use serde_json::json;
 
-use common::{Peer, next_piece, wait_for_record};
+use common::{StandIn, next_piece, wait_for_record};
 
 #[tokio::test]
 async fn it_tells_what_it_was_sent_and_counts_runs() {
     let server = ServiceServer::new(ServiceOptions::default());
-    let peer = Peer::start(|listener, stop| server.clone().run(listener, stop)).await;
-    let (status, answer) = peer.call(Method::PUT, "/proofs/1?copy=2", json!("x")).await;
+    let stand_in = StandIn::start(|listener, stop| server.clone().run(listener, stop)).await;
+    let (status, answer) = stand_in
+        .call(Method::PUT, "/proofs/1?copy=2", json!("x"))
+        .await;
     assert_eq!(status, 200);
     assert_eq!(answer["method"], "PUT");
     assert_eq!(answer["path"], "/proofs/1");
@@ -27,7 +29,8 @@
     assert_eq!(answer["runs"], 1);
     for body in ["first", "second"] {
         let key = [("idempotency-key", "k1")];
-        peer.send(Method::POST, "/slow?ms=1", &key, body.to_owned())
+        stand_in
+            .send(Method::POST, "/slow?ms=1", &key, body.to_owned())
             .await;
     }
     let records = server.log().list();
@@ -39,10 +42,10 @@
 #[tokio::test]
 async fn echo_streams_both_ways_at_once() {
     let server = ServiceServer::new(ServiceOptions::default());
-    let peer = Peer::start(|listener, stop| server.clone().run(listener, stop)).await;
+    let stand_in = StandIn::start(|listener, stop| server.clone().run(listener, stop)).await;
     let (sender, body) = MessageBody::stream();
     sender.send("one").await;
-    let mut response = peer.send(Method::POST, "/echo", &[], body).await;
+    let mut response = stand_in.send(Method::POST, "/echo", &[], body).await;
     assert_eq!(next_piece(response.body_mut()).await, "one");
     // The first piece came back while the request was still open.
     assert_eq!(server.log().list()[0].end, RequestEnd::Running);
@@ -54,7 +57,7 @@
     assert_eq!(record.body_hash, hash_hex(b"onetwo"));
     let (sender, body) = MessageBody::stream();
     sender.send("half").await;
-    let mut response = peer.send(Method::POST, "/echo", &[], body).await;
+    let mut response = stand_in.send(Method::POST, "/echo", &[], body).await;
     next_piece(response.body_mut()).await;
     sender.cut_short("the caller gave up").await;
     wait_for_record(server.log(), |it| {
