--- a/crates/standins/src/engine/answer.rs
+++ b/crates/standins/src/engine/answer.rs
@@ -1,8 +1,8 @@
-//! The text of an answer, a pure function of the prompt.
+//! The text of an answer, which is a pure function of the prompt.
 
 use sha2::{Digest, Sha256};
 
-/// How many hex digits of the prompt's hash open an answer.
+/// The number of hex digits of the prompt's hash at the start of an answer.
 const HASH_PREFIX_DIGITS: usize = 16;
 
 const WORDS: [&str; 32] = [
@@ -12,11 +12,11 @@
     "detail", "texture", "line", "shade",
 ];
 
-/// Token `index` of the answer to `prompt`.
+/// Returns token `index` of the answer to `prompt`.
 ///
-/// The first one is the opening of SHA-256 over the prompt in hex, so that a
-/// test can tell whose answer it got; the rest are words. No token depends on
-/// those before it, so that an answer can be resumed at any token.
+/// The first token is the start of the SHA-256 of the prompt in hex, so that a test can
+/// tell which prompt an answer belongs to; the others are words. No token depends on the
+/// tokens before it, so that an answer can be resumed at any token.
 pub fn answer_token(prompt: &str, index: u32) -> String {
     if index == 0 {
         let mut digits = hex::encode(Sha256::digest(prompt.as_bytes()));
--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -1,14 +1,14 @@
-//! The OpenAI shapes of requests and answers.
+//! Requests and responses in the format of the OpenAI API.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-/// The length of an answer unless the request says otherwise.
+/// The length of an answer in tokens if the request sets none.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Which of the two generation endpoints was called.
+/// The generation endpoint that was called, which decides the format of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerShape {
     /// `/v1/chat/completions`.
@@ -17,14 +17,14 @@
     Text,
 }
 
-/// A request of either endpoint, reduced to what the engine needs.
+/// A request to either endpoint, reduced to the fields that the engine uses.
 #[derive(Clone, Debug)]
 pub(crate) struct GenerateRequest {
     pub(crate) shape: AnswerShape,
     pub(crate) model: String,
-    /// The whole prompt as the prefix cache sees it.
+    /// The model and the whole prompt, over which the prefix cache hashes.
     pub(crate) whole_prompt: String,
-    /// The last user message, or the prompt, which decides the answer.
+    /// The last user message, or the prompt, from which the answer is derived.
     pub(crate) question: String,
     pub(crate) max_tokens: u32,
     pub(crate) stream: bool,
@@ -95,7 +95,7 @@
 }
 
 impl GenerateRequest {
-    /// Reads a request's body; the error says what is wrong with it.
+    /// Parses a request's body. The error names the field that is wrong.
     pub(crate) fn parse(shape: AnswerShape, body: &[u8]) -> Result<Self, String> {
         let raw: RawRequest = serde_json::from_slice(body).map_err(|it| it.to_string())?;
         let (question, rest) = match shape {
@@ -120,7 +120,7 @@
 fn chat_prompt(messages: &[RawMessage]) -> Result<(String, String), String> {
     let mut users = messages.iter().rev().filter(|it| it.role == "user");
     let Some(last) = users.next() else {
-        return Err("messages: at least one user message is needed".to_owned());
+        return Err("messages: at least one user message is required".to_owned());
     };
     let lines = messages
         .iter()
@@ -132,13 +132,15 @@
     let text = match prompt {
         Some(RawPrompt::One(text)) => text,
         Some(RawPrompt::Many(texts)) if texts.len() == 1 => texts.concat(),
-        Some(RawPrompt::Many(_)) => return Err("prompt: exactly one is supported".to_owned()),
+        Some(RawPrompt::Many(_)) => {
+            return Err("prompt: exactly one prompt is supported".to_owned());
+        }
         None => return Err("prompt: missing".to_owned()),
     };
     Ok((text.clone(), text))
 }
 
-/// The tokens of a prompt and of its answer.
+/// The numbers of tokens of a prompt and of its answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TokenUsage {
     pub(crate) prompt: u32,
@@ -157,7 +159,7 @@
     }
 }
 
-/// The fields that all pieces of one answer share.
+/// Writes the chunks of one answer, all with the same id, model and creation time.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerWriter {
     shape: AnswerShape,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// The whole answer in one piece.
+    /// Returns the whole answer as one JSON object.
     pub(crate) fn whole(&self, text: &str, usage: TokenUsage) -> Value {
         let (object, choice) = match self.shape {
             AnswerShape::Chat => (
@@ -202,7 +204,7 @@
         answer
     }
 
-    /// One token as an event of a stream.
+    /// Returns a token as an event of a stream.
     pub(crate) fn token(&self, text: &str, is_first: bool) -> String {
         let choice = match self.shape {
             AnswerShape::Chat if is_first => json!({
@@ -220,7 +222,7 @@
         self.event(&json!([choice]))
     }
 
-    /// The event that names the reason of the end.
+    /// Returns the event with the finish reason.
     pub(crate) fn end(&self) -> String {
         let choice = match self.shape {
             AnswerShape::Chat => json!({ "index": 0, "delta": {}, "finish_reason": "length" }),
@@ -229,7 +231,7 @@
         self.event(&json!([choice]))
     }
 
-    /// The event that carries the usage.
+    /// Returns the event with the token usage.
     pub(crate) fn usage(&self, usage: TokenUsage) -> String {
         let mut piece = self.piece(self.chunk_object(), &json!([]));
         piece["usage"] = usage.to_json();
--- a/crates/standins/src/engine/cache_journal.rs
+++ b/crates/standins/src/engine/cache_journal.rs
@@ -1,4 +1,4 @@
-//! Cache events, late and with gaps.
+//! The cache events that an engine publishes, with a lag and with losses.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -8,17 +8,17 @@
 
 use super::prefix_cache::CacheChange;
 
-/// How many events are kept for readers that come back late.
+/// The number of events that are kept for readers that lag behind.
 const MAX_KEPT_EVENTS: usize = 10_000;
 
-/// How late and how incomplete the events are.
+/// The lag and the losses of the events.
 #[derive(Clone, Copy, Debug)]
 pub struct JournalOptions {
-    /// How long after the change an event can be read.
+    /// The delay after which the event of a change can be read.
     pub lag: Duration,
-    /// The share of events that are lost, from 0 to 1.
+    /// The fraction of events that are lost, from 0 to 1.
     pub drop_fraction: f64,
-    /// The seed that decides which are lost.
+    /// The seed of the random choice of lost events.
     pub seed: u64,
 }
 
@@ -34,7 +34,7 @@
 
 /// The published changes of a prefix cache.
 ///
-/// Events are numbered before some are lost, so that a reader can see a gap.
+/// Events are numbered before some are lost, so that a reader can detect a gap.
 #[derive(Debug)]
 pub struct CacheJournal {
     options: JournalOptions,
@@ -44,7 +44,7 @@
 }
 
 impl CacheJournal {
-    /// An empty journal.
+    /// Creates an empty journal.
     pub fn new(options: JournalOptions) -> Self {
         CacheJournal {
             options,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Publishes a change, or loses it.
+    /// Publishes a change, or drops it at the configured rate.
     pub fn publish(&mut self, at: Timestamp, change: CacheChange) {
         let number = self.next_number;
         self.next_number += 1;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The events with a number above `after` that are old enough to be seen.
+    /// Returns the events with a number above `after` that are at least one lag old.
     pub fn read(&self, now: Timestamp, after: u64) -> Vec<(u64, &CacheChange)> {
         let is_published = |at: Timestamp| at + self.options.lag <= now;
         self.events
@@ -80,7 +80,7 @@
             .collect()
     }
 
-    /// The events as the HTTP answer gives them.
+    /// Returns the events of [`CacheJournal::read`] in the JSON format of the HTTP API.
     pub fn read_json(&self, now: Timestamp, after: u64) -> Value {
         let events: Vec<Value> = self
             .read(now, after)
--- a/crates/standins/src/engine/faults.rs
+++ b/crates/standins/src/engine/faults.rs
@@ -1,20 +1,20 @@
-//! Faults that a test switches on while the engine runs.
+//! The faults that a test can switch on while the engine runs.
 
 use serde::{Deserialize, Serialize};
 
-/// The switches of `PUT /stand-in/faults`; a field left out is off.
+/// The body of `PUT /stand-in/faults`; a field that is left out is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultSwitches {
-    /// Steps take this many times as long.
+    /// The factor by which steps take longer.
     pub slow: f64,
-    /// Every request is refused with 503.
+    /// All requests are rejected with 503.
     pub refuse: bool,
-    /// Requests are read and never answered.
+    /// Requests are read but never answered.
     pub hang: bool,
-    /// So many requests fail with 500 after they were read.
+    /// The number of next requests that fail with 500 after they were read.
     pub fail_next: u32,
-    /// Answers are cut off after so many tokens, without an end.
+    /// The number of tokens after which answers are cut off without a proper end.
     pub break_stream_after: Option<u32>,
 }
 
--- a/crates/standins/src/engine/generate.rs
+++ b/crates/standins/src/engine/generate.rs
@@ -1,4 +1,4 @@
-//! One generation request's way through the engine.
+//! The handling of one generation request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,12 +17,12 @@
     server::{EngineServer, error_response},
 };
 
-/// How long a broken answer stays open after its last piece. A cut drops what
-/// wasn't flushed yet, so that without this a caller would now and then get
-/// fewer tokens than the switch says.
+/// How long an answer that is to be cut stays open after its last chunk. A cut drops data
+/// that isn't flushed yet, so that without this delay a caller would sometimes receive
+/// fewer tokens than the fault switch says.
 const CUT_DELAY: Duration = Duration::from_millis(20);
 
-/// What the fault switches say about a request.
+/// What the fault switches decide for a request.
 enum FaultDecision {
     Serve { break_after: Option<u32> },
     Refuse,
@@ -30,7 +30,7 @@
     Hang,
 }
 
-/// Answers a request that was read and written down as `record`.
+/// Answers a request that was read and logged under the index `record`.
 pub(crate) async fn answer(
     server: &Arc<EngineServer>,
     request: GenerateRequest,
@@ -103,8 +103,8 @@
     error_response(StatusCode::SERVICE_UNAVAILABLE, "unavailable", message)
 }
 
-/// A request inside the model, which leaves it when this is dropped, so that a
-/// client that disconnects frees its place in the batch.
+/// A request that was submitted to the model. Dropping it cancels the request, so that a
+/// client that disconnects frees its slot in the batch.
 struct OpenSequence {
     server: Arc<EngineServer>,
     record: u64,
@@ -137,7 +137,7 @@
         })
     }
 
-    /// A request that never reaches the model.
+    /// Creates a request that is not submitted to the model.
     fn unsubmitted(server: &Arc<EngineServer>, record: u64) -> Self {
         let (_, events) = mpsc::unbounded_channel();
         OpenSequence {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The next event; none once it was cancelled.
+    /// Returns the next event and logs it; `None` if the request was cancelled.
     async fn next(&mut self) -> Option<EngineEventKind> {
         let kind = self.events.recv().await?;
         let log = self.server.log();
@@ -182,7 +182,7 @@
     }
 }
 
-/// How an answer came to its end.
+/// How the stream of an answer ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RunEnd {
     Finished,
@@ -191,7 +191,7 @@
     ClientGone,
 }
 
-/// A request that generates.
+/// A request in progress and the state of its answer.
 struct GenerationRun {
     request: GenerateRequest,
     writer: AnswerWriter,
@@ -295,7 +295,7 @@
         json_response(StatusCode::CONFLICT, &body)
     }
 
-    /// An answer whose body begins and never ends.
+    /// Sends the text generated so far and cuts the response before its end.
     fn broken_whole(self, text: String) -> Response<MessageBody> {
         self.sequence.end(RequestEnd::Broken);
         let (sender, body) = MessageBody::stream();
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,8 +1,8 @@
 //! A model engine with continuous batching.
 //!
-//! [`EngineModel`] decides alone when a token is ready, with the present time
-//! as an argument, so that a replay on virtual time drives the same code as
-//! the process. [`EngineServer`] puts it behind HTTP.
+//! [`EngineModel`] decides when each token is ready. It does no I/O and takes the present
+//! time as an argument, so that a replay on virtual time drives the same code as the
+//! process. [`EngineServer`] serves it over HTTP.
 
 mod answer;
 mod api;
--- a/crates/standins/src/engine/model.rs
+++ b/crates/standins/src/engine/model.rs
@@ -1,4 +1,4 @@
-//! When which token is ready.
+//! The timing model of the engine: when each token of each request is ready.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -10,28 +10,28 @@
     sequence::{EngineEvent, EngineEventKind, EngineRequest, SequenceId},
 };
 
-/// How many changes of the prefix cache wait to be taken.
+/// The number of prefix cache changes that are kept until they are taken.
 const MAX_KEPT_CHANGES: usize = 20_000;
 
 /// The size and speed of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSettings {
-    /// How many requests run at once.
+    /// The number of requests that run at once.
     pub batch: usize,
-    /// How many may wait.
+    /// The number of requests that may wait.
     pub queue: usize,
-    /// Prefill time of one prompt token that isn't cached.
+    /// The prefill time of each prompt token that isn't cached.
     pub prefill_per_token: Duration,
-    /// How many tokens may be prefilled in one step; a step that reaches this
-    /// admits no more requests.
+    /// The number of tokens prefilled in one step after which the step admits no more
+    /// requests.
     pub prefill_per_step: u32,
-    /// Time of a step however many requests run.
+    /// The fixed part of the duration of a step.
     pub decode: Duration,
-    /// Added time of a step for each running request.
+    /// The time added to a step for each running request.
     pub decode_per_running: Duration,
     /// The size of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// How old a load report is.
+    /// The age of the load reports.
     pub report_lag: Duration,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl EngineSettings {
-    /// Multiplies each duration of the work; 0.1 is ten times as fast.
+    /// Multiplies the prefill and decode times by `factor`; 0.1 is ten times as fast.
     pub fn time_scale(mut self, factor: f64) -> Self {
         self.prefill_per_token = self.prefill_per_token.mul_f64(factor);
         self.decode = self.decode.mul_f64(factor);
@@ -65,7 +65,7 @@
 pub struct LoadReport {
     /// Requests in the batch.
     pub running: usize,
-    /// Requests that wait.
+    /// Requests that wait to join the batch.
     pub waiting: usize,
     /// Tokens produced since the start.
     pub tokens: u64,
@@ -73,7 +73,7 @@
     pub cached_blocks: usize,
 }
 
-/// The queue has no room: the request was not taken.
+/// The error of a request that was not accepted because the queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
@@ -84,15 +84,14 @@
     next_token: u32,
 }
 
-/// An engine that knows no priorities.
+/// An engine without priorities.
 ///
-/// Requests join the batch first come, first served, at the next step with
-/// room. A step takes the prefill time of those that joined plus a decode time
-/// that grows with the batch, and gives each running request one token.
+/// Requests join the batch first come, first served, at the next step that has capacity.
+/// A step takes the prefill time of the requests that joined plus a decode time that grows
+/// with the batch, and produces one token for each running request.
 ///
-/// Call [`EngineModel::advance`] at the time that
-/// [`EngineModel::next_event`] names, or at any other; later calls give the
-/// same events.
+/// [`EngineModel::advance`] may be called at the time that [`EngineModel::next_event`]
+/// returns or at any other time; the events and their times don't depend on it.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     settings: EngineSettings,
@@ -108,7 +107,7 @@
 }
 
 impl EngineModel {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(settings: EngineSettings) -> Self {
         EngineModel {
             settings,
@@ -124,17 +123,17 @@
         }
     }
 
-    /// The size and speed.
+    /// Returns the size and speed of the engine.
     pub fn settings(&self) -> &EngineSettings {
         &self.settings
     }
 
-    /// Makes each step from the next on take `factor` times as long.
+    /// Makes each step take `factor` times as long, from the next step on.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor;
     }
 
-    /// Takes a request, to run as soon as the batch has room.
+    /// Queues a request, which runs as soon as the batch has capacity.
     pub fn submit(&mut self, now: Timestamp, request: EngineRequest) -> Result<(), QueueFull> {
         self.run_until(now);
         if self.waiting.len() >= self.settings.queue {
@@ -152,9 +151,9 @@
         Ok(())
     }
 
-    /// Drops a request; false if it is unknown or already finished.
+    /// Removes a request. Returns false if it is unknown or has finished.
     ///
-    /// The step in progress takes as long as it would have.
+    /// The duration of the step in progress doesn't change.
     pub fn cancel(&mut self, now: Timestamp, id: SequenceId) -> bool {
         self.run_until(now);
         let before = self.waiting.len() + self.running.len();
@@ -165,7 +164,7 @@
         after < before
     }
 
-    /// When the next events come, unless something is submitted before.
+    /// Returns when the next events are due, unless a request is submitted before.
     pub fn next_event(&self) -> Option<Timestamp> {
         match self.events.first() {
             Some(event) => Some(event.at),
@@ -173,19 +172,19 @@
         }
     }
 
-    /// All events up to `now` that no earlier call gave, in order.
+    /// Returns all events up to `now` that no earlier call returned, in order.
     pub fn advance(&mut self, now: Timestamp) -> Vec<EngineEvent> {
         self.run_until(now);
         std::mem::take(&mut self.events)
     }
 
-    /// The changes of the prefix cache that no earlier call gave, in order. If
-    /// they aren't taken for long, the oldest are lost.
+    /// Returns the changes of the prefix cache that no earlier call returned, in order. If
+    /// too many accumulate, the oldest are dropped.
     pub fn take_cache_changes(&mut self) -> Vec<(Timestamp, CacheChange)> {
         std::mem::take(&mut self.changes)
     }
 
-    /// The load at this moment, which no real engine tells.
+    /// Returns the present load, which a real engine doesn't report.
     pub fn current_load(&self) -> LoadReport {
         LoadReport {
             running: self.running.len(),
@@ -195,7 +194,7 @@
         }
     }
 
-    /// The load as it was one report lag ago.
+    /// Returns the load as it was one report lag before `now`.
     pub fn reported_load(&mut self, now: Timestamp) -> LoadReport {
         self.run_until(now);
         let reported_at = now - self.settings.report_lag;
@@ -224,14 +223,14 @@
         let duration = self.settings.prefill_per_token * prefill
             + self.settings.decode
             + self.settings.decode_per_running * running;
-        // A step of no length would never let the time pass.
+        // With a step of zero length, time would never advance.
         let duration = duration
             .mul_f64(self.slowdown)
             .max(Duration::from_micros(1));
         self.step_end = Some(now + duration);
     }
 
-    /// Fills the batch and returns how many tokens need prefill.
+    /// Moves waiting requests into the batch and returns how many tokens need prefill.
     fn admit(&mut self, now: Timestamp) -> u32 {
         let mut prefill = 0;
         while self.running.len() < self.settings.batch && prefill < self.settings.prefill_per_step {
@@ -241,7 +240,7 @@
             let prompt = &sequence.request.prompt;
             let cached = self.cache.cached_blocks(&prompt.blocks) * BLOCK_TOKENS;
             let cached_tokens = u32::try_from(cached).unwrap_or(u32::MAX);
-            // A resumed answer's earlier tokens are computed again.
+            // The tokens before the start of a resumed answer are prefilled again.
             let total_tokens = prompt.tokens.saturating_add(sequence.request.first_token);
             prefill += total_tokens.saturating_sub(cached_tokens);
             let changes = self.cache.store(&prompt.blocks);
@@ -253,8 +252,8 @@
         prefill
     }
 
-    /// A driver that never takes the changes must not make the model grow, so
-    /// that the older half goes once there are too many.
+    /// Keeps the changes until they are taken. Drops the oldest half of the maximum once
+    /// there are too many, so that the model doesn't grow if they are never taken.
     fn record_changes(&mut self, now: Timestamp, changes: Vec<CacheChange>) {
         self.changes.extend(changes.into_iter().map(|it| (now, it)));
         if self.changes.len() > MAX_KEPT_CHANGES {
@@ -284,8 +283,8 @@
         self.events.push(EngineEvent { at, id, kind });
     }
 
-    /// Keeps what a report may still need: the last one before the lag, and
-    /// all after it.
+    /// Records the present load and drops the records that no report needs: all but the
+    /// last one older than the lag, and those after it.
     fn record_load(&mut self, now: Timestamp) {
         self.history.push_back((now, self.current_load()));
         let reported_at = now - self.settings.report_lag;
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that carry a fencing number.
+//! Orders to an engine, each with a fencing number that rejects outdated senders.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,29 +8,29 @@
 pub enum EngineOrder {
     /// Load a model.
     LoadModel {
-        /// Its name.
+        /// The name of the model.
         model: String,
     },
-    /// Load an adapter, which is then served as a model of its own.
+    /// Load an adapter, which is then served as a separate model.
     LoadAdapter {
-        /// Its name.
+        /// The name of the adapter.
         adapter: String,
     },
-    /// Load a version of a model.
+    /// Load a version of a model, which is then served as `model@version`.
     LoadVersion {
-        /// The model's name.
+        /// The name of the model.
         model: String,
-        /// The version's name.
+        /// The name of the version.
         version: String,
     },
     /// Change the engine's role, such as `prefill`, `decode` or `both`.
     ChangeRole {
-        /// The role's name.
+        /// The name of the role.
         role: String,
     },
 }
 
-/// An order with its fencing number, as posted.
+/// The body of `POST /orders`: an order with its fencing number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FencedOrder {
     pub(crate) fence: u64,
@@ -38,30 +38,30 @@
     pub(crate) order: EngineOrder,
 }
 
-/// An order came with an older fencing number than one already seen.
+/// The error of an order whose fencing number is lower than one received before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StaleFence {
-    /// The highest number seen.
+    /// The highest fencing number received.
     pub highest: u64,
 }
 
-/// The orders an engine has carried out, and what it serves by them.
+/// The orders that an engine has carried out, and the models and role that result.
 #[derive(Clone, Debug, Default)]
 pub struct OrderTracker {
-    /// Whether an order with an old number is carried out all the same.
+    /// Whether orders with an outdated fencing number are carried out too.
     pub ignores_fencing: bool,
-    /// The highest number seen.
+    /// The highest fencing number received.
     pub highest: u64,
-    /// Names served as models, sorted.
+    /// The names of the models served, sorted.
     pub models: Vec<String>,
-    /// The role given last.
+    /// The role that was set last; empty at first.
     pub role: String,
-    /// Every order carried out, with its number.
+    /// All orders carried out, with their fencing numbers.
     pub applied: Vec<(u64, EngineOrder)>,
 }
 
 impl OrderTracker {
-    /// Carries out an order, unless its number is too old.
+    /// Carries out an order, unless its fencing number is outdated.
     pub fn apply(&mut self, fence: u64, order: EngineOrder) -> Result<(), StaleFence> {
         if fence < self.highest && !self.ignores_fencing {
             return Err(StaleFence {
@@ -81,14 +81,14 @@
         Ok(())
     }
 
-    /// Whether a request for `model` can be answered.
+    /// Returns whether `model` is served.
     pub fn serves(&self, model: &str) -> bool {
         self.models
             .binary_search_by(|it| it.as_str().cmp(model))
             .is_ok()
     }
 
-    /// Adds a name served as a model.
+    /// Adds the name of a served model.
     pub fn add_model(&mut self, model: String) {
         if let Err(index) = self.models.binary_search(&model) {
             self.models.insert(index, model);
--- a/crates/standins/src/engine/prefix_cache.rs
+++ b/crates/standins/src/engine/prefix_cache.rs
@@ -1,17 +1,17 @@
-//! The bounded cache of prompt prefixes.
+//! A bounded cache of prompt prefixes.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// What changed in the cache.
+/// A change of the cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// These blocks are now cached.
+    /// These blocks were added.
     Stored(Vec<u64>),
-    /// These blocks no longer are.
+    /// These blocks were evicted.
     Removed(Vec<u64>),
 }
 
-/// A cache of prompt blocks that drops the least recently used.
+/// A cache of prompt blocks that evicts the least recently used block first.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     capacity: usize,
@@ -21,7 +21,7 @@
 }
 
 impl PrefixCache {
-    /// An empty cache of `capacity` blocks.
+    /// Creates an empty cache of `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         PrefixCache {
             capacity,
@@ -29,29 +29,28 @@
         }
     }
 
-    /// How many blocks it holds.
+    /// Returns the number of cached blocks.
     pub fn len(&self) -> usize {
         self.last_use.len()
     }
 
-    /// Whether it holds none.
+    /// Returns whether no block is cached.
     pub fn is_empty(&self) -> bool {
         self.last_use.is_empty()
     }
 
-    /// How many of the leading blocks are cached.
+    /// Returns how many of the leading blocks are cached without a gap.
     pub fn cached_blocks(&self, blocks: &[u64]) -> usize {
         let cached = |block: &&u64| self.last_use.contains_key(*block);
         blocks.iter().take_while(cached).count()
     }
 
-    /// Stores a prompt's blocks, or renews their last use, and tells what
-    /// changed.
+    /// Stores a prompt's blocks, or updates their last use, and returns the changes.
     pub fn store(&mut self, blocks: &[u64]) -> Vec<CacheChange> {
         let kept = &blocks[..blocks.len().min(self.capacity)];
         let mut stored = Vec::new();
-        // From the tail, so that the tail goes first when room is needed: a
-        // block without those before it is useless.
+        // Blocks are touched from the last to the first, so that the last ones are evicted
+        // first: a block is useless without the blocks before it.
         for block in kept.iter().rev() {
             if self.touch(*block) {
                 stored.push(*block);
@@ -69,7 +68,7 @@
         changes
     }
 
-    /// Renews a block's last use; true if it is new.
+    /// Updates a block's last use. Returns true if the block is new.
     fn touch(&mut self, block: u64) -> bool {
         self.clock += 1;
         let previous = self.last_use.insert(block, self.clock);
--- a/crates/standins/src/engine/prompt.rs
+++ b/crates/standins/src/engine/prompt.rs
@@ -1,26 +1,26 @@
-//! How a prompt counts in tokens and in blocks of the prefix cache.
+//! The size of a prompt in tokens and its division into blocks of the prefix cache.
 
 use sha2::{Digest, Sha256};
 
-/// How many bytes of a prompt make one token.
+/// The number of bytes of a prompt that count as one token.
 pub const TOKEN_BYTES: usize = 4;
-/// How many tokens make one block of the prefix cache.
+/// The number of tokens in a block of the prefix cache.
 pub const BLOCK_TOKENS: usize = 16;
 
-/// A prompt as the model sees it: its length and the chain of its blocks.
+/// The properties of a prompt that the model uses: its length and its block hashes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PromptBlocks {
     /// The length in tokens, at least one.
     pub tokens: u32,
-    /// One hash for each whole block, over it and everything before it.
+    /// A hash for each complete block, over the block and all blocks before it.
     pub blocks: Vec<u64>,
 }
 
 impl PromptBlocks {
-    /// Cuts the text of a prompt into blocks.
+    /// Divides the text of a prompt into blocks.
     ///
-    /// A block's hash is the first 8 bytes, big-endian, of SHA-256 over the
-    /// previous block's hash (8 bytes, zero at first) and the block's bytes.
+    /// The hash of a block is the first 8 bytes, big-endian, of the SHA-256 of the previous
+    /// block's hash (8 bytes, zero for the first block) and the block's bytes.
     pub fn new(text: &str) -> Self {
         let bytes = text.as_bytes();
         let tokens = bytes.len().div_ceil(TOKEN_BYTES).max(1);
--- a/crates/standins/src/engine/sequence.rs
+++ b/crates/standins/src/engine/sequence.rs
@@ -1,51 +1,50 @@
-//! The messages of the engine model.
+//! The requests to the engine model and the events from it.
 
 use comfreyramp_policy::Timestamp;
 
 use super::prompt::PromptBlocks;
 
-/// A request inside the engine.
+/// The id of a request in the engine model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SequenceId(pub u64);
 
-/// What the engine is asked to generate.
+/// A generation request to the engine model.
 #[derive(Clone, Debug)]
 pub struct EngineRequest {
-    /// Names it in events; the caller keeps it unique.
+    /// Its id in events, which the caller must keep unique.
     pub id: SequenceId,
-    /// The prompt.
+    /// The length and the block hashes of the prompt.
     pub prompt: PromptBlocks,
-    /// The token at which the answer begins; above zero for a resumed one.
+    /// The index of the first token to generate; above zero for a resumed answer.
     pub first_token: u32,
-    /// The length of the whole answer in tokens, those before `first_token`
-    /// included.
+    /// The length of the whole answer in tokens, including those before `first_token`.
     pub max_tokens: u32,
 }
 
-/// Something that happened to a request.
+/// An event of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineEvent {
-    /// When.
+    /// When it happened.
     pub at: Timestamp,
-    /// To which request.
+    /// The request it belongs to.
     pub id: SequenceId,
-    /// What.
+    /// What happened.
     pub kind: EngineEventKind,
 }
 
-/// What happened to a request.
+/// The kind of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineEventKind {
-    /// It joined the batch; so many tokens of its prompt were cached.
+    /// The request joined the batch.
     Started {
-        /// Tokens that need no prefill.
+        /// The number of prompt tokens that were cached and need no prefill.
         cached_tokens: u32,
     },
-    /// Token `index` of its answer is ready.
+    /// A token of the answer is ready.
     Token {
-        /// The position in the whole answer.
+        /// The index of the token in the whole answer.
         index: u32,
     },
-    /// Its answer is complete and it left the batch.
+    /// The answer is complete, and the request left the batch.
     Finished,
 }
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine behind HTTP.
+//! The HTTP server of the engine.
 
 use std::{
     sync::{
@@ -38,18 +38,18 @@
 /// The longest request body that is read, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// What an engine serves and how it misbehaves.
+/// The size, models and configurable faults of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Its size and speed.
+    /// The size and speed of the engine.
     pub settings: EngineSettings,
-    /// The names of its models.
+    /// The names of the models it serves at first.
     pub models: Vec<String>,
-    /// Whether it carries out orders with an old fencing number.
+    /// Whether it carries out orders with an outdated fencing number too.
     pub ignores_fencing: bool,
-    /// The process exits when a prompt contains this text; empty for never.
+    /// The text of a prompt at which the process exits; empty for none.
     pub crash_on: String,
-    /// How late and incomplete its cache events are.
+    /// The lag and the losses of its cache events.
     pub journal: JournalOptions,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl EngineServer {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(options: EngineOptions) -> Arc<Self> {
         let mut orders = OrderTracker {
             ignores_fencing: options.ignores_fencing,
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Serves until `stop` is cancelled.
+    /// Serves requests until `stop` is cancelled.
     pub async fn run(self: Arc<Self>, listener: TcpListener, stop: CancellationToken) {
         let driver = self.clone();
         let handler = self.clone();
@@ -109,23 +109,23 @@
         tokio::join!(served, driver.drive(stop));
     }
 
-    /// The requests it saw.
+    /// Returns the log of the generation requests received.
     pub fn log(&self) -> &RequestLog {
         &self.log
     }
 
-    /// The present time on this engine's clock.
+    /// Returns the time since this engine was created.
     pub(crate) fn now(&self) -> Timestamp {
         let micros = u64::try_from(self.started.elapsed().as_micros());
         Timestamp::from_micros(micros.unwrap_or(u64::MAX))
     }
 
     pub(crate) fn lock(&self) -> MutexGuard<'_, EngineState> {
-        // No code under the lock can leave the state half changed.
+        // A poisoned lock is usable: no code under it leaves the state inconsistent.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes the driver look at the model again.
+    /// Wakes the driver task, which then checks when the next event is due.
     pub(crate) fn wake(&self) {
         self.driver_wakeup.notify_one();
     }
@@ -134,7 +134,7 @@
         SequenceId(self.next_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// The load report as headers.
+    /// Returns the load report as response headers.
     pub(crate) fn load_headers(&self) -> HeaderMap {
         let settings = &self.options.settings;
         let report = self.lock().model.reported_load(self.now());
@@ -154,7 +154,7 @@
         headers
     }
 
-    /// Hands out the model's events when they are due.
+    /// Delivers the model's events when they are due, until `stop` is cancelled.
     async fn drive(&self, stop: CancellationToken) {
         loop {
             let next = self.lock().model.next_event();
@@ -238,7 +238,8 @@
         generate::answer(self, request, record, request_id.to_owned()).await
     }
 
-    /// Ends the process like a crash: nothing is finished, all streams are cut.
+    /// Exits the process if the prompt contains the crash text. As in a crash, no request
+    /// completes and all streams are cut.
     fn crash_if_triggered(&self, prompt: &str) {
         let crash_on = &self.options.crash_on;
         if !crash_on.is_empty() && prompt.contains(crash_on) {
@@ -295,7 +296,7 @@
             Err(error) => return bad_request(&error),
         };
         if !(faults.slow.is_finite() && faults.slow > 0.0) {
-            return bad_request("slow: a factor above 0 is needed");
+            return bad_request("slow: must be a factor above 0");
         }
         let mut state = self.lock();
         state.faults = faults;
--- a/crates/standins/src/engine/state.rs
+++ b/crates/standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! The engine model with the requests that wait on it.
+//! The engine model and the open requests that wait for its events.
 
 use std::collections::HashMap;
 
@@ -20,7 +20,7 @@
     events: mpsc::UnboundedSender<EngineEventKind>,
 }
 
-/// Everything behind the server's lock.
+/// The state behind the server's lock.
 #[derive(Debug)]
 pub(crate) struct EngineState {
     pub(crate) model: EngineModel,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Puts a request into the model; its events come through the receiver.
+    /// Submits a request to the model and returns the receiver of its events.
     pub(crate) fn submit(
         &mut self,
         now: Timestamp,
@@ -56,11 +56,11 @@
         Ok(receiver)
     }
 
-    /// Hands out the events up to `now`.
+    /// Sends the events up to `now` to their receivers and publishes the cache changes.
     pub(crate) fn deliver(&mut self, now: Timestamp) {
         for EngineEvent { id, kind, .. } in self.model.advance(now) {
             if let Some(open) = self.open.get(&id) {
-                // A handler that is gone cancels by itself.
+                // If the handler is gone, its `Drop` cancels the request.
                 let _ = open.events.send(kind);
             }
             if kind == EngineEventKind::Finished {
@@ -72,14 +72,15 @@
         }
     }
 
-    /// Drops a request; its handler sees its events end.
+    /// Removes a request, which closes the receiver of its events. Returns whether it was
+    /// open.
     pub(crate) fn cancel(&mut self, now: Timestamp, id: SequenceId) -> bool {
         self.deliver(now);
         let was_open = self.open.remove(&id).is_some();
         self.model.cancel(now, id) || was_open
     }
 
-    /// Drops every request with this `x-request-id`, and tells how many.
+    /// Cancels all requests with this `x-request-id` and returns how many there were.
     pub(crate) fn cancel_named(&mut self, now: Timestamp, request_id: &str) -> usize {
         let named: Vec<SequenceId> = self
             .open
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,4 +1,5 @@
-//! Small stand-ins for the platform, a model engine and a plain service, for tests.
+//! Small in-memory stand-ins for the platform, a model engine and a plain service, for
+//! tests.
 
 pub mod engine;
 pub mod kv;
--- a/crates/standins/src/platform/call_counters.rs
+++ b/crates/standins/src/platform/call_counters.rs
@@ -1,8 +1,8 @@
-//! How often the platform was called.
+//! Counters of the calls to the platform stand-in.
 
 use serde::{Deserialize, Serialize};
 
-/// The kind of a call.
+/// The kind of a call, by its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// `/v3/kv/range`.
@@ -26,43 +26,43 @@
 }
 
 impl CallKind {
-    /// Whether the call can change something.
+    /// Returns whether the call can change state.
     pub fn is_write(self) -> bool {
         !matches!(self, CallKind::Range | CallKind::Watch | CallKind::Vms)
     }
 }
 
-/// Calls since the start, by kind, also those that a fault left unanswered.
+/// Calls since the start, by kind, including those that a fault left unanswered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounters {
-    /// Reads.
+    /// Range reads.
     pub range: u64,
     /// Transactions.
     pub txn: u64,
-    /// Plain writes.
+    /// Single writes, outside transactions.
     pub put: u64,
-    /// Plain deletes.
+    /// Deletes, outside transactions.
     pub delete_range: u64,
-    /// Leases granted.
+    /// Lease grants.
     pub lease_grant: u64,
-    /// Leases renewed.
+    /// Lease renewals.
     pub lease_keepalive: u64,
-    /// Leases revoked.
+    /// Lease revocations.
     pub lease_revoke: u64,
     /// Watches opened.
     pub watch_opened: u64,
-    /// Watches open now.
+    /// Watches that are open now.
     pub waiting_watches: u64,
     /// Reads of the VM list.
     pub vms: u64,
-    /// Bytes of request bodies, of calls over HTTP.
+    /// Bytes of the request bodies of calls over HTTP.
     pub bytes_in: u64,
-    /// Bytes of answer bodies, of calls over HTTP.
+    /// Bytes of the response bodies of calls over HTTP.
     pub bytes_out: u64,
 }
 
 impl CallCounters {
-    /// Counts a call.
+    /// Counts a call of a kind.
     pub fn add(&mut self, kind: CallKind) {
         *self.field(kind) += 1;
     }
--- a/crates/standins/src/platform/fault_switches.rs
+++ b/crates/standins/src/platform/fault_switches.rs
@@ -1,23 +1,23 @@
-//! What the platform stand-in does wrong on purpose.
+//! The faults that the platform stand-in injects.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// Which writes take effect without an answer.
+/// The writes that take effect but whose answers are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum LostAnswers {
-    /// All of them while true, none while false.
+    /// All writes if true, none if false.
     All(bool),
-    /// The next few.
+    /// The next writes, this many.
     Next(u32),
-    /// A few, after others that are answered.
+    /// Some writes, after others that are answered.
     Later {
-        /// How many are answered first.
+        /// The number of writes that are answered first.
         answer: u32,
-        /// How many are lost then.
+        /// The number of writes after them whose answers are lost.
         lose: u32,
     },
 }
@@ -29,7 +29,7 @@
 }
 
 impl LostAnswers {
-    /// Whether the next answer is lost.
+    /// Returns whether the answer of the next write is lost, and counts that write.
     pub fn take(&mut self) -> bool {
         match self {
             LostAnswers::All(all) => *all,
@@ -50,29 +50,29 @@
     }
 }
 
-/// The faults in force.
+/// The active faults.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultSwitches {
-    /// No call is answered and every open watch breaks.
+    /// Every call fails without effect, and all open watches break.
     pub outage: bool,
-    /// How long a call waits before it takes effect, in milliseconds. It takes
-    /// effect even if its caller has given up by then.
+    /// The delay before a call takes effect, in milliseconds. The call takes effect even
+    /// if its caller has given up by then.
     #[serde(rename = "slow_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub slow: Duration,
-    /// Writes that take effect and whose answers are lost.
+    /// The writes that take effect but whose answers are lost.
     pub lose_answers: LostAnswers,
-    /// Watches stay open and report nothing.
+    /// Watches stay open but return no updates.
     pub hold_watches: bool,
-    /// How old the VM list is when it is read, in milliseconds.
+    /// The age of the VM list when it is read, in milliseconds.
     #[serde(rename = "vm_lag_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub vm_lag: Duration,
 }
 
-/// A change of some switches; the others stay as they are.
+/// A change to some of the switches; those that are `None` keep their values.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
@@ -94,7 +94,7 @@
 }
 
 impl FaultSwitches {
-    /// Applies a change.
+    /// Applies a change to the switches.
     pub fn change(&mut self, change: FaultChange) {
         self.outage = change.outage.unwrap_or(self.outage);
         self.slow = change.slow.unwrap_or(self.slow);
--- a/crates/standins/src/platform/lease_table.rs
+++ b/crates/standins/src/platform/lease_table.rs
@@ -6,7 +6,7 @@
 
 use super::ModelError;
 
-/// A lease and when it lapses.
+/// A lease, its time to live and when it expires.
 #[derive(Clone, Copy, Debug)]
 struct LeaseRecord {
     id: i64,
@@ -14,7 +14,7 @@
     expires_at: Timestamp,
 }
 
-/// All leases, sorted by id.
+/// All leases in force, sorted by id.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTable {
     records: Vec<LeaseRecord>,
@@ -22,7 +22,7 @@
 }
 
 impl LeaseTable {
-    /// Grants a lease under `id`, or under a new id for 0.
+    /// Grants a lease under `id`, or under a new id if `id` is 0. Fails if the id is taken.
     pub fn grant(&mut self, id: i64, ttl: Duration, now: Timestamp) -> Result<i64, ModelError> {
         let id = if id == 0 { self.next_id() } else { id };
         let Err(index) = self.find(id) else {
@@ -40,7 +40,7 @@
         Ok(id)
     }
 
-    /// Starts the lease's time again and returns it, unless it has lapsed.
+    /// Renews a lease and returns its time to live, or `None` if it has been removed.
     pub fn renew(&mut self, id: i64, now: Timestamp) -> Option<Duration> {
         let index = self.find(id).ok()?;
         let record = &mut self.records[index];
@@ -48,19 +48,19 @@
         Some(record.ttl)
     }
 
-    /// Ends a lease.
+    /// Removes a lease. Fails if there is none under this id.
     pub fn revoke(&mut self, id: i64) -> Result<(), ModelError> {
         let index = self.find(id).map_err(|_| ModelError::LeaseNotFound)?;
         self.records.remove(index);
         Ok(())
     }
 
-    /// Whether the lease is in force.
+    /// Returns whether a lease is in force.
     pub fn contains(&self, id: i64) -> bool {
         self.find(id).is_ok()
     }
 
-    /// Removes and returns the leases whose time is over.
+    /// Removes the leases that have expired by `now` and returns their ids.
     pub fn take_expired(&mut self, now: Timestamp) -> Vec<i64> {
         let expired = self.records.iter().filter(|it| it.expires_at <= now);
         let expired: Vec<i64> = expired.map(|it| it.id).collect();
@@ -68,7 +68,7 @@
         expired
     }
 
-    /// When the next lease lapses.
+    /// Returns when the next lease expires.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         self.records.iter().map(|it| it.expires_at).min()
     }
--- a/crates/standins/src/platform/memory_store.rs
+++ b/crates/standins/src/platform/memory_store.rs
@@ -1,4 +1,4 @@
-//! The platform inside the test's own process.
+//! An in-process implementation of the platform's store and VM list.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use super::{CallFault, CallKind, CallOutcome, OpenWatch, SharedPlatform, WatchUpdate};
 
-/// A store and VM list without a server. Clones share their state.
+/// A store and VM list without an HTTP server. Clones share their state.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -26,12 +26,12 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStore {
-    /// The state, with its faults, clock and counts.
+    /// The shared state, with its fault switches, clock and call counters.
     pub platform: SharedPlatform,
 }
 
 impl MemoryStore {
-    /// A store on a state that others share, a stand-in server for instance.
+    /// Creates a store on a shared state, such as that of a stand-in server.
     pub fn new(platform: SharedPlatform) -> Self {
         MemoryStore { platform }
     }
@@ -47,8 +47,10 @@
 impl From<CallFault> for StoreError {
     fn from(fault: CallFault) -> Self {
         match fault {
-            CallFault::Outage => StoreError::Unreachable("the stand-in's outage".into()),
-            CallFault::AnswerLost => StoreError::AnswerLost("the stand-in lost it".into()),
+            CallFault::Outage => StoreError::Unreachable("the stand-in simulates an outage".into()),
+            CallFault::AnswerLost => {
+                StoreError::AnswerLost("the stand-in dropped the answer".into())
+            }
         }
     }
 }
@@ -114,6 +116,8 @@
 }
 
 /// A watch on a [`MemoryStore`].
+///
+/// Dropping it closes the watch.
 #[derive(Debug)]
 pub struct MemoryWatch {
     watch: OpenWatch,
--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! The platform stand-in: a key-value service and a VM list with faults on demand.
+//! The platform stand-in: a key-value service and a VM list with injectable faults.
 //!
-//! [`KeyValueModel`] is the service as a pure state machine. On it stand
-//! [`MemoryStore`], for tests inside one process, and [`serve_platform`], the
-//! same over HTTP in the published shapes of the etcd v3 JSON gateway.
+//! [`KeyValueModel`] is the service as a state machine without I/O. [`MemoryStore`] offers
+//! it to tests in the same process, and [`serve_platform`] serves it over HTTP in the
+//! published format of the etcd v3 JSON gateway.
 
 mod call_counters;
 mod fault_switches;
--- a/crates/standins/src/platform/model.rs
+++ b/crates/standins/src/platform/model.rs
@@ -19,18 +19,20 @@
 
 use super::{LeaseTable, ModelError};
 
-/// How many events are kept for watches that start in the past.
+/// The number of events that are kept for watches that start in the past.
 const MAX_HISTORY_EVENTS: usize = 100_000;
-/// How many bytes of values are kept for watches that start in the past.
+/// The bytes of values that are kept for watches that start in the past.
 const MAX_HISTORY_BYTES: usize = 64_000_000;
 /// The shortest lease, in seconds.
 const MIN_LEASE_SECONDS: i64 = 1;
 
-/// Revisions, pairs, leases and the history that watches read.
+/// The state of the key-value service: revision, pairs, leases and the history of
+/// changes that watches read.
 #[derive(Clone, Debug)]
 pub struct KeyValueModel {
     revision: i64,
-    /// The oldest revision whose events are all still in the history.
+    /// The oldest revision whose events are all still in the history; watches can't start
+    /// before it.
     oldest_revision: i64,
     pairs: BTreeMap<Bytes, PairMessage>,
     leases: LeaseTable,
@@ -52,12 +54,12 @@
 }
 
 impl KeyValueModel {
-    /// The revision of the last write.
+    /// Returns the revision of the last write.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// The head of an answer given now.
+    /// Returns the header of a response sent now.
     pub fn header(&self) -> ResponseHeader {
         ResponseHeader {
             cluster_id: 1,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Reads a range.
+    /// Returns the pairs of a range, up to the limit of the request.
     pub fn range(&self, request: &RangeRequest) -> RangeResponse {
         let limit = match usize::try_from(request.limit) {
             Ok(0) | Err(_) => usize::MAX,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Runs a transaction: as a whole, or not at all on an error.
+    /// Runs a transaction; on an error, nothing of it takes effect.
     pub fn transact(
         &mut self,
         request: TransactionRequest,
@@ -119,7 +121,7 @@
         })
     }
 
-    /// Grants a lease.
+    /// Grants a lease of at least one second.
     pub fn grant(
         &mut self,
         request: &LeaseMessage,
@@ -135,7 +137,7 @@
         })
     }
 
-    /// Renews a lease. The answer's time to live is 0 when it has lapsed.
+    /// Renews a lease. The time to live in the answer is 0 if the lease has expired.
     pub fn keep_alive(&mut self, id: i64, now: Timestamp) -> LeaseMessage {
         let duration = self.leases.renew(id, now).unwrap_or_default();
         LeaseMessage {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Revokes a lease; its keys vanish.
+    /// Revokes a lease and deletes its keys.
     pub fn revoke(&mut self, id: i64) -> Result<HeaderResponse, ModelError> {
         self.leases.revoke(id)?;
         self.delete_keys_of_lease(id);
@@ -154,19 +156,19 @@
         })
     }
 
-    /// Lets each lease lapse whose time is over; their keys vanish.
+    /// Removes all leases that have expired by `now` and deletes their keys.
     pub fn expire(&mut self, now: Timestamp) {
         for id in self.leases.take_expired(now) {
             self.delete_keys_of_lease(id);
         }
     }
 
-    /// When the next lease lapses unless it is renewed.
+    /// Returns when the next lease expires unless it is renewed.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         self.leases.next_expiry()
     }
 
-    /// The events of a range from revision `from` on, oldest first.
+    /// Returns the events of a range from revision `from_revision` on, oldest first.
     pub fn events(
         &self,
         key: &Bytes,
@@ -196,7 +198,8 @@
         Ok(events.cloned().collect())
     }
 
-    /// Drops the history before `revision`.
+    /// Drops the history before `revision`. Fails if that is compacted already or lies in
+    /// the future.
     pub fn compact(&mut self, revision: i64) -> Result<HeaderResponse, ModelError> {
         if revision > self.revision {
             return Err(ModelError::FutureRevision);
@@ -330,18 +333,19 @@
             return;
         };
         self.history_bytes -= event.kv.value.len();
-        // Its revision may have had more events; none of it is whole any more.
+        // Other events of the same revision may remain, but the revision is incomplete.
         self.oldest_revision = event.kv.mod_revision + 1;
     }
 }
 
-/// An empty end means the one key, a single zero byte means no end.
+/// Returns the bounds of a request's key range. An empty end stands for the single key, an
+/// end of one zero byte for no upper bound.
 fn key_range(key: &Bytes, range_end: &Bytes) -> (Bound<Bytes>, Bound<Bytes>) {
     let start = Bound::Included(key.clone());
     let end = match range_end.as_ref() {
         [] => Bound::Included(key.clone()),
         [0] => Bound::Unbounded,
-        // A range that ends before it begins is empty; the map would panic.
+        // A range that ends before it begins is empty; `BTreeMap::range` would panic on it.
         end if end <= key.as_ref() => Bound::Excluded(key.clone()),
         _ => Bound::Excluded(range_end.clone()),
     };
--- a/crates/standins/src/platform/model_error.rs
+++ b/crates/standins/src/platform/model_error.rs
@@ -1,48 +1,48 @@
-//! Why the key-value service refuses a call, in the words of etcd.
+//! The errors of the key-value service, with etcd's messages.
 
 use comfreyramp_http::StatusCode;
 use comfreyramp_store::{StoreError, wire::ErrorMessage};
 
-/// A call that the service answers with an error.
+/// An error that the service answers a call with.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ModelError {
-    /// The lease lapsed, was revoked, or never was.
+    /// The lease expired, was revoked, or never existed.
     #[error("etcdserver: requested lease not found")]
     LeaseNotFound,
-    /// The id that was asked for is taken.
+    /// The requested lease id is taken.
     #[error("etcdserver: lease already exists")]
     LeaseExists,
-    /// A write without a key.
+    /// A write has an empty key.
     #[error("etcdserver: key is not provided")]
     EmptyKey,
-    /// A value above the limit.
+    /// A value is larger than the limit.
     #[error("etcdserver: request is too large")]
     ValueTooLarge,
-    /// A transaction above the limit.
+    /// A transaction has more comparisons or operations than the limit.
     #[error("etcdserver: too many operations in txn request")]
     TooManySteps,
-    /// A transaction that writes a key twice.
+    /// A transaction writes the same key twice.
     #[error("etcdserver: duplicate key given in txn request")]
     DuplicateKey,
-    /// Revisions before this one are gone.
+    /// The requested revision is older than this one, the oldest that is kept.
     #[error("etcdserver: mvcc: required revision has been compacted")]
     Compacted(i64),
-    /// The revision hasn't happened yet.
+    /// The requested revision lies in the future.
     #[error("etcdserver: mvcc: required revision is a future revision")]
     FutureRevision,
-    /// The body isn't what the call wants.
+    /// The body is not valid for the call.
     #[error("{0}")]
     BadBody(String),
-    /// There is no such call.
+    /// The call is unknown.
     #[error("Not Found")]
     UnknownCall,
-    /// The service is down.
+    /// The service is unavailable.
     #[error("etcdserver: no leader")]
     Unavailable,
 }
 
 impl ModelError {
-    /// The gRPC code and the HTTP status that the gateway makes of it.
+    /// Returns the gRPC code and the HTTP status that the gateway answers with.
     pub fn codes(&self) -> (i32, StatusCode) {
         match self {
             ModelError::EmptyKey
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The body of the error answer.
+    /// Returns the body of the error response.
     pub fn to_message(&self) -> ErrorMessage {
         ErrorMessage {
             error: self.to_string(),
--- a/crates/standins/src/platform/open_watch.rs
+++ b/crates/standins/src/platform/open_watch.rs
@@ -1,4 +1,4 @@
-//! A watch that waits for news.
+//! An open watch and the updates it returns.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 
 use super::{SharedPlatform, WatchCursor};
 
-/// What a watch has to tell.
+/// An update that a watch returns.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchUpdate {
-    /// Events, oldest first, with the store's revision.
+    /// Events, oldest first, and the store's present revision.
     Events(Vec<EventMessage>, i64),
-    /// The watch asked for revisions before this one, which are gone.
+    /// The watch requested revisions before this one, which have been compacted.
     Compacted(i64),
-    /// The watch broke.
+    /// The watch was broken by a fault and must be reopened.
     Broken,
 }
 
-/// An open watch.
+/// An open watch; dropping it closes it.
 #[derive(Debug)]
 pub struct OpenWatch {
     platform: SharedPlatform,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The revision up to which everything was reported, when nothing is
-    /// waiting to be.
+    /// Returns the revision up to which all events have been reported, or `None` if events
+    /// are pending or the watch is held back or broken.
     pub fn progress(&self) -> Option<i64> {
         let state = self.platform.lock();
         let held = state.faults.hold_watches || state.watch_epoch != self.epoch;
@@ -51,7 +51,7 @@
         (!held && self.cursor.next_revision > revision).then_some(revision)
     }
 
-    /// Waits until there is something to tell.
+    /// Waits for the next update.
     pub async fn next(&mut self) -> WatchUpdate {
         loop {
             self.changed.borrow_and_update();
@@ -59,7 +59,7 @@
             if let Some(update) = update {
                 return update;
             }
-            // Only the sender's end would fail here, and we hold it.
+            // This fails only when the sender is dropped, and `platform` holds the sender.
             let changed = self.changed.changed();
             match until_expiry {
                 None => drop(changed.await),
@@ -68,7 +68,8 @@
         }
     }
 
-    /// What there is to tell now, or else how long until a lease lapses.
+    /// Returns the update that is available now, if any, and how long until the next lease
+    /// expires.
     fn poll(&mut self) -> (Option<WatchUpdate>, Option<Duration>) {
         let mut state = self.platform.lock();
         if state.watch_epoch != self.epoch {
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in over HTTP.
+//! The HTTP server of the platform stand-in.
 
 use std::{future::Future, time::Duration};
 
@@ -25,9 +25,11 @@
 };
 use crate::process::stand_in_limits;
 
-/// The longest body: a transaction with its largest values in base64.
+/// The longest body, in bytes: enough for a full transaction with the largest values in
+/// base64.
 const MAX_BODY_BYTES: usize = 8_000_000;
-/// How often a watch that asked for it hears of the revision while idle.
+/// The interval at which an idle watch that requested progress notices is sent the
+/// revision.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The body of `PUT /stand-in/clock`.
@@ -35,7 +37,7 @@
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClockChange {
-    /// How far to put the clock forward, in milliseconds.
+    /// How far to move the clock forward, in milliseconds.
     #[serde(rename = "advance_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub advance: Duration,
@@ -51,7 +53,7 @@
     serve(listener, stand_in_limits(), stop, handler).await;
 }
 
-/// Answers one request and counts its bytes.
+/// Answers one request and counts the bytes of its bodies.
 async fn answer(platform: SharedPlatform, request: Request<Incoming>) -> Response<MessageBody> {
     let (head, body) = request.into_parts();
     let body = match collect_limited(body, MAX_BODY_BYTES).await {
@@ -75,7 +77,7 @@
     response
 }
 
-/// The VM list with its tag, or only the word that it is still the same.
+/// Answers with the VM list and its `ETag`, or with 304 if the caller has the same list.
 async fn answer_list(platform: &SharedPlatform, known: Option<&HeaderValue>) -> Answer {
     let vms = match platform.listed_vms().await {
         Ok(vms) => vms,
@@ -98,7 +100,7 @@
 
 type Answer = Result<Response<MessageBody>, ModelError>;
 
-/// The published calls.
+/// Answers the calls of the etcd v3 JSON gateway.
 async fn answer_call(platform: &SharedPlatform, call: &str, body: &Bytes) -> Answer {
     match call {
         "kv/range" => {
@@ -203,7 +205,7 @@
     Ok(Response::new(body))
 }
 
-/// Writes the lines of one watch.
+/// Writes the JSON lines of one watch.
 struct WatchWriter {
     platform: SharedPlatform,
     sender: BodySender,
@@ -267,7 +269,7 @@
     }
 }
 
-/// The VM list and the test's own controls.
+/// Answers changes of the VM list and the control calls for tests, under `/stand-in/`.
 async fn answer_control(
     platform: &SharedPlatform,
     method: &Method,
@@ -328,11 +330,11 @@
     }
 }
 
-/// An answer that breaks off before its first byte of body, as it looks to a
-/// caller when the connection dies after the write took effect.
+/// Returns a response that is cut before the first byte of its body, as a caller sees it
+/// when the connection fails after the write took effect.
 fn truncated_answer() -> Response<MessageBody> {
     let (sender, body) = MessageBody::stream();
-    tokio::spawn(sender.cut_short("lost on purpose"));
+    tokio::spawn(sender.cut_short("answer lost by a fault switch"));
     Response::new(body)
 }
 
@@ -347,7 +349,7 @@
 }
 
 fn to_json(value: &impl Serialize) -> Vec<u8> {
-    // The wire types have string keys only, so that serializing can't fail.
+    // Serializing can't fail, since the wire types have only string keys.
     serde_json::to_vec(value).unwrap_or_default()
 }
 
--- a/crates/standins/src/platform/shared_platform.rs
+++ b/crates/standins/src/platform/shared_platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in's one state, shared by its server and the in-process store.
+//! The state of the platform stand-in, shared by its HTTP server and the in-process store.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -17,32 +17,33 @@
     VmHistory, WatchCursor,
 };
 
-/// Why a call got no answer.
+/// The injected fault that left a call without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
-    /// The outage switch is on; the call had no effect.
+    /// The outage switch is on, and the call had no effect.
     Outage,
-    /// The call took effect and its answer is lost.
+    /// The call took effect, but its answer is lost.
     AnswerLost,
 }
 
-/// What a call came to.
+/// The result of a call: an injected fault, or what the model returned.
 pub type CallOutcome<T> = Result<Result<T, ModelError>, CallFault>;
 
-/// Everything behind the lock.
+/// The state behind the lock.
 #[derive(Debug, Default)]
 pub(super) struct PlatformState {
     pub(super) model: KeyValueModel,
     vms: VmHistory,
     pub(super) faults: FaultSwitches,
     pub(super) calls: CallCounters,
-    /// How far the clock was put forward.
+    /// The offset added to the stand-in's clock by [`SharedPlatform::advance`].
     clock_offset: Duration,
-    /// Counts up whenever all watches are to break.
+    /// Incremented to break all open watches; a watch ends when it differs from the epoch
+    /// at which it was opened.
     pub(super) watch_epoch: u64,
 }
 
-/// A handle on the stand-in's state; clones share it.
+/// A handle to the stand-in's state; clones share the state.
 #[derive(Clone, Debug)]
 pub struct SharedPlatform {
     state: Arc<Mutex<PlatformState>>,
@@ -61,7 +62,7 @@
 }
 
 impl SharedPlatform {
-    /// Runs one call on the model, with the faults in force.
+    /// Runs one call on the model, with the active faults applied.
     pub async fn call<T, F>(&self, kind: CallKind, operation: F) -> CallOutcome<T>
     where
         T: Send + 'static,
@@ -78,8 +79,8 @@
         if slow.is_zero() {
             return self.run(kind, operation);
         }
-        // On a task of its own, since a slow write takes effect even though
-        // its caller has given up, and that is the case worth testing.
+        // The call runs in its own task, so that a slow write takes effect even after
+        // its caller has given up, which is the case that tests need.
         let platform = self.clone();
         let task = tokio::spawn(async move {
             tokio::time::sleep(slow).await;
@@ -107,7 +108,7 @@
         Ok(outcome)
     }
 
-    /// Opens a watch.
+    /// Opens a watch on a range, from the cursor's revision on.
     pub async fn open_watch(&self, cursor: WatchCursor) -> Result<OpenWatch, CallFault> {
         let opened = self.call(CallKind::Watch, move |model, _| {
             Ok(cursor.starting(model.revision() + 1))
@@ -124,9 +125,9 @@
         Ok(OpenWatch::new(self.clone(), changed, epoch, cursor))
     }
 
-    /// Reads the VM list as it was a while ago.
+    /// Returns the VM list with the lag that the fault switches set.
     pub async fn listed_vms(&self) -> Result<Vec<ListedVm>, CallFault> {
-        // The list is no part of the model; the call counts and waits alike.
+        // The list is not part of the model, but the call is counted and delayed like others.
         let waited = self.call(CallKind::Vms, |_, _| Ok(()));
         if waited.await?.is_err() {
             return Err(CallFault::AnswerLost);
@@ -136,14 +137,14 @@
         Ok(state.vms.read(state.faults.vm_lag, now))
     }
 
-    /// Sets the whole VM list.
+    /// Replaces the whole VM list.
     pub fn set_vms(&self, vms: Vec<ListedVm>) {
         let mut state = self.lock();
         let now = self.now(&state);
         state.vms.set(vms, now);
     }
 
-    /// Adds or replaces a VM of the list.
+    /// Adds a VM to the list, or replaces the VM with the same name.
     pub fn put_vm(&self, vm: ListedVm) {
         let mut state = self.lock();
         let now = self.now(&state);
@@ -157,12 +158,12 @@
         state.vms.remove(name, now)
     }
 
-    /// The faults in force.
+    /// Returns the active faults.
     pub fn faults(&self) -> FaultSwitches {
         self.lock().faults
     }
 
-    /// Changes the faults in force.
+    /// Changes some of the active faults; an outage also breaks all open watches.
     pub fn change_faults(&self, change: FaultChange) {
         let mut state = self.lock();
         state.faults.change(change);
@@ -173,13 +174,13 @@
         self.changed.send_replace(());
     }
 
-    /// Breaks each open watch once.
+    /// Breaks all watches that are open now.
     pub fn break_watches(&self) {
         self.lock().watch_epoch += 1;
         self.changed.send_replace(());
     }
 
-    /// Puts the stand-in's clock forward, so that leases lapse without a wait.
+    /// Moves the stand-in's clock forward, so that leases expire without a wait.
     pub fn advance(&self, duration: Duration) {
         let mut state = self.lock();
         state.clock_offset += duration;
@@ -189,21 +190,22 @@
         self.changed.send_replace(());
     }
 
-    /// Drops the history before the last write, as the platform does now and
-    /// then by itself.
+    /// Drops the history before the last write, as the platform does by itself from time
+    /// to time.
     pub fn compact(&self) {
         let revision = self.lock().model.revision();
-        // Its own revision is neither gone nor yet to come.
+        // This can't fail: the present revision is neither compacted nor in the future.
         let _ = self.compact_before(revision);
     }
 
-    /// Drops the history before a revision.
+    /// Drops the history before a revision. Fails if the revision is compacted already or
+    /// lies in the future.
     pub fn compact_before(&self, revision: i64) -> Result<HeaderResponse, ModelError> {
         self.lock().model.compact(revision)
     }
 
-    /// Loses all pairs, leases and revisions, as after a restore from a backup
-    /// that holds nothing. Watches break.
+    /// Drops all pairs, leases and revisions, as a restore from an empty backup does, and
+    /// breaks all open watches.
     pub fn lose_everything(&self) {
         let mut state = self.lock();
         state.model = KeyValueModel::default();
@@ -212,17 +214,17 @@
         self.changed.send_replace(());
     }
 
-    /// The head of an answer given now.
+    /// Returns the header of a response sent now.
     pub fn header(&self) -> ResponseHeader {
         self.lock().model.header()
     }
 
-    /// The calls counted so far.
+    /// Returns the call counters.
     pub fn calls(&self) -> CallCounters {
         self.lock().calls
     }
 
-    /// Counts the bytes of a call over HTTP.
+    /// Adds the body bytes of a call over HTTP to the counters.
     pub fn count_bytes(&self, bytes_in: usize, bytes_out: usize) {
         let mut state = self.lock();
         state.calls.bytes_in += bytes_in as u64;
@@ -233,8 +235,8 @@
         Timestamp::ZERO + self.origin.elapsed() + state.clock_offset
     }
 
-    /// A panic while the lock was held can't leave the state half-changed in
-    /// a way that matters to a test, which has failed by then.
+    /// Locks the state, also when the lock is poisoned: a test in which code panicked
+    /// under the lock has failed anyway, so an inconsistent state doesn't matter.
     pub(super) fn lock(&self) -> MutexGuard<'_, PlatformState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/standins/src/platform/vm_history.rs
+++ b/crates/standins/src/platform/vm_history.rs
@@ -1,31 +1,31 @@
-//! The VM list as it was a while ago.
+//! The history of the VM list, for reads with a lag.
 
 use std::time::Duration;
 
 use comfreyramp_policy::Timestamp;
 use comfreyramp_store::ListedVm;
 
-/// The list after one change.
+/// The list after one change, sorted by name, and when the change happened.
 #[derive(Clone, Debug)]
 struct ListedState {
     since: Timestamp,
     vms: Vec<ListedVm>,
 }
 
-/// Every state of the VM list, so that it can be read with a lag.
+/// All states of the VM list, so that it can be read with a lag.
 #[derive(Clone, Debug, Default)]
 pub struct VmHistory {
     states: Vec<ListedState>,
 }
 
 impl VmHistory {
-    /// Sets the whole list.
+    /// Replaces the whole list.
     pub fn set(&mut self, mut vms: Vec<ListedVm>, now: Timestamp) {
         vms.sort_by(|one, other| one.name.cmp(&other.name));
         self.states.push(ListedState { since: now, vms });
     }
 
-    /// Adds a VM, or replaces the one of the same name.
+    /// Adds a VM, or replaces the VM with the same name.
     pub fn put(&mut self, vm: ListedVm, now: Timestamp) {
         let mut vms = self.newest_vms();
         match vms.binary_search_by(|it| it.name.cmp(&vm.name)) {
@@ -46,8 +46,8 @@
         true
     }
 
-    /// The list as it was `lag` before `now`. The first state stands for all
-    /// time before it, so that a lag doesn't begin with an empty fleet.
+    /// Returns the list as it was `lag` before `now`. The first state also counts for all
+    /// time before it, so that reads with a lag don't start with an empty fleet.
     pub fn read(&self, lag: Duration, now: Timestamp) -> Vec<ListedVm> {
         let read_at = now - lag;
         let index = self.states.partition_point(|it| it.since <= read_at);
--- a/crates/standins/src/platform/watch_cursor.rs
+++ b/crates/standins/src/platform/watch_cursor.rs
@@ -1,18 +1,19 @@
-//! Where a watch stands in the history.
+//! The position of a watch in the history.
 
 use bytes::Bytes;
 use comfreyramp_store::wire::{EventMessage, WatchCreateRequest};
 
 use super::{KeyValueModel, ModelError};
 
-/// A range and the first revision not yet reported.
+/// The range that a watch reads and the first revision it has not yet reported.
 #[derive(Clone, Debug)]
 pub struct WatchCursor {
-    /// The first key.
+    /// The first key of the range.
     pub key: Bytes,
-    /// The end, as in a read.
+    /// The end of the range, encoded as in a range request: empty for a single key, one
+    /// zero byte for no end.
     pub range_end: Bytes,
-    /// The first revision not yet reported, or 0 for the next to come.
+    /// The first revision not yet reported; 0 for the revision of the next write.
     pub next_revision: i64,
 }
 
@@ -27,7 +28,7 @@
 }
 
 impl WatchCursor {
-    /// Fixes where to start, if the request left it open.
+    /// Sets the revision to start from to `default_start` if the request named none.
     pub fn starting(mut self, default_start: i64) -> Self {
         if self.next_revision <= 0 {
             self.next_revision = default_start;
@@ -35,8 +36,8 @@
         self
     }
 
-    /// Reads what is new and moves past it. Fails with the oldest revision
-    /// still there when some of it is gone.
+    /// Returns the unreported events and advances past them. Fails with the oldest kept
+    /// revision if some of the events have been compacted.
     pub fn read(&mut self, model: &KeyValueModel) -> Result<Vec<EventMessage>, i64> {
         let events = match model.events(&self.key, &self.range_end, self.next_revision) {
             Ok(events) => events,
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' programs share: their addresses file and their end.
+//! Functions that the stand-in programs share: the addresses file and shutdown.
 
 use std::{collections::BTreeMap, fs, net::SocketAddr, path::Path, time::Duration};
 
@@ -7,10 +7,10 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// Writes `{"name":"ip:port"}` for those who started the process.
+/// Writes `{"name":"ip:port"}` to a file, for the program that started this process.
 ///
-/// A reader that polls for the file must never see half of it, so it is
-/// written beside its place and then renamed.
+/// The text is written to a temporary file, which is then renamed, so that a reader that
+/// polls for the file never sees it incomplete.
 pub fn write_addresses(path: &Path, addresses: &[(&str, SocketAddr)]) -> anyhow::Result<()> {
     let addresses: BTreeMap<&str, String> = addresses
         .iter()
@@ -19,11 +19,12 @@
     let mut partial = path.as_os_str().to_owned();
     partial.push(".partial");
     let text = serde_json::to_string(&addresses)?;
-    fs::write(&partial, text).with_context(|| format!("can't write beside {}", path.display()))?;
+    fs::write(&partial, text)
+        .with_context(|| format!("can't write a temporary file next to {}", path.display()))?;
     fs::rename(&partial, path).with_context(|| format!("can't write {}", path.display()))
 }
 
-/// A token that SIGTERM or SIGINT cancels.
+/// Returns a token that SIGTERM or SIGINT cancels.
 pub fn stop_on_signal() -> anyhow::Result<CancellationToken> {
     let stop = CancellationToken::new();
     let mut terminate = signal(SignalKind::terminate())?;
@@ -39,7 +40,8 @@
     Ok(stop)
 }
 
-/// Server limits that let a stand-in end soon after it is told to.
+/// Server limits with a drain timeout of 200 ms, so that a stand-in stops soon after it
+/// is asked to.
 pub fn stand_in_limits() -> ServeLimits {
     ServeLimits {
         drain_timeout: Duration::from_millis(200),
--- a/crates/standins/src/request_log.rs
+++ b/crates/standins/src/request_log.rs
@@ -1,4 +1,5 @@
-//! What a stand-in saw, so that a test can tell how often something ran.
+//! Records the requests that a stand-in received, so that a test can check how often a
+//! request ran.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -9,59 +10,59 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// How many requests are kept; the oldest go first.
+/// The number of requests that are kept; the oldest are dropped first.
 const MAX_KEPT_REQUESTS: usize = 50_000;
-/// How many bytes of a prompt are kept.
+/// The number of bytes of a prompt that are kept.
 const MAX_PROMPT_BYTES: usize = 8 * 1024;
 
-/// How a request ended, or where it stands.
+/// The state of a request: how it ended, or how far it has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestEnd {
-    /// It waits for a place in the batch.
+    /// The request waits to join the batch.
     Queued,
-    /// It runs.
+    /// The request is running.
     Running,
-    /// The whole answer was written.
+    /// The whole response was written.
     Done,
-    /// A cancel or the client's disconnect ended it.
+    /// A cancel call or the client's disconnect ended it.
     Cancelled,
-    /// A fault switch broke it.
+    /// A fault switch made it fail or cut its response, or its body could not be read.
     Broken,
-    /// It was refused before it ran.
+    /// It was rejected before it ran.
     Refused,
 }
 
-/// One request as the stand-in saw it.
+/// One request as the stand-in received it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// Its position among all requests, from zero.
+    /// Its position among all requests received, from zero.
     pub index: u64,
-    /// The `x-request-id` header, or a number given here.
+    /// The `x-request-id` header, or `request-` and the index if there is none.
     pub id: String,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// The path with its query.
+    /// The path, with the query string.
     pub path: String,
-    /// Every header; the values of a repeated one are joined by a comma.
+    /// All headers; the values of a repeated header are joined with commas.
     pub headers: BTreeMap<String, String>,
-    /// SHA-256 over the body, in hex.
+    /// SHA-256 of the body, in hex.
     pub body_hash: String,
-    /// The last user message or the prompt; empty at a plain service.
+    /// The last user message or the prompt; empty for a plain service.
     pub prompt: String,
-    /// The token at which a resumed answer began.
+    /// The index of the token at which a resumed response began; 0 if it wasn't resumed.
     pub resume_from: u32,
-    /// How many requests came with the same idempotency key, or, where there
-    /// is none, with the same prompt, or with the same method, path and body
-    /// where there is no prompt. Refused ones don't count.
+    /// The number of requests with the same idempotency key. A request without a key
+    /// is counted by its prompt, and one without a prompt by its method, path and
+    /// body. Rejected requests don't count.
     pub runs: u32,
-    /// How it ended.
+    /// How it ended, or its present state.
     pub end: RequestEnd,
-    /// Tokens produced; at a plain service, body bytes received.
+    /// Tokens produced; for a plain service, body bytes received.
     pub tokens: u64,
 }
 
-/// What identifies a request for counting its runs.
+/// The key by which the runs of a request are counted; see [`RequestRecord::runs`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RunKey(String);
 
@@ -78,7 +79,7 @@
     }
 }
 
-/// The list of requests a stand-in saw.
+/// The requests that a stand-in received, oldest first.
 #[derive(Debug, Default)]
 pub struct RequestLog {
     entries: Mutex<LogEntries>,
@@ -91,25 +92,25 @@
     runs: HashMap<RunKey, u32>,
 }
 
-/// What is known of a request when it arrives.
+/// The properties of a request that are known when it arrives.
 #[derive(Debug)]
 pub struct Arrival<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The path with its query.
+    /// The path, with the query string.
     pub path: &'a str,
-    /// The headers.
+    /// All headers.
     pub headers: &'a HeaderMap,
-    /// SHA-256 over the body, in hex.
+    /// SHA-256 of the body, in hex; empty while the body is still being received.
     pub body_hash: String,
     /// The last user message or the prompt.
     pub prompt: &'a str,
-    /// The token at which a resumed answer begins.
+    /// The index of the token at which a resumed response begins; 0 otherwise.
     pub resume_from: u32,
 }
 
 impl RequestLog {
-    /// Adds a request that waits, and returns its index.
+    /// Adds a request as queued and returns its index.
     pub fn add(&self, arrival: Arrival<'_>) -> u64 {
         let mut entries = self.lock();
         let index = entries.next_index;
@@ -137,7 +138,7 @@
         index
     }
 
-    /// Changes a request's record, unless it is too old to be kept.
+    /// Updates a request's record; does nothing if the record has been dropped.
     pub fn update(&self, index: u64, change: impl FnOnce(&mut RequestRecord)) {
         let mut entries = self.lock();
         let Some(oldest) = entries.records.front().map(|it| it.index) else {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Marks a request as refused, so that it doesn't count as a run.
+    /// Marks a request as rejected, so that it doesn't count as a run.
     pub fn refuse(&self, index: u64) {
         let mut key = None;
         self.update(index, |record| {
@@ -165,8 +166,8 @@
         }
     }
 
-    /// How many requests count as the same as this one; see
-    /// [`RequestRecord::runs`].
+    /// Returns the present [`RequestRecord::runs`] of a request, or 0 if its record has
+    /// been dropped.
     pub fn runs(&self, index: u64) -> u32 {
         let mut key = None;
         self.update(index, |record| key = Some(RunKey::of(record)));
@@ -174,7 +175,8 @@
             .unwrap_or(0)
     }
 
-    /// Sets the hash of a body that was streamed, and counts its run anew.
+    /// Sets the hash of a streamed body once it is complete, and moves the run to the key
+    /// that results from it.
     pub fn set_body_hash(&self, index: u64, body_hash: String) {
         let mut keys = None;
         self.update(index, |record| {
@@ -192,7 +194,7 @@
         *runs.entry(after).or_default() += 1;
     }
 
-    /// The kept requests with their present count of runs.
+    /// Returns the kept requests, with their present run counts.
     pub fn list(&self) -> Vec<RequestRecord> {
         let entries = self.lock();
         let with_runs = |record: &RequestRecord| {
@@ -204,12 +206,12 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, LogEntries> {
-        // No code under the lock can leave the entries half changed.
+        // A poisoned lock is usable: no code under it leaves the entries inconsistent.
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// SHA-256 in hex.
+/// Returns the SHA-256 of some bytes, in hex.
 pub fn hash_hex(bytes: &[u8]) -> String {
     hex::encode(Sha256::digest(bytes))
 }
--- a/crates/standins/src/response.rs
+++ b/crates/standins/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers in JSON.
+//! JSON responses.
 
 use comfreyramp_http::{HeaderValue, MessageBody, Response, StatusCode, json_body};
 use serde_json::Value;
--- a/crates/standins/src/runner/mod.rs
+++ b/crates/standins/src/runner/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a backend server of the users' platform: an engine that streams
-//! events, or a plain service.
+//! A stand-in for a customer's backend server: an engine that streams events, or a plain
+//! service.
 
 mod runner_server;
 
--- a/crates/standins/src/runner/runner_server.rs
+++ b/crates/standins/src/runner/runner_server.rs
@@ -1,4 +1,4 @@
-//! The server behind HTTP.
+//! The HTTP server that stands in for a backend server.
 
 use std::{
     net::SocketAddr,
@@ -18,49 +18,50 @@
 
 use crate::{kv::KvState, process::stand_in_limits};
 
-/// The longest body that is read.
+/// The longest request body that is read, in bytes; a longer one is taken as empty.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// What a server answers with.
+/// The kind of responses that a server sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunnerKind {
-    /// A stream of events. A whole one takes 40 ms where the request's body reads
-    /// `takes 40`.
+    /// A stream of events. If the request's body is `takes 40`, the whole stream takes
+    /// 40 ms.
     Engine {
-        /// How many events a whole answer has.
+        /// The number of events in a complete response.
         events: u64,
-        /// The pause before each, where the body doesn't ask for another.
+        /// The delay before each event, unless the request's body sets the duration of the
+        /// stream.
         pause: Duration,
     },
-    /// The request's body; one that reads `takes 40` after 40 ms.
+    /// The request's body is sent back; after 40 ms if it is `takes 40`.
     Plain,
 }
 
-/// What a server is.
+/// The identity and the kind of a server.
 #[derive(Clone, Debug)]
 pub struct RunnerOptions {
-    /// Its id in the store.
+    /// Its id, under which it registers in the store.
     pub id: String,
-    /// Its service.
+    /// The name of the service it belongs to.
     pub service: String,
-    /// Its zone.
+    /// Its availability zone.
     pub zone: String,
-    /// What it answers with.
+    /// The kind of responses it sends.
     pub kind: RunnerKind,
 }
 
-/// A request that arrived.
+/// A request that a server received.
 #[derive(Clone, Debug)]
 pub struct RunnerArrival {
-    /// When it arrived.
+    /// The time of arrival.
     pub at: Instant,
-    /// Its id.
+    /// The `x-request-id` header; empty if there is none.
     pub request_id: String,
-    /// Its path.
+    /// The path, without the query string.
     pub path: String,
-    /// All of its headers.
+    /// All headers.
     pub headers: HeaderMap,
-    /// Whether it ran.
+    /// Whether the server ran it: it was addressed to this server, which was not full.
     pub ran: bool,
 }
 
@@ -68,9 +69,9 @@
 #[derive(Debug)]
 pub struct RunnerServer {
     options: RunnerOptions,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// Where its entry says that it listens.
+    /// The address in its store entry, which differs from the own one behind a link.
     published_address: Mutex<SocketAddr>,
     arrivals: Mutex<Vec<RunnerArrival>>,
     is_full: AtomicBool,
@@ -78,7 +79,7 @@
 }
 
 impl RunnerServer {
-    /// Starts a server and registers it.
+    /// Starts a server and registers it in the store as ready.
     ///
     /// # Errors
     ///
@@ -107,7 +108,8 @@
         Ok(server)
     }
 
-    /// Has its entry say that it listens elsewhere, as behind a link.
+    /// Registers the server under another address, such as that of a fault link in front
+    /// of it.
     pub fn show_at(&self, address: SocketAddr, store: &KvState) {
         *self
             .published_address
@@ -116,7 +118,7 @@
         self.register(store, "ready");
     }
 
-    /// Writes its entry with a state.
+    /// Writes its store entry with a state, such as `ready`.
     pub fn register(&self, store: &KvState, state: &str) {
         let address = *self
             .published_address
@@ -131,17 +133,18 @@
         store.put(&key, entry.to_string().as_bytes());
     }
 
-    /// Turns requests away without running them.
+    /// Sets whether the server is full: it then rejects requests with 503 and `x-not-run`,
+    /// without running them.
     pub fn set_full(&self, is_full: bool) {
         self.is_full.store(is_full, Ordering::SeqCst);
     }
 
-    /// Breaks the next answer off after so many events.
+    /// Cuts the next stream of events after this many events.
     pub fn break_next(&self, events: u32) {
         self.break_after.store(events, Ordering::SeqCst);
     }
 
-    /// What arrived so far.
+    /// Returns the requests received so far.
     pub fn arrivals(&self) -> Vec<RunnerArrival> {
         self.arrivals
             .lock()
@@ -205,7 +208,7 @@
     }
 }
 
-/// The work that a body asks for.
+/// Returns the duration that a body requests, such as 40 ms for `takes 40`.
 fn requested_duration(body: &[u8]) -> Option<Duration> {
     let text = std::str::from_utf8(body).ok()?;
     let millis = text.strip_prefix("takes ")?.parse().ok()?;
@@ -227,9 +230,9 @@
 ) {
     for (sent, id) in (after + 1..=events).enumerate() {
         if sent as u32 == break_after {
-            // In the middle of an event, as a crash would.
+            // The stream is cut in the middle of an event, as a crash of the server would do.
             sender.send(format!("id: {id}\nda")).await;
-            return sender.cut_short("the server breaks off").await;
+            return sender.cut_short("the server cuts the stream").await;
         }
         tokio::time::sleep(pause).await;
         if !sender.send(format!("id: {id}\ndata: word {id}\n\n")).await {
