--- a/crates/standins/src/bin/engine.rs
+++ b/crates/standins/src/bin/engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in.
+//! The engine stand-in as a program.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -12,13 +12,13 @@
 /// A model engine with continuous batching, for tests.
 #[derive(FromArgs)]
 struct EngineArgs {
-    /// where to listen (default 127.0.0.1:0, a free port)
+    /// address to listen on (default 127.0.0.1:0, a free port)
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     listen: SocketAddr,
-    /// file to write the address to, once it listens
+    /// file to write the address to once the program listens
     #[argh(option)]
     addresses_file: Option<PathBuf>,
-    /// names of the models, with commas between them
+    /// names of the models, separated by commas
     #[argh(option, default = "String::from(\"demo-model\")")]
     models: String,
     /// requests that run at once
@@ -30,13 +30,13 @@
     /// prefill time of one prompt token, in microseconds
     #[argh(option, default = "100")]
     prefill_us_per_token: u64,
-    /// prompt tokens prefilled in one step at most
+    /// prompt tokens prefilled in one step after which it admits no more requests
     #[argh(option, default = "EngineSettings::default().prefill_per_step")]
     prefill_per_step: u32,
-    /// time of a step, in microseconds
+    /// fixed duration of a step, in microseconds
     #[argh(option, default = "8000")]
     decode_us: u64,
-    /// added time of a step for each running request, in microseconds
+    /// time added to a step for each running request, in microseconds
     #[argh(option, default = "500")]
     decode_us_per_running: u64,
     /// blocks in the prefix cache
@@ -48,19 +48,19 @@
     /// age of the cache events, in milliseconds
     #[argh(option, default = "300")]
     cache_event_lag_ms: u64,
-    /// share of the cache events that is lost, from 0 to 1
+    /// fraction of the cache events that are lost, from 0 to 1
     #[argh(option, default = "0.05")]
     cache_event_drop: f64,
-    /// seed that decides which cache events are lost
+    /// seed of the random choice of lost cache events
     #[argh(option, default = "1")]
     seed: u64,
-    /// carry out orders with an old fencing number too
+    /// carry out orders with an outdated fencing number too
     #[argh(switch)]
     ignores_fencing: bool,
     /// text of a prompt that makes the process exit; empty for none
     #[argh(option, default = "EngineOptions::default().crash_on")]
     crash_on: String,
-    /// factor on all durations of the work; 0.1 is ten times as fast
+    /// factor on the prefill and decode times; 0.1 is ten times as fast
     #[argh(option, default = "1.0")]
     time_scale: f64,
 }
@@ -96,7 +96,7 @@
     let args: EngineArgs = argh::from_env();
     anyhow::ensure!(
         args.time_scale.is_finite() && args.time_scale > 0.0,
-        "--time-scale: a factor above 0 is needed"
+        "--time-scale: must be a factor above 0"
     );
     let stop = stop_on_signal()?;
     let listener = bind(args.listen).await?;
--- a/crates/standins/src/bin/platform.rs
+++ b/crates/standins/src/bin/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in.
+//! The platform stand-in as a program.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -9,13 +9,13 @@
     process::{stop_on_signal, write_addresses},
 };
 
-/// A key-value service and VM list with faults on demand, for tests.
+/// A key-value service and VM list with injectable faults, for tests.
 #[derive(FromArgs)]
 struct PlatformArgs {
-    /// where to listen (default 127.0.0.1:0, a free port)
+    /// address to listen on (default 127.0.0.1:0, a free port)
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     listen: SocketAddr,
-    /// file to write the address to, once it listens
+    /// file to write the address to once the program listens
     #[argh(option)]
     addresses_file: Option<PathBuf>,
 }
--- a/crates/standins/src/bin/service.rs
+++ b/crates/standins/src/bin/service.rs
@@ -1,4 +1,4 @@
-//! The service stand-in.
+//! The service stand-in as a program.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -9,19 +9,19 @@
     service::{ServiceOptions, ServiceServer},
 };
 
-/// A plain service that tells what it was sent, for tests.
+/// A plain service that answers with a description of each request, for tests.
 #[derive(FromArgs)]
 struct ServiceArgs {
-    /// where to listen (default 127.0.0.1:0, a free port)
+    /// address to listen on (default 127.0.0.1:0, a free port)
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     listen: SocketAddr,
-    /// file to write the address to, once it listens
+    /// file to write the address to once the program listens
     #[argh(option)]
     addresses_file: Option<PathBuf>,
     /// text of a body that makes the process exit; empty for none
     #[argh(option, default = "ServiceOptions::default().crash_on")]
     crash_on: String,
-    /// calls at full load, for the load report
+    /// number of calls at which the load report shows full load
     #[argh(option, default = "ServiceOptions::default().capacity")]
     capacity: u64,
 }
--- a/crates/standins/src/kv/door.rs
+++ b/crates/standins/src/kv/door.rs
@@ -1,4 +1,4 @@
-//! One address at which the store is reached.
+//! An HTTP endpoint of the store.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,22 +14,23 @@
 };
 use crate::{process::stand_in_limits, response::json_response};
 
-/// The longest body that is read.
+/// The longest request body that is read, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// A watch looks for lapsed leases this often while it waits.
+/// The interval at which a waiting watch checks for expired leases, and a held answer for
+/// its release.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One address at which the store is reached.
+/// An HTTP endpoint of the store, with its own faults.
 #[derive(Clone, Debug)]
 pub struct KvDoor {
-    /// What goes wrong here.
+    /// The fault switches of this endpoint.
     pub faults: Arc<KvFaults>,
-    /// The address.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
 impl KvDoor {
-    /// Opens a door, until `stop` is cancelled.
+    /// Opens an endpoint that serves until `stop` is cancelled.
     ///
     /// # Errors
     ///
@@ -155,7 +156,7 @@
             let body = json!({"events": events, "store_revision": revision});
             return json_response(StatusCode::OK, &body);
         }
-        // A change between the look and the wait is seen at the next look.
+        // A change between the check and the wait is found by the next check.
         let _ = tokio::time::timeout(POLL_INTERVAL, state.changed.notified()).await;
     }
 }
@@ -202,7 +203,8 @@
     }
 }
 
-/// An answer that breaks off: nobody knows whether the call took effect.
+/// Returns a response that is cut off, so that the caller can't know whether the call took
+/// effect.
 async fn truncated_answer() -> Response<MessageBody> {
     let (sender, body) = MessageBody::stream();
     sender.cut_short("the answer is lost").await;
--- a/crates/standins/src/kv/faults.rs
+++ b/crates/standins/src/kv/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong at one door of the store.
+//! The faults that can be injected at an endpoint of the store.
 
 use std::{
     sync::{
@@ -8,14 +8,14 @@
     time::Duration,
 };
 
-/// How things were when a call came in.
+/// The silence of the endpoint when a call came in.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallStart {
     silence_count: u32,
     was_silent: bool,
 }
 
-/// What goes wrong at one door of the store.
+/// The fault switches of an endpoint of the store.
 #[derive(Debug, Default)]
 pub struct KvFaults {
     is_rejecting: AtomicBool,
@@ -30,13 +30,13 @@
 }
 
 impl KvFaults {
-    /// Turns all calls away with 503, which says that nothing was done.
+    /// Sets whether all calls are rejected with 503, which means that they had no effect.
     pub fn turn_away(&self, is_on: bool) {
         self.is_rejecting.store(is_on, Ordering::SeqCst);
     }
 
-    /// Answers nothing while this is on. Calls that were open at any moment of it, watches
-    /// that wait included, have no answer afterwards either.
+    /// Sets whether the endpoint is silent: no call is answered. Calls that were open at any
+    /// time during the silence, including waiting watches, get no answer afterwards either.
     pub fn fall_silent(&self, is_on: bool) {
         if is_on {
             self.silence_count.fetch_add(1, Ordering::SeqCst);
@@ -44,7 +44,7 @@
         self.is_silent.store(is_on, Ordering::SeqCst);
     }
 
-    /// A call that comes in now.
+    /// Returns the present silence, for [`KvFaults::drops_answer`] at the end of the call.
     pub(super) fn begin_call(&self) -> CallStart {
         CallStart {
             silence_count: self.silence_count.load(Ordering::SeqCst),
@@ -52,24 +52,27 @@
         }
     }
 
-    /// Whether the answer to a call is never sent.
+    /// Returns whether the answer to a call must not be sent, because the endpoint was
+    /// silent at some time during the call.
     pub(super) fn drops_answer(&self, call: CallStart) -> bool {
         call.was_silent || call.silence_count != self.silence_count.load(Ordering::SeqCst)
     }
 
-    /// Does the next writes without answering them.
+    /// Performs the next `count` writes but cuts the connection instead of answering.
     pub fn lose_answers(&self, count: u32) {
         self.lost_answers.store(count, Ordering::SeqCst);
     }
 
-    /// Breaks the connections of the next writes off, and does them only after a span.
+    /// Cuts the connections of the next `count` writes and performs the writes only after
+    /// `delay`.
     pub fn delay_writes(&self, count: u32, delay: Duration) {
         self.write_delay_ms
             .store(delay.as_millis() as u64, Ordering::SeqCst);
         self.delayed_writes.store(count, Ordering::SeqCst);
     }
 
-    /// Does writes, and holds the answers to them back until this is switched off.
+    /// Sets whether writes are performed but their answers held back until this is switched
+    /// off.
     pub fn hold_answers(&self, is_on: bool) {
         self.is_holding_answers.store(is_on, Ordering::SeqCst);
         if !is_on {
@@ -77,8 +80,8 @@
         }
     }
 
-    /// The keys that were written since answers are held back: whoever wrote them
-    /// doesn't know yet that it did.
+    /// Returns the keys written since answers are held back. Their writers don't know yet
+    /// that the writes took effect.
     pub fn held_writes(&self) -> Vec<String> {
         self.lock_held().clone()
     }
@@ -107,7 +110,7 @@
         take_one(&self.lost_answers)
     }
 
-    /// How late the next write is done, if it is.
+    /// Returns the delay of the next write, if it is to be delayed, and counts that write.
     pub(super) fn take_write_delay(&self) -> Option<Duration> {
         let delay = Duration::from_millis(self.write_delay_ms.load(Ordering::SeqCst));
         take_one(&self.delayed_writes).then_some(delay)
--- a/crates/standins/src/kv/mod.rs
+++ b/crates/standins/src/kv/mod.rs
@@ -1,8 +1,7 @@
-//! A stand-in for the store of the users' platform, in memory.
+//! An in-memory stand-in for the customer's platform store (the key-value service).
 //!
-//! [`KvState`] is the store, [`KvDoor`] one address at which it is reached. Each
-//! daemon of a test gets a door of its own, so that a fault can be had by one of
-//! them alone.
+//! [`KvState`] is the store and [`KvDoor`] an HTTP endpoint of it. Each daemon of a test
+//! gets its own endpoint, so that a fault can be injected for one daemon alone.
 
 mod door;
 mod faults;
--- a/crates/standins/src/kv/state.rs
+++ b/crates/standins/src/kv/state.rs
@@ -1,4 +1,4 @@
-//! The store itself.
+//! The state of the store: entries, leases and the history of changes.
 
 use std::{
     collections::BTreeMap,
@@ -10,24 +10,24 @@
 use serde_with::{base64::Base64, serde_as};
 use tokio::sync::Notify;
 
-/// A key as it was last written.
+/// A key with its value and when it was written.
 #[serde_as]
 #[derive(Clone, Debug, Serialize)]
 pub struct KvEntry {
     /// The key.
     pub key: String,
-    /// Its value.
+    /// The value of the last write.
     #[serde_as(as = "Base64")]
     pub value: Vec<u8>,
-    /// The store's revision at its last write.
+    /// The revision of the last write.
     pub revision: i64,
-    /// The store's revision at its creation.
+    /// The revision of the write that created the key.
     pub created: i64,
-    /// The lease it hangs on; 0 for none.
+    /// The lease with which the key is removed; 0 for none.
     pub lease: i64,
 }
 
-/// One change: a written entry, or a removed key.
+/// A change: a written entry or a removed key.
 #[derive(Clone, Debug, Serialize)]
 #[serde(untagged)]
 pub(super) enum KvEvent {
@@ -82,13 +82,13 @@
 }
 
 impl TransactionBody {
-    /// The keys that it writes.
+    /// Returns the keys that the transaction writes.
     pub(super) fn written_keys(&self) -> Vec<String> {
         self.writes.iter().map(|it| it.key.clone()).collect()
     }
 }
 
-/// What a transaction did.
+/// The result of a transaction.
 pub(super) enum TransactionOutcome {
     Written(i64),
     Conflict(Vec<KvEntry>, i64),
@@ -111,7 +111,7 @@
     next_lease: i64,
 }
 
-/// The store itself.
+/// The state of the store, which its endpoints share.
 #[derive(Debug, Default)]
 pub struct KvState {
     tables: Mutex<Tables>,
@@ -119,7 +119,8 @@
 }
 
 impl KvState {
-    /// Writes a key as an operator or a server would.
+    /// Writes a key without a lease, as an operator or a backend server would, and returns
+    /// the revision.
     pub fn put(&self, key: &str, value: &[u8]) -> i64 {
         let mut tables = self.lock();
         tables.revision += 1;
@@ -130,7 +131,7 @@
         revision
     }
 
-    /// Removes a key.
+    /// Removes a key, if it exists.
     pub fn remove(&self, key: &str) {
         let mut tables = self.lock();
         tables.revision += 1;
@@ -139,7 +140,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Forgets all history, so that watches have to list anew.
+    /// Drops the history of changes, so that watches from an older revision fail and must
+    /// list the keys again.
     pub fn forget_history(&self) {
         let mut tables = self.lock();
         tables.compacted_revision = tables.revision;
@@ -148,7 +150,7 @@
         self.changed.notify_waiters();
     }
 
-    /// All keys under a prefix.
+    /// Returns all entries whose keys start with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<KvEntry> {
         let mut tables = self.lock();
         tables.expire_leases();
@@ -173,7 +175,8 @@
         (matching.cloned().collect(), tables.revision)
     }
 
-    /// The changes under a prefix after a revision; nothing if they are forgotten.
+    /// Returns the changes under a prefix after a revision and the present revision, or
+    /// `None` if some of the changes have been dropped.
     pub(super) fn events(&self, prefix: &str, after: i64) -> Option<(Vec<KvEvent>, i64)> {
         let mut tables = self.lock();
         tables.expire_leases();
--- a/crates/standins/src/link/fault_link.rs
+++ b/crates/standins/src/link/fault_link.rs
@@ -1,4 +1,4 @@
-//! A relay of TCP connections on loopback.
+//! A relay of TCP connections on loopback that can inject faults.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,25 +16,26 @@
 
 use super::{LinkFaults, LinkMode, link_faults::Direction};
 
-/// The most that is read at once.
+/// The number of bytes that are read at once.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// The most that a link holds of what was sent into a cut.
+/// The number of bytes that a link buffers for each connection and direction while it
+/// blocks them.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// The end of a connection is sent anew only once what came before it was
-/// acknowledged: whoever reads there has begun with it by then.
+/// How long after buffered data the end of its connection is forwarded, so that the
+/// receiver has acknowledged the data and started to read it by then.
 const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
-/// A relay of TCP connections on loopback, which stands between two processes.
+/// A relay of TCP connections on loopback between two processes.
 #[derive(Clone, Debug)]
 pub struct FaultLink {
-    /// What goes wrong on it.
+    /// The fault switches of the link.
     pub faults: Arc<LinkFaults>,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub address: SocketAddr,
 }
 
 impl FaultLink {
-    /// Opens a link to a server, until `stop` is cancelled.
+    /// Opens a link to a server that works until `stop` is cancelled.
     ///
     /// # Errors
     ///
@@ -67,7 +68,7 @@
     stop: CancellationToken,
 ) {
     let mut resets = faults.resets();
-    // A server that is gone resets its clients' connections.
+    // If the server can't be reached, the client's connection is reset.
     let Ok(server) = TcpStream::connect(server).await else {
         return reset(&client);
     };
@@ -91,7 +92,8 @@
     }
 }
 
-/// A second handle on a socket, to set it up for a reset while it is in use.
+/// Returns a second handle to a socket, through which it can be set to reset while it is
+/// in use.
 fn duplicate_handle(stream: &TcpStream) -> Option<socket2::Socket> {
     SockRef::from(stream).try_clone().ok()
 }
@@ -113,7 +115,7 @@
     loop {
         tokio::select! {
             biased;
-            // The end of a connection doesn't pass a cut either.
+            // The end of a connection is not forwarded while the link blocks either.
             opened = wait_until_open(&mut modes, direction),
                 if has_ended || !buffered.is_empty() =>
             {
@@ -139,17 +141,17 @@
                 if !has_ended && buffered.len() < MAX_BUFFERED_BYTES => match read {
                 Ok(0) => has_ended = true,
                 Ok(length) => buffered.extend_from_slice(&chunk[..length]),
-                // A sender that resets its connection sends nothing of it again.
+                // The sender reset its connection: its buffered data is dropped.
                 Err(_) => break,
             },
         }
     }
-    // Whoever reads there learns of the end; it may have gone already.
+    // Tells the receiver that the connection ended; it may have closed it already.
     let _ = to.shutdown().await;
 }
 
-/// Waits until a link lets pass what goes in a direction, and returns by how much it
-/// is delayed; nothing where the link is gone.
+/// Waits until a link forwards data in a direction and returns its delay, or `None` if
+/// the link is gone.
 async fn wait_until_open(
     modes: &mut watch::Receiver<LinkMode>,
     direction: Direction,
--- a/crates/standins/src/link/link_faults.rs
+++ b/crates/standins/src/link/link_faults.rs
@@ -1,28 +1,28 @@
-//! What goes wrong on a link.
+//! The faults that can be injected on a link.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 
-/// How a link treats what is sent over it.
+/// How a link treats the data sent over it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkMode {
-    /// Everything passes at once.
+    /// All data is forwarded at once.
     #[default]
     Open,
-    /// Everything passes, so much later.
+    /// All data is forwarded after this delay.
     Delayed(Duration),
-    /// Nothing passes in either direction, and nobody is told. What is sent
-    /// meanwhile arrives once the link is open again, also where its sender closed
-    /// the connection; not where it reset it.
+    /// No data is forwarded in either direction, and neither side gets an error. Data sent
+    /// meanwhile arrives once the link is open again, also if its sender closed the
+    /// connection, but not if its sender reset it.
     Silent,
-    /// Only what the server sends passes.
+    /// Only data from the server to the client is forwarded.
     CutToServer,
-    /// Only what the client sends passes.
+    /// Only data from the client to the server is forwarded.
     CutToClient,
 }
 
-/// The direction of a pump.
+/// The direction in which data is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Direction {
     ToServer,
@@ -47,11 +47,11 @@
     }
 }
 
-/// What goes wrong on a link.
+/// The fault switches of a link.
 #[derive(Debug)]
 pub struct LinkFaults {
     mode: watch::Sender<LinkMode>,
-    /// Grows with each reset.
+    /// The number of resets so far.
     resets: watch::Sender<u64>,
 }
 
@@ -65,12 +65,12 @@
 }
 
 impl LinkFaults {
-    /// Sets how the link treats what is sent from now on.
+    /// Sets how the link treats the data that is sent from now on.
     pub fn set_mode(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub fn reset(&self) {
         self.resets.send_modify(|it| *it += 1);
     }
--- a/crates/standins/src/link/mod.rs
+++ b/crates/standins/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that can be harmed from outside.
+//! A TCP link between two processes on which tests can inject faults.
 
 mod fault_link;
 mod link_faults;
--- a/crates/standins/src/service/mod.rs
+++ b/crates/standins/src/service/mod.rs
@@ -1,4 +1,5 @@
-//! A plain service, some of whose calls may not be repeated.
+//! A plain HTTP service that counts how often each call runs, for calls that must not be
+//! repeated.
 
 mod server;
 
--- a/crates/standins/src/service/server.rs
+++ b/crates/standins/src/service/server.rs
@@ -1,4 +1,4 @@
-//! The plain service behind HTTP.
+//! The HTTP server of the plain service.
 
 use std::{
     sync::{
@@ -24,17 +24,17 @@
     response::json_response,
 };
 
-/// The longest body that is read whole, in bytes.
+/// The longest request body that is read into memory, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
-/// The longest wait that `/slow` obeys.
+/// The longest delay that a request to `/slow` can set.
 const MAX_DELAY: Duration = Duration::from_secs(600);
 
-/// How a plain service behaves.
+/// The options of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceOptions {
-    /// The process exits when a body contains this text; empty for never.
+    /// The text of a body at which the process exits; empty for none.
     pub crash_on: String,
-    /// How many calls it takes to be at full load, for its load report.
+    /// The number of calls at which its load report shows full load.
     pub capacity: u64,
 }
 
@@ -51,8 +51,8 @@
 ///
 /// - `/echo` streams the request's body back as it arrives.
 /// - `/slow?ms=N` answers after N milliseconds.
-/// - `GET /stand-in/requests` lists what it saw.
-/// - Any other path answers with what it was sent.
+/// - `GET /stand-in/requests` lists the requests received.
+/// - Any other path answers with a description of the request.
 #[derive(Debug)]
 pub struct ServiceServer {
     options: ServiceOptions,
@@ -61,7 +61,7 @@
 }
 
 impl ServiceServer {
-    /// An idle service.
+    /// Creates an idle service.
     pub fn new(options: ServiceOptions) -> Arc<Self> {
         Arc::new(ServiceServer {
             options,
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Serves until `stop` is cancelled.
+    /// Serves requests until `stop` is cancelled.
     pub async fn run(self: Arc<Self>, listener: TcpListener, stop: CancellationToken) {
         serve(listener, stand_in_limits(), stop, move |request| {
             let server = self.clone();
@@ -79,7 +79,7 @@
         .await;
     }
 
-    /// The requests it saw.
+    /// Returns the log of the requests received.
     pub fn log(&self) -> &RequestLog {
         &self.log
     }
@@ -98,10 +98,10 @@
         response
     }
 
-    /// Streams the body back while it arrives.
+    /// Streams the request's body back while it arrives.
     fn echo(self: &Arc<Self>, request: Request<Incoming>) -> Response<MessageBody> {
         let (head, body) = request.into_parts();
-        // The hash is known only at the end; until then the record has none.
+        // The hash is known only at the end of the body; until then it is empty.
         let call = self.open_call(&head, String::new());
         let (sender, answer) = MessageBody::stream();
         tokio::spawn(copy_body(call, body, sender));
@@ -169,7 +169,7 @@
     }
 }
 
-/// A call in progress; one that is dropped before its end was cancelled.
+/// A call in progress. If it is dropped before its end, it is logged as cancelled.
 #[derive(Debug)]
 struct OpenCall {
     server: Arc<ServiceServer>,
@@ -184,7 +184,8 @@
         });
     }
 
-    /// Ends the process like a crash, so that all its calls are cut.
+    /// Exits the process if the body contains the crash text. As in a crash, all calls are
+    /// cut.
     fn crash_if_triggered(&self, body: &[u8]) {
         let crash_on = self.server.options.crash_on.as_bytes();
         if !crash_on.is_empty() && body.windows(crash_on.len()).any(|it| it == crash_on) {
--- a/crates/standins/tests/common/mod.rs
+++ b/crates/standins/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins on loopback, mostly inside the test's own process.
+//! Helpers that start stand-ins on loopback and send them requests.
 
-// Each test file uses a part of this.
+// Each test file uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::{net::SocketAddr, time::Duration};
@@ -14,7 +14,7 @@
 use serde_json::Value;
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// The longest body that a test reads.
+/// The longest response body that a test reads, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 /// A stand-in's address and a client for it.
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A stand-in that runs as a process of its own.
+    /// Creates a client for a stand-in that runs in another process.
     pub(crate) fn at(address: SocketAddr) -> Self {
         StandIn {
             address,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Sends a request that may get no answer.
+    /// Sends a request and returns an error if it gets no answer.
     pub(crate) async fn try_send(
         &self,
         method: Method,
@@ -80,7 +80,7 @@
         self.client.send(request).await.unwrap()
     }
 
-    /// Sends and reads a JSON answer; gives its status too.
+    /// Sends a JSON request and returns the status and the JSON body of the answer.
     pub(crate) async fn call(&self, method: Method, path: &str, body: Value) -> (u16, Value) {
         let response = self.send(method, path, &[], body.to_string()).await;
         let status = response.status().as_u16();
@@ -91,12 +91,12 @@
     }
 }
 
-/// The next piece of a body that has one.
+/// Returns the next frame of a body; panics if there is none.
 pub(crate) async fn next_piece(body: &mut Incoming) -> Bytes {
     body.frame().await.unwrap().unwrap().into_data().unwrap()
 }
 
-/// Reads a body to its end; false if it was cut short.
+/// Reads a body to its end. The flag is false if it was cut off.
 pub(crate) async fn read_to_end(mut body: Incoming) -> (String, bool) {
     let mut text = String::new();
     while let Some(frame) = body.frame().await {
@@ -108,7 +108,8 @@
     (text, true)
 }
 
-/// Waits until the only kept record satisfies a condition.
+/// Waits until the last kept record satisfies a condition, and returns it; panics after
+/// ten seconds.
 pub(crate) async fn wait_for_record(
     log: &RequestLog,
     condition: impl Fn(&RequestRecord) -> bool,
@@ -120,5 +121,5 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("no such record within ten seconds");
+    panic!("no matching record within ten seconds");
 }
--- a/crates/standins/tests/engine_http.rs
+++ b/crates/standins/tests/engine_http.rs
@@ -1,6 +1,6 @@
-//! The engine stand-in behind HTTP.
+//! Tests of the engine stand-in over HTTP.
 
-// The exemption of the lints covers test functions and not their helpers.
+// The lints exempt test functions, but not their helpers.
 #![allow(clippy::panic, clippy::unwrap_used)]
 
 mod common;
@@ -40,7 +40,7 @@
     body
 }
 
-/// The texts of a stream's chunks and whether it ended with `[DONE]`.
+/// Returns the texts of a stream's chunks and whether it ended with `[DONE]`.
 fn chunk_texts(stream: &str) -> (Vec<String>, bool) {
     let mut texts = Vec::new();
     for event in stream.split_terminator("\n\n") {
@@ -175,7 +175,7 @@
     })
     .await;
 
-    // A caller that waits for a whole answer and gives up.
+    // A caller that waits for a complete, unstreamed answer and gives up.
     let whole = chat("a", &json!({ "max_tokens": 1_000_000 })).to_string();
     let call = stand_in.send(Method::POST, path, &[], whole);
     let given_up = tokio::time::timeout(Duration::from_millis(300), call).await;
@@ -242,8 +242,8 @@
     assert_eq!(orders["applied"].as_array().unwrap().len(), 1);
 }
 
-/// A prompt that the engine can't bear ends the whole process: every caller on
-/// it sees its stream break, not only the one whose prompt it was.
+/// A prompt that crashes the engine ends the whole process, so that the streams of all
+/// its callers break, not only that of the caller with this prompt.
 #[tokio::test]
 async fn the_crashing_prompt_ends_the_process_and_cuts_all_streams() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/standins/tests/engine_model.rs
+++ b/crates/standins/tests/engine_model.rs
@@ -1,6 +1,6 @@
-//! The engine's step model on virtual time.
+//! Tests of the engine's timing model on virtual time.
 
-// The exemption of the lints covers test functions and not their helpers.
+// The lints exempt test functions, but not their helpers.
 #![allow(clippy::panic, clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -55,7 +55,7 @@
 fn a_step_costs_prefill_and_grows_with_the_batch() {
     let mut model = EngineModel::new(settings());
     model.submit(at(0), request(1, 50, 3)).unwrap();
-    // Arrives inside the first step, so joins at the second.
+    // Request 2 arrives during the first step, so it joins at the second.
     model.submit(at(100), request(2, 20, 1)).unwrap();
     let events = model.advance(at(100_000));
     // 50 * 10 + 1000 + 100, then 20 * 10 + 1000 + 2 * 100, then 1000 + 100.
@@ -71,7 +71,7 @@
         let taken = model.submit(at(0), request(id, 1, 2));
         assert_eq!(taken, Ok(()), "request {id}");
         if id == 1 {
-            // The first one leaves the queue when its step begins.
+            // The first request leaves the queue when its step begins.
             assert_eq!(model.current_load().running, 1);
         }
         model.advance(at(0));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_resumed_answer_goes_on_where_it_stood() {
+fn a_resumed_answer_continues_at_its_first_token() {
     let mut model = EngineModel::new(settings());
     let resumed = EngineRequest {
         first_token: 5,
@@ -117,7 +117,7 @@
     };
     model.submit(at(0), resumed).unwrap();
     let events = model.advance(at(100_000));
-    // The five earlier tokens are prefilled with the prompt.
+    // The five earlier tokens are prefilled together with the prompt.
     assert_eq!(token_times(&events, 1), [(1250, 5), (2350, 6)]);
     let nothing_left = EngineRequest {
         first_token: 7,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_cancel_frees_the_place_for_the_next() {
+fn a_cancel_frees_the_slot_for_the_next() {
     let mut model = EngineModel::new(settings());
     for id in 1..=3 {
         model.submit(at(0), request(id, 1, 1000)).unwrap();
@@ -176,14 +176,14 @@
     let mut cache = PrefixCache::new(4);
     cache.store(&[1, 2, 3]);
     cache.store(&[11]);
-    // Renews the last use of 1 and 2, so that 3 is the oldest.
+    // Updates the last use of 1 and 2, so that 3 is the least recently used.
     cache.store(&[1, 2]);
     let changes = cache.store(&[21, 22]);
     let stored = CacheChange::Stored(vec![21, 22]);
     assert_eq!(changes, [stored, CacheChange::Removed(vec![3, 11])]);
     assert_eq!(cache.len(), 4);
     assert_eq!(cache.cached_blocks(&[1, 2, 3]), 2);
-    // One longer than the cache keeps its head.
+    // Of a prompt longer than the cache, the first blocks are kept.
     cache.store(&[31, 32, 33, 34, 35]);
     assert_eq!(cache.cached_blocks(&[31, 32, 33, 34, 35]), 4);
 }
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn an_order_with_an_older_fence_is_refused_unless_fencing_is_ignored() {
+fn an_order_with_an_older_fence_is_rejected_unless_fencing_is_ignored() {
     let order = |role: &str| EngineOrder::ChangeRole { role: role.into() };
     let mut orders = OrderTracker::default();
     orders.apply(5, order("prefill")).unwrap();
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn each_token_depends_on_the_prompt_and_its_place_alone() {
+fn each_token_depends_only_on_the_prompt_and_its_index() {
     assert_eq!(answer_token("hello", 0), "2cf24dba5fb0a30e");
     assert_eq!(answer_token("hello", 7), answer_token("hello", 7));
     let answer = |prompt| (1..40).map(|it| answer_token(prompt, it)).collect();
--- a/crates/standins/tests/platform_shapes.rs
+++ b/crates/standins/tests/platform_shapes.rs
@@ -1,9 +1,9 @@
-//! The platform stand-in against literal JSON in the published shapes.
+//! Tests of the platform stand-in against literal JSON in the published format.
 
 #![allow(
     clippy::panic,
     clippy::unwrap_used,
-    reason = "helpers of tests fail the test"
+    reason = "a panic in a test helper fails the test"
 )]
 
 use std::{io::ErrorKind, process::Command, time::Duration};
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use tokio_util::sync::{CancellationToken, DropGuard};
 
-/// A stand-in in this process.
+/// A stand-in inside the test process and a client for it.
 struct StandIn {
     client: HttpClient,
     base_url: String,
@@ -62,7 +62,7 @@
     json!({ "cluster_id": "1", "member_id": "1", "revision": revision, "raft_term": "1" })
 }
 
-// "Zm9v" is foo, "YmFy" is bar, "Zm9w" is fop.
+// In base64, "Zm9v" is foo, "YmFy" is bar and "Zm9w" is fop.
 #[tokio::test]
 async fn keys_are_written_read_and_deleted() {
     let stand_in = StandIn::start().await;
@@ -257,8 +257,8 @@
     );
 }
 
-/// Runs the program as the demo does: it says where it listens, and it ends
-/// when it is told to.
+/// Runs the program as the demo does: it writes its address to the file, and it exits
+/// successfully on SIGTERM.
 #[test]
 fn the_program_names_its_address_and_ends_on_a_signal() {
     let folder = std::env::temp_dir().join(format!("platform-{}", std::process::id()));
--- a/crates/standins/tests/service_http.rs
+++ b/crates/standins/tests/service_http.rs
@@ -1,6 +1,6 @@
-//! The plain service behind HTTP.
+//! Tests of the plain service over HTTP.
 
-// The exemption of the lints covers test functions and not their helpers.
+// The lints exempt test functions, but not their helpers.
 #![allow(clippy::panic, clippy::unwrap_used)]
 
 mod common;
@@ -15,7 +15,7 @@
 use common::{StandIn, next_piece, wait_for_record};
 
 #[tokio::test]
-async fn it_tells_what_it_was_sent_and_counts_runs() {
+async fn the_service_describes_each_request_and_counts_runs() {
     let server = ServiceServer::new(ServiceOptions::default());
     let stand_in = StandIn::start(|listener, stop| server.clone().run(listener, stop)).await;
     let (status, answer) = stand_in
