--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -132,9 +132,7 @@
     let text = match prompt {
         Some(RawPrompt::One(text)) => text,
         Some(RawPrompt::Many(texts)) if texts.len() == 1 => texts.concat(),
-        Some(RawPrompt::Many(_)) => {
-            return Err("prompt: exactly one prompt is supported".to_owned());
-        }
+        Some(RawPrompt::Many(_)) => return Err("prompt: only one is supported".to_owned()),
         None => return Err("prompt: missing".to_owned()),
     };
     Ok((text.clone(), text))
--- a/crates/standins/src/link/fault_link.rs
+++ b/crates/standins/src/link/fault_link.rs
@@ -116,9 +116,7 @@
         tokio::select! {
             biased;
             // The end of a connection is not forwarded while the link blocks either.
-            opened = wait_until_open(&mut modes, direction),
-                if has_ended || !buffered.is_empty() =>
-            {
+            opened = opened(&mut modes, direction), if has_ended || !buffered.is_empty() => {
                 let Some(delay) = opened else {
                     return;
                 };
@@ -137,8 +135,7 @@
                 }
                 buffered.clear();
             }
-            read = from.read(&mut chunk),
-                if !has_ended && buffered.len() < MAX_BUFFERED_BYTES => match read {
+            read = from.read(&mut chunk), if !has_ended && buffered.len() < MAX_BUFFERED_BYTES => match read {
                 Ok(0) => has_ended = true,
                 Ok(length) => buffered.extend_from_slice(&chunk[..length]),
                 // The sender reset its connection: its buffered data is dropped.
@@ -152,10 +149,7 @@
 
 /// Waits until a link forwards data in a direction and returns its delay, or `None` if
 /// the link is gone.
-async fn wait_until_open(
-    modes: &mut watch::Receiver<LinkMode>,
-    direction: Direction,
-) -> Option<Duration> {
+async fn opened(modes: &mut watch::Receiver<LinkMode>, direction: Direction) -> Option<Duration> {
     let mode = modes.wait_for(|it| !it.blocks(direction)).await.ok()?;
     Some(mode.delay())
 }
--- a/crates/standins/tests/platform_shapes.rs
+++ b/crates/standins/tests/platform_shapes.rs
@@ -3,7 +3,7 @@
 #![allow(
     clippy::panic,
     clippy::unwrap_used,
-    reason = "a panic in a test helper fails the test"
+    reason = "helpers of tests fail the test"
 )]
 
 use std::{io::ErrorKind, process::Command, time::Duration};
