--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -197,7 +197,7 @@
                 json!({ "index": 0, "text": text, "finish_reason": "length" }),
             ),
         };
-        let mut answer = self.piece(object, &json!([choice]));
+        let mut answer = self.envelope(object, &json!([choice]));
         answer["usage"] = usage.to_json();
         answer
     }
@@ -231,14 +231,14 @@
 
     /// Returns the event with the token usage.
     pub(crate) fn usage(&self, usage: TokenUsage) -> String {
-        let mut piece = self.piece(self.chunk_object(), &json!([]));
-        piece["usage"] = usage.to_json();
-        format!("data: {piece}\n\n")
+        let mut chunk = self.envelope(self.chunk_object(), &json!([]));
+        chunk["usage"] = usage.to_json();
+        format!("data: {chunk}\n\n")
     }
 
     fn event(&self, choices: &Value) -> String {
-        let piece = self.piece(self.chunk_object(), choices);
-        format!("data: {piece}\n\n")
+        let chunk = self.envelope(self.chunk_object(), choices);
+        format!("data: {chunk}\n\n")
     }
 
     fn chunk_object(&self) -> &'static str {
@@ -248,7 +248,7 @@
         }
     }
 
-    fn piece(&self, object: &str, choices: &Value) -> Value {
+    fn envelope(&self, object: &str, choices: &Value) -> Value {
         json!({
             "id": self.id,
             "object": object,
--- a/crates/standins/src/engine/generate.rs
+++ b/crates/standins/src/engine/generate.rs
@@ -41,8 +41,8 @@
     let break_after = match take_fault_decision(server) {
         FaultDecision::Serve { break_after } => break_after,
         FaultDecision::Refuse => {
-            log.refuse(record);
-            return unavailable("the engine refuses requests");
+            log.reject(record);
+            return unavailable("the engine rejects requests");
         }
         FaultDecision::Fail => {
             log.update(record, |it| it.end = RequestEnd::Broken);
@@ -56,12 +56,12 @@
         }
     };
     if !server.lock().orders.serves(&request.model) {
-        log.refuse(record);
+        log.reject(record);
         let message = format!("the model {} is not loaded", request.model);
         return error_response(StatusCode::NOT_FOUND, "model_not_found", &message);
     }
     let Ok(sequence) = OpenSequence::submit(server, &request, record, request_id) else {
-        log.refuse(record);
+        log.reject(record);
         return unavailable("the queue is full");
     };
     let run = GenerationRun {
--- a/crates/standins/src/engine/server.rs
+++ b/crates/standins/src/engine/server.rs
@@ -225,7 +225,7 @@
         let request = match parsed {
             Ok(request) => request,
             Err(error) => {
-                self.log.refuse(record);
+                self.log.reject(record);
                 return bad_request(&error);
             }
         };
@@ -282,10 +282,10 @@
         };
         match self.lock().orders.apply(fence, order) {
             Ok(()) => json_response(StatusCode::OK, &json!({ "fence": fence })),
-            Err(refusal) => error_response(
+            Err(stale) => error_response(
                 StatusCode::CONFLICT,
                 "stale_fence",
-                &format!("fence {fence} is older than {}", refusal.highest),
+                &format!("fence {fence} is older than {}", stale.highest),
             ),
         }
     }
--- a/crates/standins/src/kv/mod.rs
+++ b/crates/standins/src/kv/mod.rs
@@ -3,10 +3,10 @@
 //! [`KvState`] is the store and [`KvDoor`] an HTTP endpoint of it. Each daemon of a test
 //! gets its own endpoint, so that a fault can be injected for one daemon alone.
 
-mod door;
+mod endpoint;
 mod faults;
 mod state;
 
-pub use door::KvDoor;
+pub use endpoint::KvDoor;
 pub use faults::KvFaults;
 pub use state::{KvEntry, KvState};
--- a/crates/standins/src/link/fault_link.rs
+++ b/crates/standins/src/link/fault_link.rs
@@ -20,7 +20,7 @@
 const READ_CHUNK_BYTES: usize = 16 << 10;
 /// The number of bytes that a link buffers for each connection and direction while it
 /// blocks them.
-const MAX_BUFFERED_BYTES: usize = 256 << 10;
+const MAX_BUFFER: usize = 256 << 10;
 /// How long after buffered data the end of its connection is forwarded, so that the
 /// receiver has acknowledged the data and started to read it by then.
 const CLOSE_DELAY: Duration = Duration::from_millis(20);
@@ -110,22 +110,22 @@
     direction: Direction,
 ) {
     let mut chunk = vec![0; READ_CHUNK_BYTES];
-    let mut buffered = Vec::new();
+    let mut buffer = Vec::new();
     let mut has_ended = false;
     loop {
         tokio::select! {
             biased;
             // The end of a connection is not forwarded while the link blocks either.
-            opened = opened(&mut modes, direction), if has_ended || !buffered.is_empty() => {
+            opened = opened(&mut modes, direction), if has_ended || !buffer.is_empty() => {
                 let Some(delay) = opened else {
                     return;
                 };
                 tokio::time::sleep(delay).await;
-                if to.write_all(&buffered).await.is_err() {
+                if to.write_all(&buffer).await.is_err() {
                     break;
                 }
                 if has_ended {
-                    let close_delay = if buffered.is_empty() {
+                    let close_delay = if buffer.is_empty() {
                         Duration::ZERO
                     } else {
                         CLOSE_DELAY
@@ -133,11 +133,11 @@
                     tokio::time::sleep(close_delay).await;
                     break;
                 }
-                buffered.clear();
+                buffer.clear();
             }
-            read = from.read(&mut chunk), if !has_ended && buffered.len() < MAX_BUFFERED_BYTES => match read {
+            read = from.read(&mut chunk), if !has_ended && buffer.len() < MAX_BUFFER => match read {
                 Ok(0) => has_ended = true,
-                Ok(length) => buffered.extend_from_slice(&chunk[..length]),
+                Ok(length) => buffer.extend_from_slice(&chunk[..length]),
                 // The sender reset its connection: its buffered data is dropped.
                 Err(_) => break,
             },
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -58,7 +58,7 @@
     let (head, body) = request.into_parts();
     let body = match collect_limited(body, MAX_BODY_BYTES).await {
         Ok(body) => body,
-        Err(error) => return refuse(&ModelError::BadBody(error.to_string())),
+        Err(error) => return error_response(&ModelError::BadBody(error.to_string())),
     };
     let path = head.uri.path();
     let call = path.strip_prefix("/v3/");
@@ -69,7 +69,7 @@
         }
         _ => answer_control(&platform, &head.method, path, &body).await,
     };
-    let response = response.unwrap_or_else(|error| refuse(&error));
+    let response = response.unwrap_or_else(|error| error_response(&error));
     let bytes_out = hyper::body::Body::size_hint(response.body()).exact();
     if call.is_some() || path == "/vms" {
         platform.count_bytes(body.len(), bytes_out.unwrap_or(0) as usize);
@@ -338,7 +338,7 @@
     Response::new(body)
 }
 
-fn refuse(error: &ModelError) -> Response<MessageBody> {
+fn error_response(error: &ModelError) -> Response<MessageBody> {
     let mut response = json(&error.to_message());
     *response.status_mut() = error.codes().1;
     response
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -40,8 +40,8 @@
     Ok(stop)
 }
 
-/// Server limits with a drain timeout of 200 ms, so that a stand-in stops soon after it
-/// is asked to.
+/// Returns server limits with a short drain timeout, so that a stand-in stops soon after
+/// it is asked to.
 pub fn stand_in_limits() -> ServeLimits {
     ServeLimits {
         drain_timeout: Duration::from_millis(200),
--- a/crates/standins/src/request_log.rs
+++ b/crates/standins/src/request_log.rs
@@ -153,7 +153,7 @@
     }
 
     /// Marks a request as rejected, so that it doesn't count as a run.
-    pub fn refuse(&self, index: u64) {
+    pub fn reject(&self, index: u64) {
         let mut key = None;
         self.update(index, |record| {
             record.end = RequestEnd::Refused;
--- a/crates/standins/tests/common/mod.rs
+++ b/crates/standins/tests/common/mod.rs
@@ -92,7 +92,7 @@
 }
 
 /// Returns the next frame of a body; panics if there is none.
-pub(crate) async fn next_piece(body: &mut Incoming) -> Bytes {
+pub(crate) async fn next_frame(body: &mut Incoming) -> Bytes {
     body.frame().await.unwrap().unwrap().into_data().unwrap()
 }
 
--- a/crates/standins/tests/engine_http.rs
+++ b/crates/standins/tests/engine_http.rs
@@ -19,7 +19,7 @@
 };
 use serde_json::{Value, json};
 
-use common::{StandIn, next_piece, read_to_end, wait_for_record};
+use common::{StandIn, next_frame, read_to_end, wait_for_record};
 
 async fn start() -> (Arc<EngineServer>, StandIn) {
     let options = EngineOptions {
@@ -157,7 +157,7 @@
     let mut response = stand_in
         .send(Method::POST, path, &named, endless.clone())
         .await;
-    next_piece(response.body_mut()).await;
+    next_frame(response.body_mut()).await;
     let body = json!({ "request_id": "long" });
     let (_, answer) = stand_in.call(Method::POST, "/cancel", body).await;
     assert_eq!(answer["cancelled"], 1);
@@ -168,7 +168,7 @@
     let mut response = stand_in
         .send(Method::POST, path, &[], endless.clone())
         .await;
-    next_piece(response.body_mut()).await;
+    next_frame(response.body_mut()).await;
     drop(response);
     wait_for_record(server.log(), |it| {
         it.index == 1 && it.end == RequestEnd::Cancelled
@@ -267,7 +267,7 @@
     let path = "/v1/chat/completions";
     let body = chat("a", &json!({ "stream": true, "max_tokens": 1_000_000 })).to_string();
     let mut other_stream = stand_in.send(Method::POST, path, &[], body).await;
-    assert_ne!(next_piece(other_stream.body_mut()).await, Bytes::new());
+    assert_ne!(next_frame(other_stream.body_mut()).await, Bytes::new());
     let body = chat("CRASH-THE-ENGINE now", &json!({})).to_string();
     assert!(stand_in.try_send(Method::POST, path, body).await.is_err());
     assert!(!read_to_end(other_stream.into_body()).await.1);
--- a/crates/standins/tests/engine_model.rs
+++ b/crates/standins/tests/engine_model.rs
@@ -240,8 +240,8 @@
     let mut orders = OrderTracker::default();
     orders.apply(5, order("prefill")).unwrap();
     orders.apply(5, order("decode")).unwrap();
-    let refusal = orders.apply(4, order("both")).unwrap_err();
-    assert_eq!((refusal.highest, orders.role.as_str()), (5, "decode"));
+    let stale = orders.apply(4, order("both")).unwrap_err();
+    assert_eq!((stale.highest, orders.role.as_str()), (5, "decode"));
     orders.ignores_fencing = true;
     orders.apply(4, order("both")).unwrap();
     assert_eq!((orders.highest, orders.role.as_str()), (5, "both"));
--- a/crates/standins/tests/platform_shapes.rs
+++ b/crates/standins/tests/platform_shapes.rs
@@ -154,8 +154,8 @@
     let answer = stand_in
         .post("/v3/lease/keepalive", json!({ "ID": 9 }))
         .await;
-    let lapsed = json!({ "header": header("1"), "ID": "9" });
-    assert_eq!(answer, json!({ "result": lapsed }));
+    let expired = json!({ "header": header("1"), "ID": "9" });
+    assert_eq!(answer, json!({ "result": expired }));
     let answer = stand_in
         .post("/v3/lease/revoke", json!({ "ID": "1" }))
         .await;
--- a/crates/standins/tests/service_http.rs
+++ b/crates/standins/tests/service_http.rs
@@ -12,7 +12,7 @@
 };
 use serde_json::json;
 
-use common::{StandIn, next_piece, wait_for_record};
+use common::{StandIn, next_frame, wait_for_record};
 
 #[tokio::test]
 async fn the_service_describes_each_request_and_counts_runs() {
@@ -46,11 +46,11 @@
     let (sender, body) = MessageBody::stream();
     sender.send("one").await;
     let mut response = stand_in.send(Method::POST, "/echo", &[], body).await;
-    assert_eq!(next_piece(response.body_mut()).await, "one");
-    // The first piece came back while the request was still open.
+    assert_eq!(next_frame(response.body_mut()).await, "one");
+    // The first frame came back while the request was still open.
     assert_eq!(server.log().list()[0].end, RequestEnd::Running);
     sender.send("two").await;
-    assert_eq!(next_piece(response.body_mut()).await, "two");
+    assert_eq!(next_frame(response.body_mut()).await, "two");
     drop(sender);
     let record = wait_for_record(server.log(), |it| it.end == RequestEnd::Done).await;
     assert_eq!((record.tokens, record.runs), (6, 1));
@@ -58,7 +58,7 @@
     let (sender, body) = MessageBody::stream();
     sender.send("half").await;
     let mut response = stand_in.send(Method::POST, "/echo", &[], body).await;
-    next_piece(response.body_mut()).await;
+    next_frame(response.body_mut()).await;
     sender.cut_short("the caller gave up").await;
     wait_for_record(server.log(), |it| {
         it.index == 1 && it.end != RequestEnd::Running
