--- a/crates/standins/src/engine/generate.rs
+++ b/crates/standins/src/engine/generate.rs
@@ -1,4 +1,4 @@
-//! One generation request's way through the engine.
+//! The handling of one generation request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,20 +17,20 @@
     server::{EngineServer, error_response},
 };
 
-/// How long a broken answer stays open after its last piece. A cut drops what
-/// wasn't flushed yet, so that without this a caller would now and then get
-/// fewer tokens than the switch says.
+/// How long an answer that is to be cut stays open after its last chunk. A cut drops data
+/// that isn't flushed yet, so that without this delay a caller would sometimes receive
+/// fewer tokens than the fault switch says.
 const CUT_DELAY: Duration = Duration::from_millis(20);
 
-/// What the fault switches say about a request.
-enum FaultVerdict {
+/// What the fault switches decide for a request.
+enum FaultDecision {
     Serve { break_after: Option<u32> },
     Refuse,
     Fail,
     Hang,
 }
 
-/// Answers a request that was read and written down as `record`.
+/// Answers a request that was read and logged under the index `record`.
 pub(crate) async fn answer(
     server: &Arc<EngineServer>,
     request: GenerateRequest,
@@ -38,30 +38,30 @@
     request_id: String,
 ) -> Response<MessageBody> {
     let log = server.log();
-    let break_after = match fault_verdict(server) {
-        FaultVerdict::Serve { break_after } => break_after,
-        FaultVerdict::Refuse => {
-            log.refuse(record);
-            return unavailable("the engine refuses requests");
+    let break_after = match take_fault_decision(server) {
+        FaultDecision::Serve { break_after } => break_after,
+        FaultDecision::Refuse => {
+            log.reject(record);
+            return unavailable("the engine rejects requests");
         }
-        FaultVerdict::Fail => {
+        FaultDecision::Fail => {
             log.update(record, |it| it.end = RequestEnd::Broken);
             let status = StatusCode::INTERNAL_SERVER_ERROR;
             return error_response(status, "engine_failure", "the engine failed");
         }
-        FaultVerdict::Hang => {
+        FaultDecision::Hang => {
             let _guard = OpenSequence::unsubmitted(server, record);
             log.update(record, |it| it.end = RequestEnd::Running);
             return std::future::pending().await;
         }
     };
     if !server.lock().orders.serves(&request.model) {
-        log.refuse(record);
+        log.reject(record);
         let message = format!("the model {} is not loaded", request.model);
         return error_response(StatusCode::NOT_FOUND, "model_not_found", &message);
     }
     let Ok(sequence) = OpenSequence::submit(server, &request, record, request_id) else {
-        log.refuse(record);
+        log.reject(record);
         return unavailable("the queue is full");
     };
     let run = GenerationRun {
@@ -81,20 +81,20 @@
     }
 }
 
-fn fault_verdict(server: &EngineServer) -> FaultVerdict {
+fn take_fault_decision(server: &EngineServer) -> FaultDecision {
     let mut state = server.lock();
     let faults = &mut state.faults;
     if faults.refuse {
-        return FaultVerdict::Refuse;
+        return FaultDecision::Refuse;
     }
     if faults.fail_next > 0 {
         faults.fail_next -= 1;
-        return FaultVerdict::Fail;
+        return FaultDecision::Fail;
     }
     if faults.hang {
-        return FaultVerdict::Hang;
+        return FaultDecision::Hang;
     }
-    FaultVerdict::Serve {
+    FaultDecision::Serve {
         break_after: faults.break_stream_after,
     }
 }
@@ -103,8 +103,8 @@
     error_response(StatusCode::SERVICE_UNAVAILABLE, "unavailable", message)
 }
 
-/// A request inside the model, which leaves it when this is dropped, so that a
-/// client that disconnects frees its place in the batch.
+/// A request that was submitted to the model. Dropping it cancels the request, so that a
+/// client that disconnects frees its slot in the batch.
 struct OpenSequence {
     server: Arc<EngineServer>,
     record: u64,
@@ -137,7 +137,7 @@
         })
     }
 
-    /// A request that never reaches the model.
+    /// Creates a request that is not submitted to the model.
     fn unsubmitted(server: &Arc<EngineServer>, record: u64) -> Self {
         let (_, events) = mpsc::unbounded_channel();
         OpenSequence {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The next event; none once it was cancelled.
+    /// Returns the next event and logs it; `None` if the request was cancelled.
     async fn next(&mut self) -> Option<EngineEventKind> {
         let kind = self.events.recv().await?;
         let log = self.server.log();
@@ -182,7 +182,7 @@
     }
 }
 
-/// How an answer came to its end.
+/// How the stream of an answer ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RunEnd {
     Finished,
@@ -191,7 +191,7 @@
     ClientGone,
 }
 
-/// A request that generates.
+/// A request in progress and the state of its answer.
 struct GenerationRun {
     request: GenerateRequest,
     writer: AnswerWriter,
@@ -295,7 +295,7 @@
         json_response(StatusCode::CONFLICT, &body)
     }
 
-    /// An answer whose body begins and never ends.
+    /// Sends the text generated so far and cuts the response before its end.
     fn broken_whole(self, text: String) -> Response<MessageBody> {
         self.sequence.end(RequestEnd::Broken);
         let (sender, body) = MessageBody::stream();
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,8 +1,8 @@
 //! A model engine with continuous batching.
 //!
-//! [`EngineModel`] decides alone when a token is ready, with the present time
-//! as an argument, so that a replay on virtual time drives the same code as
-//! the process. [`EngineServer`] puts it behind HTTP.
+//! [`EngineModel`] decides when each token is ready. It does no I/O and takes the present
+//! time as an argument, so that a replay on virtual time drives the same code as the
+//! process. [`EngineServer`] serves it over HTTP.
 
 mod answer;
 mod api;
@@ -21,7 +21,7 @@
 pub use cache_journal::{CacheJournal, JournalOptions};
 pub use faults::FaultSwitches;
 pub use model::{EngineModel, EngineSettings, LoadReport, QueueFull};
-pub use orders::{EngineOrder, OrderBook, OrderRefusal};
+pub use orders::{EngineOrder, OrderTracker, StaleFence};
 pub use prefix_cache::{CacheChange, PrefixCache};
 pub use prompt::{BLOCK_TOKENS, PromptBlocks, TOKEN_BYTES};
 pub use sequence::{EngineEvent, EngineEventKind, EngineRequest, SequenceId};
--- a/crates/standins/src/link/fault_link.rs
+++ b/crates/standins/src/link/fault_link.rs
@@ -1,4 +1,4 @@
-//! A relay of TCP connections on loopback.
+//! A relay of TCP connections on loopback that can inject faults.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -16,25 +16,26 @@
 
 use super::{LinkFaults, LinkMode, link_faults::Direction};
 
-/// The most that is read at once.
-const CHUNK: usize = 16 << 10;
-/// The most that a link holds of what was sent into a cut.
-const MOST_HELD: usize = 256 << 10;
-/// The end of a connection is sent anew only once what came before it was
-/// acknowledged: whoever reads there has begun with it by then.
-const END_LAG: Duration = Duration::from_millis(20);
+/// The number of bytes that are read at once.
+const READ_CHUNK_BYTES: usize = 16 << 10;
+/// The number of bytes that a link buffers for each connection and direction while it
+/// blocks them.
+const MAX_BUFFER: usize = 256 << 10;
+/// How long after buffered data the end of its connection is forwarded, so that the
+/// receiver has acknowledged the data and started to read it by then.
+const CLOSE_DELAY: Duration = Duration::from_millis(20);
 
-/// A relay of TCP connections on loopback, which stands between two processes.
+/// A relay of TCP connections on loopback between two processes.
 #[derive(Clone, Debug)]
 pub struct FaultLink {
-    /// What goes wrong on it.
+    /// The fault switches of the link.
     pub faults: Arc<LinkFaults>,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub address: SocketAddr,
 }
 
 impl FaultLink {
-    /// Opens a link to a server, until `stop` is cancelled.
+    /// Opens a link to a server that works until `stop` is cancelled.
     ///
     /// # Errors
     ///
@@ -67,17 +68,17 @@
     stop: CancellationToken,
 ) {
     let mut resets = faults.resets();
-    // A server that is gone resets its clients' connections.
+    // If the server can't be reached, the client's connection is reset.
     let Ok(server) = TcpStream::connect(server).await else {
         return reset(&client);
     };
-    let sockets = [dup(&client), dup(&server)];
+    let sockets = [duplicate_handle(&client), duplicate_handle(&server)];
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    let forth = pump(from_client, to_server, faults.modes(), Direction::ToServer);
-    let back = pump(from_server, to_client, faults.modes(), Direction::ToClient);
+    let to_server_copy = copy_one_way(from_client, to_server, faults.modes(), Direction::ToServer);
+    let to_client_copy = copy_one_way(from_server, to_client, faults.modes(), Direction::ToClient);
     let both = async {
-        tokio::join!(forth, back);
+        tokio::join!(to_server_copy, to_client_copy);
     };
     tokio::select! {
         () = both => {}
@@ -91,8 +92,9 @@
     }
 }
 
-/// A second handle on a socket, to set it up for a reset while it is in use.
-fn dup(stream: &TcpStream) -> Option<socket2::Socket> {
+/// Returns a second handle to a socket, through which it can be set to reset while it is
+/// in use.
+fn duplicate_handle(stream: &TcpStream) -> Option<socket2::Socket> {
     SockRef::from(stream).try_clone().ok()
 }
 
@@ -101,48 +103,52 @@
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-async fn pump(
+async fn copy_one_way(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut modes: watch::Receiver<LinkMode>,
     direction: Direction,
 ) {
-    let mut chunk = vec![0; CHUNK];
-    let mut held = Vec::new();
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
+    let mut buffer = Vec::new();
     let mut has_ended = false;
     loop {
         tokio::select! {
             biased;
-            // The end of a connection doesn't pass a cut either.
-            opened = opened(&mut modes, direction), if has_ended || !held.is_empty() => {
+            // The end of a connection is not forwarded while the link blocks either.
+            opened = opened(&mut modes, direction), if has_ended || !buffer.is_empty() => {
                 let Some(delay) = opened else {
                     return;
                 };
                 tokio::time::sleep(delay).await;
-                if to.write_all(&held).await.is_err() {
+                if to.write_all(&buffer).await.is_err() {
                     break;
                 }
                 if has_ended {
-                    let lag = if held.is_empty() { Duration::ZERO } else { END_LAG };
-                    tokio::time::sleep(lag).await;
+                    let close_delay = if buffer.is_empty() {
+                        Duration::ZERO
+                    } else {
+                        CLOSE_DELAY
+                    };
+                    tokio::time::sleep(close_delay).await;
                     break;
                 }
-                held.clear();
+                buffer.clear();
             }
-            read = from.read(&mut chunk), if !has_ended && held.len() < MOST_HELD => match read {
+            read = from.read(&mut chunk), if !has_ended && buffer.len() < MAX_BUFFER => match read {
                 Ok(0) => has_ended = true,
-                Ok(length) => held.extend_from_slice(&chunk[..length]),
-                // A sender that resets its connection sends nothing of it again.
+                Ok(length) => buffer.extend_from_slice(&chunk[..length]),
+                // The sender reset its connection: its buffered data is dropped.
                 Err(_) => break,
             },
         }
     }
-    // Whoever reads there learns of the end; it may have gone already.
+    // Tells the receiver that the connection ended; it may have closed it already.
     let _ = to.shutdown().await;
 }
 
-/// Waits until a link lets pass what goes in a direction, and returns by how much it
-/// is delayed; nothing where the link is gone.
+/// Waits until a link forwards data in a direction and returns its delay, or `None` if
+/// the link is gone.
 async fn opened(modes: &mut watch::Receiver<LinkMode>, direction: Direction) -> Option<Duration> {
     let mode = modes.wait_for(|it| !it.blocks(direction)).await.ok()?;
     Some(mode.delay())
--- a/crates/standins/src/platform/memory_store.rs
+++ b/crates/standins/src/platform/memory_store.rs
@@ -1,4 +1,4 @@
-//! The platform inside the test's own process.
+//! An in-process implementation of the platform's store and VM list.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
     wire::{LeaseMessage, RangeRequest, TransactionRequest, WatchCreateRequest, WatchResponse},
 };
 
-use super::{CallFault, CallKind, CallOutcome, OpenWatch, SharedPlatform, WatchNews};
+use super::{CallFault, CallKind, CallOutcome, OpenWatch, SharedPlatform, WatchUpdate};
 
-/// A store and VM list without a server. Clones share their state.
+/// A store and VM list without an HTTP server. Clones share their state.
 ///
 /// ```
 /// # #[tokio::main(flavor = "current_thread")]
@@ -26,12 +26,12 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStore {
-    /// The state, with its faults, clock and counts.
+    /// The shared state, with its fault switches, clock and call counters.
     pub platform: SharedPlatform,
 }
 
 impl MemoryStore {
-    /// A store on a state that others share, a stand-in server for instance.
+    /// Creates a store on a shared state, such as that of a stand-in server.
     pub fn new(platform: SharedPlatform) -> Self {
         MemoryStore { platform }
     }
@@ -47,8 +47,10 @@
 impl From<CallFault> for StoreError {
     fn from(fault: CallFault) -> Self {
         match fault {
-            CallFault::Outage => StoreError::Unreachable("the stand-in's outage".into()),
-            CallFault::AnswerLost => StoreError::AnswerLost("the stand-in lost it".into()),
+            CallFault::Outage => StoreError::Unreachable("the stand-in simulates an outage".into()),
+            CallFault::AnswerLost => {
+                StoreError::AnswerLost("the stand-in dropped the answer".into())
+            }
         }
     }
 }
@@ -114,6 +116,8 @@
 }
 
 /// A watch on a [`MemoryStore`].
+///
+/// Dropping it closes the watch.
 #[derive(Debug)]
 pub struct MemoryWatch {
     watch: OpenWatch,
@@ -122,13 +126,13 @@
 impl WatchStream for MemoryWatch {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
         match self.watch.next().await {
-            WatchNews::Events(events, _) => WatchResponse {
+            WatchUpdate::Events(events, _) => WatchResponse {
                 events,
                 ..WatchResponse::default()
             }
             .try_into(),
-            WatchNews::Compacted(oldest) => Err(StoreError::Compacted(oldest)),
-            WatchNews::Broken => Err(StoreError::AnswerLost("the watch broke".into())),
+            WatchUpdate::Compacted(oldest) => Err(StoreError::Compacted(oldest)),
+            WatchUpdate::Broken => Err(StoreError::AnswerLost("the watch broke".into())),
         }
     }
 }
