--- a/crates/daemon/src/attempts.rs
+++ b/crates/daemon/src/attempts.rs
@@ -171,12 +171,12 @@
             idempotent: log.idempotent,
             bytes_sent: log.bytes_sent,
             tokens_delivered: log.delivered,
-            answer_begun: log.answer_begun,
+            answer_started: log.answer_begun,
             attempts: u32::try_from(log.tried.len()).unwrap_or(u32::MAX),
             not_sent: log.not_sent,
             lost: log.lost,
             deadline: log.deadline,
-            attempt_takes: Duration::ZERO,
+            min_attempt_duration: Duration::ZERO,
             suspect: self.suspects.verdict(log.fingerprint),
         };
         let decision = {
@@ -187,7 +187,7 @@
             decide_retry(&report, &mut budget, self.clock.now(), &mut rand::rng())
         };
         match decision {
-            RetryDecision::Elsewhere { .. } | RetryDecision::Resume { .. } => {
+            RetryDecision::Retry { .. } | RetryDecision::Resume { .. } => {
                 self.metrics.retry(failure.as_str());
                 Ok(())
             }
--- a/crates/daemon/src/callers/caller.rs
+++ b/crates/daemon/src/callers/caller.rs
@@ -4,7 +4,7 @@
 
 use comfreyramp_http::{ErrorAnswer, HeaderMap, StatusCode, header};
 use comfreyramp_policy::{CustomerId, Timestamp};
-use comfreyramp_settings::CutPolicy;
+use comfreyramp_settings::CutOffPolicy;
 
 use crate::{
     shared::SharedState,
@@ -153,10 +153,10 @@
         .retry_after(Duration::from_secs(10))
 }
 
-fn is_view_too_old(state: &SharedState, policy: CutPolicy, now: Timestamp) -> bool {
+fn is_view_too_old(state: &SharedState, policy: CutOffPolicy, now: Timestamp) -> bool {
     match policy {
-        CutPolicy::Serve => false,
-        CutPolicy::RefuseAfter { seconds } => {
+        CutOffPolicy::Serve => false,
+        CutOffPolicy::RefuseAfter { seconds } => {
             state.settings_age(now) > Duration::from_secs(u64::from(seconds))
         }
     }
--- a/crates/daemon/src/claims/claim_grant.rs
+++ b/crates/daemon/src/claims/claim_grant.rs
@@ -61,7 +61,7 @@
     fn drop(&mut self) {
         if self.is_started.load(Ordering::Relaxed) {
             // Without effect if the call has finished.
-            self.keeper.book().lose(self.key, self.ticket);
+            self.keeper.book().record_lost_answer(self.key, self.ticket);
         } else {
             self.keeper.book().forget(self.key, self.ticket);
         }
--- a/crates/daemon/src/claims/claim_keeper.rs
+++ b/crates/daemon/src/claims/claim_keeper.rs
@@ -6,7 +6,7 @@
 };
 
 use comfreyramp_policy::{
-    AnswerRef, ClaimBook, ClaimCause, ClaimKey, ClaimRefusal, ClaimTicket, ClaimVerdict,
+    AnswerRef, ClaimCause, ClaimKey, ClaimRefusal, ClaimTicket, ClaimTracker, ClaimVerdict,
     Fingerprint, Incarnation, RunState, Timestamp,
 };
 use tokio::sync::{Notify, watch};
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct ClaimKeeper {
     clock: ProcessClock,
-    book: Mutex<ClaimBook>,
+    book: Mutex<ClaimTracker>,
     /// Answers on their way to the platform, sorted by key.
     answers: Mutex<Vec<(ClaimKey, StoredAnswer)>>,
     /// Counts up when the verdict on a claim may have changed.
@@ -62,7 +62,7 @@
     pub fn new(incarnation: Incarnation, clock: ProcessClock) -> Self {
         ClaimKeeper {
             clock,
-            book: Mutex::new(ClaimBook::new(incarnation)),
+            book: Mutex::new(ClaimTracker::new(incarnation)),
             answers: Mutex::default(),
             progress: watch::Sender::new(0),
             claim_added: Notify::new(),
@@ -144,7 +144,7 @@
         self.clock
     }
 
-    pub(super) fn book(&self) -> MutexGuard<'_, ClaimBook> {
+    pub(super) fn book(&self) -> MutexGuard<'_, ClaimTracker> {
         // The book's methods leave it whole at each step; what a panic left
         // unsaid of one claim must not refuse all others.
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/daemon/src/claims/claim_writer.rs
+++ b/crates/daemon/src/claims/claim_writer.rs
@@ -73,7 +73,7 @@
         let losses = {
             let mut book = self.keeper.book();
             book.group_answer(group.number, &answer, now);
-            book.losses()
+            book.consecutive_losses()
         };
         self.keeper.note_progress();
         self.keeper.note_change();
--- a/crates/daemon/src/claims/mod.rs
+++ b/crates/daemon/src/claims/mod.rs
@@ -1,6 +1,6 @@
 //! At most once: claims kept in the platform for calls that must not run twice.
 //!
-//! The decisions are those of [`comfreyramp_policy::ClaimBook`]. Here is what
+//! The decisions are those of [`comfreyramp_policy::ClaimTracker`]. Here is what
 //! carries them out: [`ClaimKeeper`] hands out claims, [`run_claims`] writes
 //! them and their ends. See docs/LIVE.md.
 
--- a/crates/daemon/src/live_queue/call_rank.rs
+++ b/crates/daemon/src/live_queue/call_rank.rs
@@ -5,7 +5,9 @@
     time::Duration,
 };
 
-use comfreyramp_policy::{CallTraits, CallerDoor, CallerKey, CustomerId, Urgency, UrgencyTable};
+use comfreyramp_policy::{
+    CallTraits, CallerInterface, CallerKey, CustomerId, Urgency, UrgencyTable,
+};
 
 use crate::{callers::Caller, clock::ProcessClock};
 
@@ -69,7 +71,7 @@
         head.copy_from_slice(&caller.entry.hash[..8]);
         let key = CallerKey(u64::from_be_bytes(head));
         let traits = CallTraits {
-            door: CallerDoor::Live,
+            interface: CallerInterface::Live,
             streaming,
         };
         CallRank {
--- a/crates/daemon/src/live_queue/start_queues.rs
+++ b/crates/daemon/src/live_queue/start_queues.rs
@@ -118,10 +118,10 @@
     /// time has passed or that can't start in time any more.
     fn give_turns(&self, group: &mut GroupQueue) {
         let now = self.clock.now();
-        for late in group.queue.take_late(now) {
+        for late in group.queue.take_expired(now) {
             group.refuse(late.number);
         }
-        for hopeless in group.queue.take_hopeless(now) {
+        for hopeless in group.queue.take_infeasible(now) {
             group.refuse(hopeless.number);
         }
         let room = PoolQuery {
--- a/crates/daemon/src/lot_work/bulk_gate.rs
+++ b/crates/daemon/src/lot_work/bulk_gate.rs
@@ -7,7 +7,7 @@
 
 use comfreyramp_policy::{
     LoadReport, ServerId, Timestamp,
-    bulk::{BulkGate, FixedLimit, GateTiming},
+    bulk::{BulkLimiter, BulkLimiterTiming, FixedLimit},
 };
 use serde::Serialize;
 use tokio::sync::Notify;
@@ -44,7 +44,7 @@
 struct GatedServer {
     server: GateServer,
     /// None until the server has told the size of its batch.
-    gate: Option<BulkGate<FixedLimit>>,
+    gate: Option<BulkLimiter<FixedLimit>>,
     /// The live requests of this daemon that the gate was told of.
     live: u32,
     open: Vec<OpenSlot>,
@@ -69,7 +69,7 @@
 
 /// Gives out bulk slots on the servers whose home this daemon is, and takes
 /// them back at once when live work needs the room. How many there are is
-/// decided by a [`BulkGate`] for each server.
+/// decided by a [`BulkLimiter`] for each server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerGates {
     tables: Arc<Mutex<GateTables>>,
@@ -268,7 +268,7 @@
         self.server.in_flight += 1;
         self.open.push(OpenSlot { number, stop });
         if let Some(gate) = &mut self.gate {
-            gate.bulk_begins(now);
+            gate.record_bulk_start(now);
         }
     }
 
@@ -280,7 +280,7 @@
         }
         self.server.in_flight = self.server.in_flight.saturating_sub(1);
         if let Some(gate) = &mut self.gate {
-            gate.bulk_ends(now);
+            gate.record_bulk_end(now);
         }
     }
 
@@ -301,9 +301,9 @@
             // prompts alone look like harm. See docs/DESIGN.md.
             let slots = f64::from(report.batch);
             let limit = FixedLimit { slots };
-            let mut gate = BulkGate::new(GateTiming::default(), limit);
+            let mut gate = BulkLimiter::new(BulkLimiterTiming::default(), limit);
             // What is on the server is known already and isn't a burst now.
-            (0..self.live).for_each(|_| gate.live_begins(now - WANTED_SPAN));
+            (0..self.live).for_each(|_| gate.record_live_start(now - WANTED_SPAN));
             gate.tick(now);
             self.gate = Some(gate);
         }
@@ -317,8 +317,8 @@
         let bulk = u32::try_from(self.open.len()).unwrap_or(u32::MAX);
         let live = self.server.in_flight.saturating_sub(bulk);
         if let Some(gate) = &mut self.gate {
-            (self.live..live).for_each(|_| gate.live_begins(now));
-            (live..self.live).for_each(|_| gate.live_ends(now));
+            (self.live..live).for_each(|_| gate.record_live_start(now));
+            (live..self.live).for_each(|_| gate.record_live_end(now));
         }
         self.live = live;
     }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreyramp_policy::rates::ShareLevel;
-use comfreyramp_store::{CallCounts, CallEnd, StoreCall};
+use comfreyramp_store::{CallEnd, CallMetrics, StoreCall};
 use prometheus::{
     Encoder, GaugeVec, HistogramOpts, HistogramVec, IntCounterVec, IntGaugeVec, Opts, Registry,
     TextEncoder,
@@ -173,7 +173,7 @@
     }
 }
 
-impl CallCounts for DaemonMetrics {
+impl CallMetrics for DaemonMetrics {
     fn count(&self, call: StoreCall, end: CallEnd, _took: Duration) {
         self.platform_calls
             .with_label_values(&[call.as_str(), end.as_str()])
--- a/crates/daemon/src/operators/settings_routes.rs
+++ b/crates/daemon/src/operators/settings_routes.rs
@@ -224,7 +224,7 @@
     let others = snapshot.teams.iter().filter(|it| it.team != team);
     let checked = TeamSettings::check(value).and_then(|settings| {
         let others = others.map(|it| (it.team.as_str(), &it.settings));
-        settings.check_against(others).or_value(settings)
+        settings.check_against(others).into_result(settings)
     });
     let found = match checked {
         Ok(settings) => return Ok(settings),
--- a/crates/daemon/src/operators/team_writer.rs
+++ b/crates/daemon/src/operators/team_writer.rs
@@ -4,7 +4,7 @@
 use comfreyramp_lots::{SystemClock, WallClock};
 use comfreyramp_settings::{SettingsChange, TeamSettings};
 use comfreyramp_store::{
-    Comparison, OnceOutcome, RetryPace, Revision, StoreError, Write, WriteBatch, write_once,
+    Comparison, RetryPolicy, Revision, StoreError, Write, WriteBatch, WriteOnceOutcome, write_once,
 };
 use serde_json::{Value, json};
 
@@ -66,10 +66,13 @@
             return Err(self.conflict(change.seen, &stored));
         }
         let batch = self.batch(&change, stored);
-        let pace = RetryPace::new(rand::random()).attempts(WRITE_ATTEMPTS);
+        let pace = RetryPolicy::new(rand::random()).attempts(WRITE_ATTEMPTS);
         match write_once(&self.state.store, batch, pace).await {
-            Ok(OnceOutcome::Written(revision)) => Ok(revision),
-            Ok(OnceOutcome::Refused { found, .. } | OnceOutcome::Overtaken { found, .. }) => {
+            Ok(WriteOnceOutcome::Written(revision)) => Ok(revision),
+            Ok(
+                WriteOnceOutcome::Refused { found, .. }
+                | WriteOnceOutcome::Superseded { found, .. },
+            ) => {
                 let stored = StoredTeam::of_pairs(self.team, found);
                 written_revision(&stored, &change.id)
                     .ok_or_else(|| self.conflict(change.seen, &stored))
@@ -100,7 +103,7 @@
         };
         stored
             .history
-            .add(entry.differ(&before, &json!(change.settings)));
+            .add(entry.with_differences(&before, &json!(change.settings)));
         let (team, history) = (team_key(self.team), history_key(self.team));
         let put = |key: &String, value: Bytes| Write::Put {
             key: key.clone(),
@@ -123,7 +126,7 @@
     /// One operator wins; the other is told what changed since he looked.
     fn conflict(&self, seen: Revision, stored: &StoredTeam) -> ErrorAnswer {
         let (team, now) = (self.team, stored.revision());
-        let since = stored.history.first_since(seen);
+        let since = stored.history.first_after(seen);
         let changes = since.map(|it| stored.views(it)).unwrap_or_default();
         let what = if changes.is_empty() {
             "somebody else changed it".to_owned()
--- a/crates/daemon/src/rates/board_state.rs
+++ b/crates/daemon/src/rates/board_state.rs
@@ -5,8 +5,8 @@
 use comfreyramp_policy::{
     DaemonId, Timestamp,
     rates::{
-        CustomerRate, ExpulsionWatch, LedgerTiming, MemberState, RosterChange, RosterMember, SLOTS,
-        ShareLedger,
+        CustomerRate, ExpulsionTracker, LedgerTiming, MemberState, RosterChange, RosterMember,
+        SLOTS, ShareLedger,
     },
 };
 
@@ -48,7 +48,7 @@
     pub(super) rates: Vec<CustomerRate>,
     /// The daemons that the VM list names as live, if it could be read.
     pub(super) listed: Vec<String>,
-    pub(super) watch: ExpulsionWatch,
+    pub(super) watch: ExpulsionTracker,
     pub(super) leaving: bool,
 }
 
@@ -116,7 +116,7 @@
             incarnation: self.incarnation,
             state: MemberState::Active,
         };
-        let expulsion = LedgerTiming::default().expulsion;
+        let expulsion = LedgerTiming::default().expulsion_delay;
         let gone = |name: &str| self.is_gone(name);
         let silent = |name: &str| self.is_silent(name, now);
         roster.next_change(&me, &self.watch, expulsion, gone, silent, now)
@@ -134,7 +134,7 @@
             false => 0,
         };
         let batch = self.view.put_roster(zone, &change.roster)?;
-        let given = self.give_slots(&change.given, now);
+        let given = self.give_slots(&change.handed_over, now);
         Ok(Some(PlannedChange {
             zone,
             change,
@@ -153,7 +153,7 @@
         for (slot, taker) in given {
             let taker = self.id_of(taker);
             let ledger = self.ledger.as_mut();
-            if ledger.is_some_and(|ledger| ledger.give_slot(*slot, taker, revision, now)) {
+            if ledger.is_some_and(|ledger| ledger.hand_over(*slot, taker, revision, now)) {
                 fresh.push(*slot);
             }
         }
@@ -164,7 +164,7 @@
     pub(super) fn take_slots_back(&mut self, slots: &[u8], now: Timestamp) {
         if let Some(ledger) = &mut self.ledger {
             for slot in slots {
-                ledger.take_slot_back(*slot, now);
+                ledger.cancel_handover(*slot, now);
             }
         }
     }
@@ -196,7 +196,7 @@
         };
         let holders = self.holders(own);
         if let Some(ledger) = &mut self.ledger {
-            ledger.end_giving();
+            ledger.end_all_handovers();
             ledger.set_holders(own, &holders, 0, now);
         }
     }
--- a/crates/daemon/src/rates/peer_desk.rs
+++ b/crates/daemon/src/rates/peer_desk.rs
@@ -7,7 +7,7 @@
 };
 use comfreyramp_policy::{
     NoticeAck, SuspectNotice,
-    rates::{RateAnswer, RateAsk},
+    rates::{RateAnswer, RateRequest},
 };
 use comfreyramp_store::PlatformStore;
 
@@ -39,7 +39,7 @@
         self.state.rates.take_beat(beat);
     }
 
-    fn rates(&self, from: &PeerBeat, ask: &RateAsk) -> RateAnswer {
+    fn rates(&self, from: &PeerBeat, ask: &RateRequest) -> RateAnswer {
         self.state.rates.handle(&from.member.name, ask)
     }
 
--- a/crates/daemon/src/rates/rate_board.rs
+++ b/crates/daemon/src/rates/rate_board.rs
@@ -10,8 +10,8 @@
 use comfreyramp_policy::{
     DaemonId, Heartbeat, Incarnation, Timestamp, ZoneId,
     rates::{
-        Attempt, CustomerKey, CustomerRate, Decision, LedgerTiming, Outgoing, RateAnswer, RateAsk,
-        ShareLedger, ShareLevel, TokenAsk,
+        CustomerKey, CustomerRate, Decision, LedgerTiming, Outgoing, RateAnswer, RateRequest,
+        ShareLedger, ShareLevel, TokenAttempt, TokenRequest,
     },
 };
 use comfreyramp_settings::DaemonSettings;
@@ -91,7 +91,7 @@
         settings: impl FnOnce() -> Arc<SettingsSnapshot>,
     ) -> Result<(), Duration> {
         let customer = CustomerKey::of_name(customer);
-        let known = |ledger: &ShareLedger| ledger.knows(customer);
+        let known = |ledger: &ShareLedger| ledger.has_rate(customer);
         if !self.lock().ledger.as_ref().is_some_and(known) {
             self.set_rates(&settings());
         }
@@ -100,7 +100,11 @@
             match decision {
                 Decision::Admitted => return Ok(()),
                 Decision::Refused { retry_after } => return Err(retry_after),
-                Decision::Borrow { to, ask, attempt } => {
+                Decision::RequestToken {
+                    to,
+                    request: ask,
+                    attempt,
+                } => {
                     decision = self.borrow(to, ask, attempt).await;
                 }
             }
@@ -112,19 +116,19 @@
         let state = self.lock();
         let ledger = state.ledger.as_ref();
         ledger.map_or_else(ShareLevel::default, |ledger| {
-            ledger.level(CustomerKey::of_name(customer))
+            ledger.share_level(CustomerKey::of_name(customer))
         })
     }
 
     /// Answers an ask of another daemon.
-    pub fn handle(&self, from: &str, ask: &RateAsk) -> RateAnswer {
+    pub fn handle(&self, from: &str, ask: &RateRequest) -> RateAnswer {
         let now = self.clock.now();
         let mut state = self.lock();
         let from = state.id_of(from);
         let Some(ledger) = &mut state.ledger else {
             return unknown(ask);
         };
-        let answer = ledger.handle(from, ask, now);
+        let answer = ledger.handle_request(from, ask, now);
         drop(state);
         self.wake.notify_one();
         answer
@@ -217,23 +221,23 @@
                 .then(|| now - settings_age);
             ledger.tick(now);
             if let (Some(rosters), Some(settings)) = (verified, settings) {
-                ledger.confirm(rosters.min(settings));
+                ledger.confirm_view(rosters.min(settings));
             }
         }
         drop(state);
         self.wake.notify_one();
     }
 
-    async fn borrow(&self, to: DaemonId, ask: TokenAsk, attempt: Attempt) -> Decision {
+    async fn borrow(&self, to: DaemonId, ask: TokenRequest, attempt: TokenAttempt) -> Decision {
         let Some((link, address)) = self.way_to(to) else {
-            return self.decide(|ledger, now| ledger.unreachable(attempt, now));
+            return self.decide(|ledger, now| ledger.on_unreachable(attempt, now));
         };
-        let within = LedgerTiming::default().answer;
-        let answer = link.rates(address, RateAsk::Tokens(ask), within).await;
+        let within = LedgerTiming::default().request_timeout;
+        let answer = link.rates(address, RateRequest::Tokens(ask), within).await;
         self.decide(|ledger, now| match answer {
-            Ok(RateAnswer::Tokens(answer)) => ledger.take(attempt, answer, now),
-            Err(PeerError::Unreachable(_)) => ledger.unreachable(attempt, now),
-            _ => ledger.fail(attempt, now),
+            Ok(RateAnswer::Tokens(answer)) => ledger.on_answer(attempt, answer, now),
+            Err(PeerError::Unreachable(_)) => ledger.on_unreachable(attempt, now),
+            _ => ledger.on_timeout(attempt, now),
         })
     }
 
@@ -253,31 +257,32 @@
     fn outgoing(&self) -> Vec<Outgoing> {
         let mut state = self.lock();
         let ledger = state.ledger.as_mut();
-        ledger.map(ShareLedger::outgoing).unwrap_or_default()
+        ledger.map(ShareLedger::take_outgoing).unwrap_or_default()
     }
 
     async fn send(&self, message: Outgoing) {
         let Some((link, address)) = self.way_to(message.to) else {
             return;
         };
-        let within = LedgerTiming::default().answer;
+        let within = LedgerTiming::default().request_timeout;
         // A lost message loses tokens for a moment; the ledger counts on that.
-        let Ok(RateAnswer::Slices(offers)) = link.rates(address, message.ask, within).await else {
+        let Ok(RateAnswer::Slices(offers)) = link.rates(address, message.request, within).await
+        else {
             return;
         };
         let now = self.clock.now();
         if let Some(ledger) = &mut self.lock().ledger {
-            ledger.take_offers(message.to, &offers, now);
+            ledger.accept_offers(message.to, &offers, now);
         }
     }
 }
 
 /// The answer of a daemon that has no ledger yet.
-fn unknown(ask: &RateAsk) -> RateAnswer {
+fn unknown(ask: &RateRequest) -> RateAnswer {
     match ask {
-        RateAsk::Tokens(_) => RateAnswer::Tokens(comfreyramp_policy::rates::TokenAnswer::Stale),
-        RateAsk::Slices(_) => RateAnswer::Slices(Vec::new()),
-        RateAsk::Return(_) | RateAsk::Settle(_) => RateAnswer::Done,
+        RateRequest::Tokens(_) => RateAnswer::Tokens(comfreyramp_policy::rates::TokenAnswer::Stale),
+        RateRequest::Slices(_) => RateAnswer::Slices(Vec::new()),
+        RateRequest::Return(_) | RateRequest::Settle(_) => RateAnswer::Done,
     }
 }
 
--- a/crates/daemon/src/rates/roster_keeper.rs
+++ b/crates/daemon/src/rates/roster_keeper.rs
@@ -165,8 +165,8 @@
 
 /// Notes slots that were handed over, and to whom.
 fn log_change(change: &RosterChange, revision: Revision) {
-    if let Some((_, taker)) = change.given.first() {
-        let slots = change.given.len();
+    if let Some((_, taker)) = change.handed_over.first() {
+        let slots = change.handed_over.len();
         log::info!(slots, revision, first_taker = taker; "rates: slots were given to other daemons");
     }
 }
@@ -225,7 +225,7 @@
         Ok(beat) if beat.member.name == known.name => {
             known.silent_since = None;
             if let Some(ledger) = &mut board.ledger {
-                ledger.note_view(peer, beat.roster_revision, sent);
+                ledger.note_peer_revision(peer, beat.roster_revision, sent);
             }
             Some(beat)
         }
@@ -253,7 +253,7 @@
         let now = self.clock.now();
         let state = self.lock();
         let ledger = state.ledger.as_ref();
-        ledger.is_some_and(|ledger| ledger.is_giving(now))
+        ledger.is_some_and(|ledger| ledger.has_open_handovers(now))
     }
 
     /// Whether the rosters have to be read: they never were, or a peer knows
--- a/crates/daemon/src/server_pool.rs
+++ b/crates/daemon/src/server_pool.rs
@@ -123,9 +123,9 @@
         let Some(entry) = self.servers.entry(id) else {
             return;
         };
-        let mut yielding = entry.load.yielding;
+        let mut yielding = entry.load.preemptible;
         yielding.own = change(yielding.own);
-        self.servers.set_yielding(id, yielding);
+        self.servers.set_preemptible(id, yielding);
     }
 
     /// The daemons of the zone, this one included whatever the list says.
@@ -157,9 +157,9 @@
         let Some(entry) = self.servers.entry(id) else {
             return;
         };
-        let mut yielding = entry.load.yielding;
+        let mut yielding = entry.load.preemptible;
         yielding.others = bulk;
-        self.servers.set_yielding(id, yielding);
+        self.servers.set_preemptible(id, yielding);
     }
 
     fn route<'a>(&mut self, query: PoolQuery<'a>) -> RouteQuery<'a> {
@@ -247,7 +247,7 @@
         let now = clock.now();
         let chosen = tables
             .servers
-            .choose_with_room(&route, now, &mut rand::rng());
+            .choose_with_capacity(&route, now, &mut rand::rng());
         chosen.is_some()
     }
 
@@ -306,7 +306,7 @@
         let has_room = {
             let tables = self.lock();
             let load = &tables.servers.entry(id)?.load;
-            load.in_flight.saturating_sub(load.yielding.own) < load.batch()
+            load.in_flight.saturating_sub(load.preemptible.own) < load.batch()
         };
         has_room
             .then(|| self.take_key(key, exclude, clock))
--- a/crates/daemon/src/settings_link/ask.rs
+++ b/crates/daemon/src/settings_link/ask.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use comfreyramp_policy::{DaemonId, OfferVerdict, Timestamp};
+use comfreyramp_policy::{DaemonId, OfferDecision, Timestamp};
 use comfreyramp_store::{PlatformStore, Revision};
 
 use super::{PeerAnswer, PeerSilence, PeerSource, SettingsLink};
@@ -23,14 +23,14 @@
 
     fn next_ask(&self) -> Option<DaemonId> {
         let now = self.clock.now();
-        if !self.lock().plan.is_ask_due(now) {
+        if !self.lock().plan.is_request_due(now) {
             return None;
         }
         let members = self.peers.members();
         let mut state = self.lock();
         let state = &mut *state;
         state.plan.set_members(&members);
-        state.plan.next_ask(now, &mut state.rng)
+        state.plan.next_request(now, &mut state.rng)
     }
 
     async fn ask(&self, peer: DaemonId) {
@@ -38,7 +38,7 @@
         let hold = self.hold(peer);
         let sent = self.clock.now();
         let answer = self.ask_within(peer, known, hold).await;
-        if self.take_answer(peer, answer, sent) == Some(OfferVerdict::Gap) {
+        if self.take_answer(peer, answer, sent) == Some(OfferDecision::Gap) {
             let sent = self.clock.now();
             let whole = self.ask_within(peer, 0, Duration::ZERO).await;
             self.take_answer(peer, whole, sent);
@@ -78,24 +78,24 @@
         peer: DaemonId,
         answer: Result<Option<PeerAnswer>, PeerSilence>,
         sent: Timestamp,
-    ) -> Option<OfferVerdict> {
+    ) -> Option<OfferDecision> {
         let now = self.clock.now();
         let mut state = self.lock();
         let verdict = match answer {
             Ok(Some(answer)) => {
-                let verdict = state.plan.take_offer(peer, answer.offer, sent, now);
-                if verdict == OfferVerdict::Take {
+                let verdict = state.plan.apply_offer(peer, answer.offer, sent, now);
+                if verdict == OfferDecision::Apply {
                     self.apply(&mut state, answer.changes);
                 }
                 Some(verdict)
             }
             Ok(None) => {
-                state.plan.take_nothing(peer, now);
+                state.plan.record_empty_answer(peer, now);
                 None
             }
             Err(silence) => {
                 log::debug!("settings: daemon {} is silent: {silence}", peer.0);
-                state.plan.take_silence(peer, now);
+                state.plan.record_timeout(peer, now);
                 None
             }
         };
--- a/crates/daemon/src/settings_link/follow.rs
+++ b/crates/daemon/src/settings_link/follow.rs
@@ -99,7 +99,7 @@
         if !state.view.matches(keys) {
             return false;
         }
-        if state.plan.take_read(keys.revision, sent, now) {
+        if state.plan.apply_read(keys.revision, sent, now) {
             let base = state.view.revision;
             let unchanged = ViewChanges {
                 base,
--- a/crates/daemon/src/settings_link/link.rs
+++ b/crates/daemon/src/settings_link/link.rs
@@ -154,7 +154,7 @@
     pub(super) fn take_read(&self, changes: ViewChanges, sent: Timestamp) {
         let now = self.clock.now();
         let mut state = self.lock();
-        if state.plan.take_read(changes.revision, sent, now) {
+        if state.plan.apply_read(changes.revision, sent, now) {
             self.apply(&mut state, changes);
         }
     }
@@ -162,7 +162,7 @@
     /// Takes a message of the platform's watch.
     pub(super) fn take_watched(&self, changes: ViewChanges) {
         let mut state = self.lock();
-        if state.plan.take_watched(changes.revision) {
+        if state.plan.apply_watch_event(changes.revision) {
             self.apply(&mut state, changes);
         }
     }
--- a/crates/daemon/src/snapshot.rs
+++ b/crates/daemon/src/snapshot.rs
@@ -3,7 +3,7 @@
 mod names;
 
 use comfreyramp_policy::{CustomerId, ServiceId};
-use comfreyramp_settings::{CutPolicy, ServiceKind, ServiceSettings, TeamSettings};
+use comfreyramp_settings::{CutOffPolicy, ServiceKind, ServiceSettings, TeamSettings};
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
@@ -28,7 +28,7 @@
     /// Its part of scarce capacity.
     pub weight: f64,
     /// What happens to its keys once the view of the settings is old.
-    pub when_cut: CutPolicy,
+    pub when_cut: CutOffPolicy,
     /// Whether its lots may delay live work rather than miss their due time.
     pub lots_may_delay_live: bool,
 }
--- a/crates/daemon/src/suspects/run_start.rs
+++ b/crates/daemon/src/suspects/run_start.rs
@@ -54,10 +54,10 @@
             match step {
                 TrialStep::Run => {}
                 TrialStep::Wait => self.suspects.progress_or(WAIT_STEP).await,
-                TrialStep::Ask if !self.suspects.others_know(request.fingerprint) => {
+                TrialStep::Request if !self.suspects.others_know(request.fingerprint) => {
                     tokio::time::sleep(WAIT_STEP).await;
                 }
-                TrialStep::Ask => self.ask_trial(request, &mut taken).await,
+                TrialStep::Request => self.ask_trial(request, &mut taken).await,
                 TrialStep::Start => {
                     if let Some(server) = self.begin_trial(request.fingerprint) {
                         return Ok(server);
@@ -104,7 +104,7 @@
         let ask = self
             .suspects
             .table()
-            .ask_trial(request.fingerprint, key, now);
+            .request_trial(request.fingerprint, key, now);
         let Some(ask) = ask else {
             return;
         };
--- a/crates/daemon/src/suspects/suspect_records.rs
+++ b/crates/daemon/src/suspects/suspect_records.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use comfreyramp_policy::{
-    Fingerprint, Incarnation, ServerKey, SuspectFact, Timestamp, TrialAnswer, TrialAsk, TrialEnd,
-    TrialRecord, TrialSettlement,
+    Fingerprint, Incarnation, ServerKey, SuspectFact, Timestamp, TrialAnswer, TrialEnd,
+    TrialRecord, TrialRequest, TrialSettlement,
 };
 use comfreyramp_store::{
     Comparison, KeyRange, KeyValue, LeaseId, PlatformStore, Revision, StoreError,
@@ -81,7 +81,7 @@
     }
 
     /// Asks for a trial. A repeated ask gets the same answer.
-    pub(super) async fn ask_trial(&self, ask: &TrialAsk, now: Timestamp) -> TrialAnswer {
+    pub(super) async fn ask_trial(&self, ask: &TrialRequest, now: Timestamp) -> TrialAnswer {
         for _ in 0..TRIES {
             match self.ask_once(ask, now).await {
                 Ok(Some(answer)) => return answer,
@@ -96,7 +96,7 @@
 
     async fn ask_once(
         &self,
-        ask: &TrialAsk,
+        ask: &TrialRequest,
         now: Timestamp,
     ) -> Result<Option<TrialAnswer>, StoreError> {
         let lease = self.lease.get(&self.store, now).await?;
@@ -133,7 +133,7 @@
     /// What a record under the same fingerprint means.
     async fn meet(
         &self,
-        ask: &TrialAsk,
+        ask: &TrialRequest,
         pair: &KeyValue,
     ) -> Result<Option<TrialAnswer>, StoreError> {
         let Ok(held) = serde_json::from_slice::<StoredTrial>(&pair.value) else {
@@ -187,7 +187,7 @@
         self.store.transact(batch).await.map(|_| ())
     }
 
-    async fn release(&self, ask: &TrialAsk, modified: Revision) -> Result<(), StoreError> {
+    async fn release(&self, ask: &TrialRequest, modified: Revision) -> Result<(), StoreError> {
         let key = trial_key(ask.fingerprint);
         let batch = WriteBatch {
             when: vec![Comparison::ModifiedAt(key.clone(), modified)],
--- a/crates/daemon/src/suspects/suspect_sync.rs
+++ b/crates/daemon/src/suspects/suspect_sync.rs
@@ -3,7 +3,7 @@
 use std::{future::Future, sync::Arc, time::Duration};
 
 use comfreyramp_policy::{DaemonId, NoticeAck, SuspectNotice};
-use comfreyramp_store::{KeyRange, PlatformStore, RenewedWatch, StoreError, WatchStream};
+use comfreyramp_store::{KeyRange, PlatformStore, ReopeningWatch, StoreError, WatchStream};
 use tokio_util::sync::CancellationToken;
 
 use super::{
@@ -141,7 +141,7 @@
             .collect();
         self.keeper.import(&facts);
         let store = self.records.store().clone();
-        let mut watch = RenewedWatch::open(store, range, known.revision + 1).await?;
+        let mut watch = ReopeningWatch::open(store, range, known.revision + 1).await?;
         loop {
             let batch = watch.next().await?;
             let facts: Vec<_> = batch
@@ -168,7 +168,7 @@
             for (peer, notice) in notices {
                 if let Some(ack) = self.peers.tell(peer, notice).await {
                     let now = self.keeper.clock().now();
-                    self.keeper.table().acknowledged(peer, &ack, now);
+                    self.keeper.table().apply_ack(peer, &ack, now);
                     self.keeper.note_progress();
                 }
             }
--- a/crates/daemon/tests/settings_in_force.rs
+++ b/crates/daemon/tests/settings_in_force.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use comfreyramp_http::{Method, StatusCode};
-use comfreyramp_settings::{CutPolicy, TeamSettings};
+use comfreyramp_settings::{CutOffPolicy, TeamSettings};
 use comfreyramp_standins::platform::{FaultChange, LostAnswers};
 use serde_json::json;
 use support::{
@@ -77,7 +77,7 @@
 
 fn settings_with_a_bound() -> TeamSettings {
     let mut settings = usual_settings();
-    settings.customers[1].when_cut = CutPolicy::RefuseAfter { seconds: 5 };
+    settings.customers[1].when_cut = CutOffPolicy::RefuseAfter { seconds: 5 };
     settings
 }
 
--- a/crates/daemon/tests/settings_link.rs
+++ b/crates/daemon/tests/settings_link.rs
@@ -249,7 +249,7 @@
         written: vec![pair("c", 11)],
         deleted: vec!["a".into()],
         revision: 11,
-        changed: 11,
+        last_change: 11,
     };
     view.apply(ViewChanges::of_watch(batch, 10));
     view.apply(whole(&[pair("c", 11), pair("d", 13)], 14));
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -15,7 +15,7 @@
     header,
 };
 use comfreyramp_settings::{
-    CustomerSettings, CutPolicy, DaemonSettings, KeySettings, LogSettings, PlatformSettings,
+    CustomerSettings, CutOffPolicy, DaemonSettings, KeySettings, LogSettings, PlatformSettings,
     ServiceKind, ServiceSettings, TeamSettings,
 };
 use comfreyramp_standins::{
@@ -144,7 +144,7 @@
             name: "key-1".to_owned(),
             sha256: hex::encode(Sha256::digest(key.as_bytes())),
         }],
-        when_cut: CutPolicy::Serve,
+        when_cut: CutOffPolicy::Serve,
         lots_may_delay_live: false,
     }
 }
--- a/crates/lots/src/held_segment.rs
+++ b/crates/lots/src/held_segment.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use comfreyramp_policy::{
     CustomerId, Timestamp,
-    lots::{ItemTries, ResultGrouping},
+    lots::{ItemAttempts, ResultGrouping},
 };
 use comfreyramp_store::Revision;
 use tokio_util::sync::CancellationToken;
@@ -44,7 +44,7 @@
     pub(crate) custom_id: String,
     pub(crate) body: Bytes,
     pub(crate) state: ItemState,
-    pub(crate) tries: ItemTries,
+    pub(crate) tries: ItemAttempts,
     pub(crate) resume: Option<R>,
 }
 
@@ -319,9 +319,9 @@
             custom_id: line.custom_id,
             body,
             state,
-            tries: ItemTries {
+            tries: ItemAttempts {
                 crashes: loaded.progress.crashes_of(index),
-                ..ItemTries::default()
+                ..ItemAttempts::default()
             },
             resume: None,
         });
--- a/crates/lots/src/lot_watch.rs
+++ b/crates/lots/src/lot_watch.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use comfreyramp_store::{
-    KeyRange, KeyValue, PlatformStore, RenewedWatch, Revision, StoreError, WatchBatch, WatchStream,
+    KeyRange, KeyValue, PlatformStore, ReopeningWatch, Revision, StoreError, WatchBatch,
+    WatchStream,
 };
 use tokio::{sync::mpsc, time::sleep};
 
@@ -40,7 +41,7 @@
 ) -> Result<(), StoreError> {
     let (pairs, revision) = read_index(store).await?;
     let range = KeyRange::Prefix(LotKeys.index());
-    let mut watch = RenewedWatch::open(store.clone(), range, revision + 1).await?;
+    let mut watch = ReopeningWatch::open(store.clone(), range, revision + 1).await?;
     if sender.send(IndexNews::Whole(pairs)).await.is_err() {
         return Ok(());
     }
--- a/crates/lots/src/worker/events.rs
+++ b/crates/lots/src/worker/events.rs
@@ -4,7 +4,7 @@
 
 use comfreyramp_policy::{
     CustomerId, Timestamp,
-    lots::{GiveUpReason, TryVerdict},
+    lots::{GiveUpReason, ItemRetryVerdict},
 };
 use comfreyramp_store::PlatformStore;
 
@@ -243,8 +243,8 @@
             .tries
             .fault(tries, others, now, &mut self.random);
         match verdict {
-            TryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
-            TryVerdict::GiveUp(reason) => {
+            ItemRetryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
+            ItemRetryVerdict::GiveUp(reason) => {
                 held.fail_item(run.item, give_up_error(reason, message), now);
             }
         }
@@ -273,8 +273,8 @@
             .tries
             .probe(tries, went_through, now, &mut self.random);
         match verdict {
-            TryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
-            TryVerdict::GiveUp(reason) => {
+            ItemRetryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
+            ItemRetryVerdict::GiveUp(reason) => {
                 let error = give_up_error(reason, "a probe went through meanwhile");
                 held.fail_item(run.item, error, now);
             }
@@ -288,8 +288,8 @@
         let held = &mut self.held[place];
         let tries = &mut held.items[run.item].tries;
         match self.config.tries.crash(tries, now, &mut self.random) {
-            TryVerdict::Retry(at) => held.crash_item(run.item, at),
-            TryVerdict::GiveUp(reason) => {
+            ItemRetryVerdict::Retry(at) => held.crash_item(run.item, at),
+            ItemRetryVerdict::GiveUp(reason) => {
                 held.fail_item(run.item, give_up_error(reason, message), now);
             }
         }
--- a/crates/lots/src/worker/mod.rs
+++ b/crates/lots/src/worker/mod.rs
@@ -8,7 +8,7 @@
 
 use comfreyramp_policy::{
     CustomerId, Timestamp,
-    lots::{LotRanking, ResultGrouping, TryPolicy},
+    lots::{ItemRetryPolicy, LotRanking, ResultGrouping},
 };
 use comfreyramp_store::PlatformStore;
 use rand::{SeedableRng, rngs::StdRng};
@@ -55,7 +55,7 @@
     /// When results are written.
     pub grouping: ResultGrouping,
     /// What is tried again.
-    pub tries: TryPolicy,
+    pub tries: ItemRetryPolicy,
     /// Which lot goes first.
     pub ranking: LotRanking,
 }
@@ -75,7 +75,7 @@
             slots,
             owner: owner.to_owned(),
             grouping: ResultGrouping::default(),
-            tries: TryPolicy::default(),
+            tries: ItemRetryPolicy::default(),
             ranking: LotRanking::default(),
         }
     }
--- a/crates/peers/examples/peer_cost.rs
+++ b/crates/peers/examples/peer_cost.rs
@@ -14,8 +14,8 @@
 use comfreyramp_policy::{
     Heartbeat, Incarnation, NoticeAck, ServerKey, SuspectNotice, ZoneId,
     rates::{
-        CustomerKey, RateAnswer, RateAsk, Slice, SliceOffer, SliceWant, TokenAnswer, TokenAsk,
-        TokenSettlement, Tokens,
+        CustomerKey, RateAnswer, RateRequest, Slice, SliceOffer, SliceRequest, TokenAnswer,
+        TokenRequest, TokenSettlement, Tokens,
     },
 };
 use tokio_util::sync::CancellationToken;
@@ -53,14 +53,14 @@
 
     fn take_beat(&self, _beat: &PeerBeat) {}
 
-    fn rates(&self, _from: &PeerBeat, ask: &RateAsk) -> RateAnswer {
+    fn rates(&self, _from: &PeerBeat, ask: &RateRequest) -> RateAnswer {
         match ask {
-            RateAsk::Tokens(_) => RateAnswer::Tokens(TokenAnswer::Granted {
+            RateRequest::Tokens(_) => RateAnswer::Tokens(TokenAnswer::Granted {
                 grant: u64::MAX / 5,
                 count: 1,
                 settle: false,
             }),
-            RateAsk::Slices(wants) => {
+            RateRequest::Slices(wants) => {
                 let offers = wants.iter().map(|want| SliceOffer {
                     customer: want.customer,
                     slot: want.slot,
@@ -74,7 +74,7 @@
                 });
                 RateAnswer::Slices(offers.collect())
             }
-            RateAsk::Return(_) | RateAsk::Settle(_) => RateAnswer::Done,
+            RateRequest::Return(_) | RateRequest::Settle(_) => RateAnswer::Done,
         }
     }
 
@@ -115,14 +115,14 @@
     let (asker, _) = start(any_port)?;
     let (_other, address) = start(any_port)?;
     let customer = CustomerKey(u64::MAX / 7);
-    let token = TokenAsk {
+    let token = TokenRequest {
         customer,
         slot: 9,
         want: 1,
         home: true,
         spent: None,
     };
-    let want = SliceWant {
+    let want = SliceRequest {
         customer,
         slot: 9,
         loan: u64::MAX / 3,
@@ -136,7 +136,7 @@
     };
     let asks = [
         ("heartbeat", PeerAsk::Beat(beat())),
-        ("tokens", PeerAsk::Rates(RateAsk::Tokens(token))),
+        ("tokens", PeerAsk::Rates(RateRequest::Tokens(token))),
         (
             "1 announcement",
             PeerAsk::Announce(vec![LiveNotice {
@@ -144,11 +144,17 @@
                 count: 1,
             }]),
         ),
-        ("1 slice", PeerAsk::Rates(RateAsk::Slices(vec![want; 1]))),
-        ("16 slices", PeerAsk::Rates(RateAsk::Slices(vec![want; 16]))),
+        (
+            "1 slice",
+            PeerAsk::Rates(RateRequest::Slices(vec![want; 1])),
+        ),
+        (
+            "16 slices",
+            PeerAsk::Rates(RateRequest::Slices(vec![want; 16])),
+        ),
         (
             "1 settlement",
-            PeerAsk::Rates(RateAsk::Settle(vec![settlement])),
+            PeerAsk::Rates(RateRequest::Settle(vec![settlement])),
         ),
     ];
     println!(
--- a/crates/peers/src/codec/mod.rs
+++ b/crates/peers/src/codec/mod.rs
@@ -10,7 +10,7 @@
 
 use comfreyramp_policy::{
     SuspectNotice,
-    rates::{RateAnswer, RateAsk},
+    rates::{RateAnswer, RateRequest},
 };
 
 use crate::{
@@ -53,9 +53,9 @@
     .map_err(malformed)
 }
 
-async fn call_rates(session: &session::Client, ask: &RateAsk) -> Result<RateAnswer, PeerError> {
+async fn call_rates(session: &session::Client, ask: &RateRequest) -> Result<RateAnswer, PeerError> {
     match ask {
-        RateAsk::Tokens(ask) => {
+        RateRequest::Tokens(ask) => {
             let mut request = session.tokens_request();
             rates::write_token_ask(request.get().init_ask(), ask);
             let answer = request.send().promise.await.map_err(lost)?;
@@ -65,7 +65,7 @@
                 .map_err(malformed)?;
             Ok(RateAnswer::Tokens(answer))
         }
-        RateAsk::Slices(wants) => {
+        RateRequest::Slices(wants) => {
             let mut request = session.slices_request();
             rates::write_wants(request.get().init_wants(wants.len() as u32), wants);
             let answer = request.send().promise.await.map_err(lost)?;
@@ -75,13 +75,13 @@
                 .map_err(malformed)?;
             Ok(RateAnswer::Slices(rates::read_offers(offers)))
         }
-        RateAsk::Return(returns) => {
+        RateRequest::Return(returns) => {
             let mut request = session.give_back_request();
             rates::write_returns(request.get().init_returns(returns.len() as u32), returns);
             request.send().promise.await.map_err(lost)?;
             Ok(RateAnswer::Done)
         }
-        RateAsk::Settle(settlements) => {
+        RateRequest::Settle(settlements) => {
             let mut request = session.settle_request();
             let list = request.get().init_settlements(settlements.len() as u32);
             rates::write_settlements(list, settlements);
--- a/crates/peers/src/codec/rates.rs
+++ b/crates/peers/src/codec/rates.rs
@@ -4,8 +4,8 @@
 
 use capnp::struct_list;
 use comfreyramp_policy::rates::{
-    CustomerKey, RateAnswer, Slice, SliceOffer, SliceReturn, SliceWant, TokenAnswer, TokenAsk,
-    TokenSettlement, Tokens,
+    CustomerKey, RateAnswer, Slice, SliceOffer, SliceRequest, SliceReturn, TokenAnswer,
+    TokenRequest, TokenSettlement, Tokens,
 };
 
 use crate::generated::peers_capnp::{
@@ -14,7 +14,7 @@
 
 use super::micros;
 
-pub(crate) fn write_token_ask(mut builder: token_ask::Builder<'_>, ask: &TokenAsk) {
+pub(crate) fn write_token_ask(mut builder: token_ask::Builder<'_>, ask: &TokenRequest) {
     builder.set_customer(ask.customer.0);
     builder.set_slot(ask.slot);
     builder.set_want(ask.want);
@@ -23,8 +23,8 @@
     builder.set_spent(ask.spent.unwrap_or_default());
 }
 
-pub(crate) fn read_token_ask(reader: token_ask::Reader<'_>) -> TokenAsk {
-    TokenAsk {
+pub(crate) fn read_token_ask(reader: token_ask::Reader<'_>) -> TokenRequest {
+    TokenRequest {
         customer: CustomerKey(reader.get_customer()),
         slot: reader.get_slot(),
         want: reader.get_want(),
@@ -86,7 +86,7 @@
 
 pub(crate) fn write_wants(
     mut list: struct_list::Builder<'_, slice_want::Owned>,
-    wants: &[SliceWant],
+    wants: &[SliceRequest],
 ) {
     for (index, want) in wants.iter().enumerate() {
         let mut builder = list.reborrow().get(index as u32);
@@ -97,8 +97,8 @@
     }
 }
 
-pub(crate) fn read_wants(list: struct_list::Reader<'_, slice_want::Owned>) -> Vec<SliceWant> {
-    let wants = list.iter().map(|reader| SliceWant {
+pub(crate) fn read_wants(list: struct_list::Reader<'_, slice_want::Owned>) -> Vec<SliceRequest> {
+    let wants = list.iter().map(|reader| SliceRequest {
         customer: CustomerKey(reader.get_customer()),
         slot: reader.get_slot(),
         loan: reader.get_loan(),
--- a/crates/peers/src/messages.rs
+++ b/crates/peers/src/messages.rs
@@ -4,7 +4,7 @@
 
 use comfreyramp_policy::{
     Heartbeat, NoticeAck, ServerKey, SuspectNotice, ViewOffer,
-    rates::{RateAnswer, RateAsk},
+    rates::{RateAnswer, RateRequest},
 };
 
 /// What a daemon says of itself, when it connects, now and then, and when it
@@ -71,7 +71,7 @@
     /// How things are. With `leaving` set, a notice that the sender stops.
     Beat(PeerBeat),
     /// Tokens and slices.
-    Rates(RateAsk),
+    Rates(RateRequest),
     /// The settings.
     Settings(SettingsAsk),
     /// Suspects, and fingerprints that are blocked.
--- a/crates/peers/src/peer_door.rs
+++ b/crates/peers/src/peer_door.rs
@@ -7,7 +7,7 @@
 };
 
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side, twoparty};
-use comfreyramp_policy::rates::{RateAnswer, RateAsk};
+use comfreyramp_policy::rates::{RateAnswer, RateRequest};
 use futures::AsyncReadExt;
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -122,7 +122,7 @@
         self.used.set(Instant::now());
     }
 
-    fn rates(&self, ask: &RateAsk) -> RateAnswer {
+    fn rates(&self, ask: &RateRequest) -> RateAnswer {
         self.note_use();
         self.handler.rates(&self.from.borrow(), ask)
     }
@@ -148,7 +148,7 @@
         mut results: session::TokensResults,
     ) -> Result<(), capnp::Error> {
         let ask = codec::read_token_ask(params.get()?.get_ask()?);
-        let answer = self.rates(&RateAsk::Tokens(ask));
+        let answer = self.rates(&RateRequest::Tokens(ask));
         codec::write_token_answer(results.get().init_answer(), &answer)
     }
 
@@ -158,7 +158,7 @@
         mut results: session::SlicesResults,
     ) -> Result<(), capnp::Error> {
         let wants = codec::read_wants(params.get()?.get_wants()?);
-        let answer = self.rates(&RateAsk::Slices(wants));
+        let answer = self.rates(&RateRequest::Slices(wants));
         codec::write_offers(results.get(), &answer)
     }
 
@@ -168,7 +168,7 @@
         _results: session::GiveBackResults,
     ) -> Result<(), capnp::Error> {
         let returns = codec::read_returns(params.get()?.get_returns()?);
-        self.rates(&RateAsk::Return(returns));
+        self.rates(&RateRequest::Return(returns));
         Ok(())
     }
 
@@ -178,7 +178,7 @@
         _results: session::SettleResults,
     ) -> Result<(), capnp::Error> {
         let settlements = codec::read_settlements(params.get()?.get_settlements()?);
-        self.rates(&RateAsk::Settle(settlements));
+        self.rates(&RateRequest::Settle(settlements));
         Ok(())
     }
 
--- a/crates/peers/src/peer_handler.rs
+++ b/crates/peers/src/peer_handler.rs
@@ -4,7 +4,7 @@
 
 use comfreyramp_policy::{
     NoticeAck, SuspectNotice,
-    rates::{RateAnswer, RateAsk},
+    rates::{RateAnswer, RateRequest},
 };
 
 use crate::{LiveNotice, PeerBeat, SettingsAnswer, SettingsAsk};
@@ -21,7 +21,7 @@
     fn take_beat(&self, beat: &PeerBeat);
 
     /// Answers an ask about rates.
-    fn rates(&self, from: &PeerBeat, ask: &RateAsk) -> RateAnswer;
+    fn rates(&self, from: &PeerBeat, ask: &RateRequest) -> RateAnswer;
 
     /// Answers an ask for the settings, with nothing while there are none.
     fn settings(&self, ask: SettingsAsk) -> impl Future<Output = Option<SettingsAnswer>> + Send;
--- a/crates/peers/src/peer_link.rs
+++ b/crates/peers/src/peer_link.rs
@@ -10,7 +10,7 @@
 
 use comfreyramp_policy::{
     NoticeAck, SuspectNotice,
-    rates::{RateAnswer, RateAsk},
+    rates::{RateAnswer, RateRequest},
 };
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
@@ -131,7 +131,7 @@
     pub async fn rates(
         &self,
         to: SocketAddr,
-        ask: RateAsk,
+        ask: RateRequest,
         within: Duration,
     ) -> Result<RateAnswer, PeerError> {
         match self.ask(to, PeerAsk::Rates(ask), within).await? {
--- a/crates/peers/tests/peer_link.rs
+++ b/crates/peers/tests/peer_link.rs
@@ -16,8 +16,8 @@
     DeathFact, DeathId, Fingerprint, Heartbeat, Incarnation, NoticeAck, ServerKey, SuspectFact,
     SuspectNotice, SuspectStage, ViewOffer, ZoneId,
     rates::{
-        CustomerKey, RateAnswer, RateAsk, Slice, SliceOffer, SliceReturn, SliceWant, TokenAnswer,
-        TokenAsk, TokenSettlement, Tokens,
+        CustomerKey, RateAnswer, RateRequest, Slice, SliceOffer, SliceRequest, SliceReturn,
+        TokenAnswer, TokenRequest, TokenSettlement, Tokens,
     },
 };
 use tokio_util::sync::CancellationToken;
@@ -28,7 +28,7 @@
 #[derive(Clone)]
 struct Recorder {
     name: &'static str,
-    asked: Arc<Mutex<Vec<RateAsk>>>,
+    asked: Arc<Mutex<Vec<RateRequest>>>,
     beats: Arc<Mutex<Vec<PeerBeat>>>,
     answer: Arc<Mutex<RateAnswer>>,
     view: Option<SettingsAnswer>,
@@ -68,7 +68,7 @@
         self.beats.lock().unwrap().push(beat.clone());
     }
 
-    fn rates(&self, from: &PeerBeat, ask: &RateAsk) -> RateAnswer {
+    fn rates(&self, from: &PeerBeat, ask: &RateRequest) -> RateAnswer {
         assert_eq!(from.member.name, "asker");
         self.asked.lock().unwrap().push(ask.clone());
         self.answer.lock().unwrap().clone()
@@ -132,8 +132,8 @@
     (asker, Daemon::start(answerer, any_port(), timing))
 }
 
-fn token_ask() -> RateAsk {
-    RateAsk::Tokens(TokenAsk {
+fn token_ask() -> RateRequest {
+    RateRequest::Tokens(TokenRequest {
         customer: CustomerKey(u64::MAX),
         slot: 63,
         want: 9,
@@ -174,14 +174,14 @@
     ];
     let token_answers = token_answers.map(|answer| (token_ask(), RateAnswer::Tokens(answer)));
     let mut exchanges = token_answers.to_vec();
-    let want = SliceWant {
+    let want = SliceRequest {
         customer,
         slot: 1,
         loan: 2,
         sent: 3,
     };
     exchanges.push((
-        RateAsk::Slices(vec![want; 3]),
+        RateRequest::Slices(vec![want; 3]),
         RateAnswer::Slices(vec![offer; 2]),
     ));
     let back = SliceReturn {
@@ -190,14 +190,14 @@
         loan: 2,
         tokens: Tokens::ONE,
     };
-    exchanges.push((RateAsk::Return(vec![back]), RateAnswer::Done));
+    exchanges.push((RateRequest::Return(vec![back]), RateAnswer::Done));
     let settlement = TokenSettlement {
         customer,
         slot: 1,
         grant: 2,
         unspent: 3,
     };
-    exchanges.push((RateAsk::Settle(vec![settlement]), RateAnswer::Done));
+    exchanges.push((RateRequest::Settle(vec![settlement]), RateAnswer::Done));
     for (ask, answer) in exchanges {
         *answerer.answer.lock().unwrap() = answer.clone();
         let got = asker.link.rates(other.address, ask.clone(), WITHIN).await;
@@ -292,7 +292,7 @@
     // between have certainly not been heard, so they may go elsewhere; afterwards
     // the broken connection must not swallow any.
     let (asker, other) = pair(recorder("answerer"));
-    let ask = RateAsk::Settle(Vec::new());
+    let ask = RateRequest::Settle(Vec::new());
     let got = asker.link.rates(other.address, ask.clone(), WITHIN).await;
     assert_eq!(got, Ok(RateAnswer::Done));
     let address = other.address;
@@ -320,7 +320,7 @@
     let waiting = SettingsAsk { known: 0, hold };
     let within = Duration::from_millis(200);
     let held = asker.link.settings(other.address, waiting, within);
-    let settle = RateAsk::Settle(Vec::new());
+    let settle = RateRequest::Settle(Vec::new());
     let quick = asker.link.rates(other.address, settle, WITHIN);
     let (held, quick) = tokio::join!(held, quick);
     assert_eq!(held, Err(PeerError::Late));
@@ -337,7 +337,7 @@
     let address = silent.local_addr().unwrap();
     let asker = Daemon::start(recorder("asker"), any_port(), LinkTiming::default());
     let within = Duration::from_millis(30);
-    let ask = RateAsk::Settle(Vec::new());
+    let ask = RateRequest::Settle(Vec::new());
     for _ in 0..4 {
         let got = asker.link.rates(address, ask.clone(), within).await;
         assert_eq!(got, Err(PeerError::Late));
@@ -361,7 +361,7 @@
     let asker = Daemon::start(recorder("asker"), any_port(), timing);
     let answerer = recorder("answerer");
     let other = Daemon::start(answerer.clone(), any_port(), timing);
-    let ask = RateAsk::Settle(Vec::new());
+    let ask = RateRequest::Settle(Vec::new());
     while answerer.beats.lock().unwrap().len() < 2 {
         // Each new connection says hello.
         let got = asker.link.rates(other.address, ask.clone(), WITHIN).await;
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -5,9 +5,9 @@
 use std::{hint::black_box, time::Duration};
 
 use comfreyramp_policy::{
-    CallTraits, CallerDoor, CallerKey, CustomerId, Fingerprint, GroupId, Incarnation, ListedServer,
-    LiveQueue, LoadReport, QueuedCall, RouteQuery, RunEnd, RunId, ServerKey, ServerTable,
-    SuspectTable, Timestamp, UrgencyTable, ZoneId,
+    CallTraits, CallerInterface, CallerKey, CustomerId, Fingerprint, GroupId, Incarnation,
+    ListedServer, LiveQueue, LoadReport, QueuedCall, RouteQuery, RunEnd, RunId, ServerKey,
+    ServerTable, SuspectTable, Timestamp, UrgencyTable, ZoneId,
 };
 use criterion::{Criterion, criterion_group, criterion_main};
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -18,7 +18,7 @@
 const CUSTOMERS: u32 = 780;
 const KEYS: u64 = 2 * CUSTOMERS as u64;
 const TRAITS: CallTraits = CallTraits {
-    door: CallerDoor::Live,
+    interface: CallerInterface::Live,
     streaming: true,
 };
 
@@ -98,7 +98,9 @@
         self.queue.push(call, now).ok()?;
         let group = GroupId(self.rng.random_range(0..GROUPS));
         let query = RouteQuery::new(group, ZoneId(0)).prefix(self.micros % 1000);
-        let server = self.servers.choose_with_room(&query, now, &mut self.rng)?;
+        let server = self
+            .servers
+            .choose_with_capacity(&query, now, &mut self.rng)?;
         let next = self.queue.pop(now)?;
         let run = RunId(next.number);
         let server_key = ServerKey(u64::from(server.0));
--- a/crates/policy/benches/freshness.rs
+++ b/crates/policy/benches/freshness.rs
@@ -28,14 +28,14 @@
         black_box(plan.should_follow(now));
     }
     plan.set_members(members);
-    if let Some(peer) = plan.next_ask(now, rng) {
+    if let Some(peer) = plan.next_request(now, rng) {
         let offer = ViewOffer {
             base: 1,
             revision: 1,
             age: Duration::from_millis(500),
             direct: true,
         };
-        black_box(plan.take_offer(peer, offer, now, now));
+        black_box(plan.apply_offer(peer, offer, now, now));
     }
 }
 
@@ -44,7 +44,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let mut plan = WatchPlan::new(FreshnessSettings::default(), 0);
     let mut now = Timestamp::ZERO;
-    plan.take_read(1, now, now);
+    plan.apply_read(1, now, now);
     criterion.bench_function("freshness/one second of 360 daemons", |bencher| {
         bencher.iter(|| {
             now = now + Duration::from_secs(1);
--- a/crates/policy/benches/rate_ledger.rs
+++ b/crates/policy/benches/rate_ledger.rs
@@ -40,7 +40,7 @@
     ledger.set_rates(&rates(), now);
     for second in 1..=60 {
         now = start + Duration::from_secs(second);
-        ledger.confirm(now);
+        ledger.confirm_view(now);
         ledger.tick(now);
     }
     (ledger, now)
@@ -51,7 +51,7 @@
     let (slotless, now) = ledger(357, None);
     println!(
         "a ledger with 780 customers takes {} bytes",
-        slotless.footprint()
+        slotless.memory_size()
     );
 
     let (mut holder, _) = ledger(0, Some(0));
@@ -77,16 +77,19 @@
             number += 1;
             let at = now + Duration::from_millis(2 * number);
             if number.is_multiple_of(1_000) {
-                holder.confirm(at);
+                holder.confirm_view(at);
                 holder.tick(at);
             }
             let customer = customers[number as usize % customers.len()];
             let decision = borrower.admit(black_box(customer), at);
-            let Decision::Borrow { ask, attempt, .. } = decision else {
+            let Decision::RequestToken {
+                request, attempt, ..
+            } = decision
+            else {
                 unreachable!("the borrower already has tokens");
             };
-            let answer = holder.handle_tokens(&ask, at);
-            borrower.take(attempt, answer, at)
+            let answer = holder.handle_tokens(&request, at);
+            borrower.on_answer(attempt, answer, at)
         });
     });
 
--- a/crates/policy/src/bulk/arrival_rate.rs
+++ b/crates/policy/src/bulk/arrival_rate.rs
@@ -19,7 +19,7 @@
 
 impl ArrivalRate {
     /// Records an arrival.
-    pub fn arrive(&mut self, now: Timestamp) {
+    pub fn record_arrival(&mut self, now: Timestamp) {
         self.weight = self.decayed(now) + 1.0;
         self.at = self.at.max(now);
     }
--- a/crates/policy/src/bulk/bulk_limiter.rs
+++ b/crates/policy/src/bulk/bulk_limiter.rs
@@ -11,7 +11,7 @@
 
 /// How fast the limiter can react, and what counts as a slowdown of live callers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct GateTiming {
+pub struct BulkLimiterTiming {
     /// The time from a live arrival to the end of a cancelled bulk stream.
     pub reaction: Duration,
     /// The age of a server's load report when it arrives.
@@ -27,9 +27,9 @@
     pub headroom_deviations: f64,
 }
 
-impl Default for GateTiming {
+impl Default for BulkLimiterTiming {
     fn default() -> Self {
-        GateTiming {
+        BulkLimiterTiming {
             reaction: Duration::from_millis(300),
             report_lag: Duration::from_millis(200),
             token_gap: Duration::from_millis(29),
@@ -47,16 +47,17 @@
 /// bulk streams be cancelled as soon as one arrives.
 ///
 /// ```
-/// use comfreyramp_policy::{LoadReport, Timestamp, bulk::{BulkGate, FixedLimit, GateTiming}};
+/// use comfreyramp_policy::bulk::{BulkLimiter, BulkLimiterTiming, FixedLimit};
+/// use comfreyramp_policy::{LoadReport, Timestamp};
 ///
-/// let mut gate = BulkGate::new(GateTiming::default(), FixedLimit { slots: 99.0 });
+/// let mut limiter = BulkLimiter::new(BulkLimiterTiming::default(), FixedLimit { slots: 99.0 });
 /// let now = Timestamp::from_micros(1);
-/// gate.report(LoadReport { running: 4, waiting: 0, batch: 16 }, now);
-/// assert_eq!(gate.allowed(now), 12);
+/// limiter.report(LoadReport { running: 4, waiting: 0, batch: 16 }, now);
+/// assert_eq!(limiter.allowed(now), 12);
 /// ```
 #[derive(Clone, Debug)]
-pub struct BulkGate<L> {
-    timing: GateTiming,
+pub struct BulkLimiter<L> {
+    timing: BulkLimiterTiming,
     limit: L,
     arrivals: ArrivalRate,
     own_requests: OwnHistory,
@@ -67,10 +68,10 @@
     last_start_at: Option<Timestamp>,
 }
 
-impl<L: SlotLimit> BulkGate<L> {
+impl<L: SlotLimit> BulkLimiter<L> {
     /// Creates a limiter that allows no bulk work until the server's first report.
-    pub fn new(timing: GateTiming, limit: L) -> Self {
-        BulkGate {
+    pub fn new(timing: BulkLimiterTiming, limit: L) -> Self {
+        BulkLimiter {
             timing,
             limit,
             arrivals: ArrivalRate::default(),
@@ -84,33 +85,33 @@
     }
 
     /// Records that the home daemon itself sends a live request to the server.
-    pub fn live_begins(&mut self, now: Timestamp) {
-        self.arrivals.arrive(now);
+    pub fn record_live_start(&mut self, now: Timestamp) {
+        self.arrivals.record_arrival(now);
         self.own_requests.live += 1;
         self.own_requests.record(now, self.timing.report_lag);
     }
 
     /// Records that a live request of the home daemon has ended.
-    pub fn live_ends(&mut self, now: Timestamp) {
+    pub fn record_live_end(&mut self, now: Timestamp) {
         self.own_requests.live = self.own_requests.live.saturating_sub(1);
         self.own_requests.record(now, self.timing.report_lag);
     }
 
     /// Records that another daemon sends a live request to the server.
     pub fn announce(&mut self, now: Timestamp) {
-        self.arrivals.arrive(now);
+        self.arrivals.record_arrival(now);
         self.announced.push_back(now);
     }
 
     /// Records that a bulk item was sent to the server.
-    pub fn bulk_begins(&mut self, now: Timestamp) {
+    pub fn record_bulk_start(&mut self, now: Timestamp) {
         self.last_start_at = Some(now);
         self.own_requests.bulk += 1;
         self.own_requests.record(now, self.timing.report_lag);
     }
 
     /// Records that a bulk item has ended or was cancelled.
-    pub fn bulk_ends(&mut self, now: Timestamp) {
+    pub fn record_bulk_end(&mut self, now: Timestamp) {
         self.own_requests.bulk = self.own_requests.bulk.saturating_sub(1);
         self.own_requests.record(now, self.timing.report_lag);
     }
@@ -148,15 +149,15 @@
     }
 
     /// Records that a live caller was slowed down on this server.
-    pub fn harm(&mut self, now: Timestamp) {
-        self.limit.harm(now);
+    pub fn record_slowdown(&mut self, now: Timestamp) {
+        self.limit.record_slowdown(now);
     }
 
     /// Records a gap between two tokens of a live answer; a gap beyond `token_gap`
     /// counts as a slowdown.
     pub fn token_gap(&mut self, gap: Duration, now: Timestamp) {
         if gap > self.timing.token_gap {
-            self.harm(now);
+            self.record_slowdown(now);
         }
     }
 
@@ -165,7 +166,7 @@
         self.limit.tick(now);
     }
 
-    /// Returns how many bulk items may run now. If more run, [`BulkGate::excess`] says
+    /// Returns how many bulk items may run now. If more run, [`BulkLimiter::excess`] says
     /// how many of them have to be cancelled.
     pub fn allowed(&self, now: Timestamp) -> u32 {
         let has_recent_report = self
--- a/crates/policy/src/bulk/mod.rs
+++ b/crates/policy/src/bulk/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Engines have no priorities, so bulk work is held back here. Each server has one
 //! *home* daemon through which all its bulk work passes; that daemon keeps a
-//! [`BulkGate`] for it. The limiter keeps capacity free for the live requests that will
+//! [`BulkLimiter`] for it. The limiter keeps capacity free for the live requests that will
 //! arrive before it can react, and its [`SlotLimit`] lowers the limit when live callers
 //! are slowed down all the same. See `docs/DESIGN.md`.
 
@@ -11,5 +11,5 @@
 mod slot_limit;
 
 pub use arrival_rate::ArrivalRate;
-pub use bulk_limiter::{BulkGate, GateTiming};
+pub use bulk_limiter::{BulkLimiter, BulkLimiterTiming};
 pub use slot_limit::{AdditiveLimit, ChokeCreepLimit, FixedLimit, SlotLimit};
--- a/crates/policy/src/bulk/slot_limit.rs
+++ b/crates/policy/src/bulk/slot_limit.rs
@@ -7,7 +7,7 @@
 /// A limit on the bulk slots of one server that adapts to how live callers fare.
 pub trait SlotLimit {
     /// Lowers the limit, since live callers were slowed down.
-    fn harm(&mut self, now: Timestamp);
+    fn record_slowdown(&mut self, now: Timestamp);
 
     /// Raises the limit for the time that passed.
     fn tick(&mut self, now: Timestamp);
@@ -24,7 +24,7 @@
 }
 
 impl SlotLimit for FixedLimit {
-    fn harm(&mut self, _now: Timestamp) {}
+    fn record_slowdown(&mut self, _now: Timestamp) {}
 
     fn tick(&mut self, _now: Timestamp) {}
 
@@ -63,7 +63,7 @@
 }
 
 impl SlotLimit for AdditiveLimit {
-    fn harm(&mut self, now: Timestamp) {
+    fn record_slowdown(&mut self, now: Timestamp) {
         if now.since(self.last_cut_at) < CUT_COOLDOWN {
             return;
         }
@@ -121,7 +121,7 @@
 }
 
 impl SlotLimit for ChokeCreepLimit {
-    fn harm(&mut self, now: Timestamp) {
+    fn record_slowdown(&mut self, now: Timestamp) {
         if now.since(self.last_cut_at) < CUT_COOLDOWN {
             return;
         }
--- a/crates/policy/src/claims/claim_tracker.rs
+++ b/crates/policy/src/claims/claim_tracker.rs
@@ -25,12 +25,12 @@
 
 /// The claims of one daemon.
 #[derive(Clone, Debug)]
-pub struct ClaimBook {
+pub struct ClaimTracker {
     /// The minimum interval between two groups.
     ///
     /// It bounds the rate of a daemon's transactions on the platform, and makes groups
     /// grow with the load.
-    pub spacing: Duration,
+    pub min_group_interval: Duration,
     pub(super) incarnation: Incarnation,
     /// Sorted by key.
     pub(super) entries: Vec<Entry>,
@@ -43,11 +43,11 @@
     pub(super) losses: u32,
 }
 
-impl ClaimBook {
+impl ClaimTracker {
     /// Creates an empty set of claims for a process that has just started.
     pub fn new(incarnation: Incarnation) -> Self {
-        ClaimBook {
-            spacing: Duration::from_millis(20),
+        ClaimTracker {
+            min_group_interval: Duration::from_millis(20),
             incarnation,
             entries: Vec::new(),
             changes: Vec::new(),
@@ -164,7 +164,7 @@
     }
 
     /// Records that the answer to a call that was sent has been lost.
-    pub fn lose(&mut self, key: ClaimKey, ticket: ClaimTicket) {
+    pub fn record_lost_answer(&mut self, key: ClaimKey, ticket: ClaimTicket) {
         self.settle(key, ticket, ClaimState::Unknown);
     }
 
--- a/crates/policy/src/claims/messages.rs
+++ b/crates/policy/src/claims/messages.rs
@@ -151,7 +151,7 @@
 pub enum ClaimVerdict {
     /// The call has to wait, since its claim isn't written yet.
     Wait,
-    /// The call may be sent; see [`ClaimBook::start`](super::ClaimBook::start).
+    /// The call may be sent; see [`ClaimTracker::start`](super::ClaimTracker::start).
     Send,
     /// The call was made before. This is its answer.
     Answered(AnswerRef),
--- a/crates/policy/src/claims/writes.rs
+++ b/crates/policy/src/claims/writes.rs
@@ -4,7 +4,7 @@
 
 use super::claim_tracker::CLAIM_VALIDITY;
 use super::entry::Stage;
-use super::{ClaimBook, ClaimCause, ClaimChange, ClaimGroup, GroupAnswer};
+use super::{ClaimCause, ClaimChange, ClaimGroup, ClaimTracker, GroupAnswer};
 use crate::Timestamp;
 
 /// The maximum number of claims in one group. A transaction compares and writes each of
@@ -19,7 +19,7 @@
 /// delay each call for as long as it may wait for its claim.
 const OUTAGE_LOST_ANSWERS: u32 = 3;
 
-impl ClaimBook {
+impl ClaimTracker {
     /// Returns the next group to write, if one is due.
     ///
     /// A claim whose answer was lost is written again in a later group under the same
@@ -28,7 +28,7 @@
     /// fails instead.
     pub fn next_group(&mut self, now: Timestamp) -> Option<ClaimGroup> {
         let last = self.group_sent_at;
-        if last.is_some_and(|at| now.since(at) < self.spacing) {
+        if last.is_some_and(|at| now.since(at) < self.min_group_interval) {
             return None;
         }
         let number = self.groups + 1;
@@ -57,13 +57,13 @@
     pub fn group_due(&self) -> Option<Timestamp> {
         let mut entries = self.entries.iter();
         entries.find(|it| it.stage == Stage::Waiting)?;
-        let after = self.group_sent_at.map(|at| at + self.spacing);
+        let after = self.group_sent_at.map(|at| at + self.min_group_interval);
         Some(after.unwrap_or(Timestamp::ZERO))
     }
 
     /// Returns the number of consecutive groups whose answers were lost. The delay
     /// before the next group should grow with it.
-    pub fn losses(&self) -> u32 {
+    pub fn consecutive_losses(&self) -> u32 {
         self.losses
     }
 
--- a/crates/policy/src/freshness.rs
+++ b/crates/policy/src/freshness.rs
@@ -8,8 +8,8 @@
 //!
 //! On the users' platform one daemon of each zone watches the store. [`ViewLag`]
 //! measures for how long a view has been behind and how many daemons query the store as
-//! substitutes, [`ShowBudget`] limits how many peers are sent a large view at once, and
-//! [`PassedSources`] lists peers that temporarily get no requests. [`StoreContact`]
+//! substitutes, [`SendBudget`] limits how many peers are sent a large view at once, and
+//! [`PausedSources`] lists peers that temporarily get no requests. [`StoreContact`]
 //! detects which calls that wait for a change may have been lost.
 
 mod fleet_member;
@@ -24,10 +24,10 @@
 
 pub use fleet_member::{FleetMember, member_score};
 pub use freshness_settings::FreshnessSettings;
-pub use passed_sources::PassedSources;
-pub use show_budget::ShowBudget;
+pub use passed_sources::PausedSources;
+pub use show_budget::SendBudget;
 pub use store_contact::StoreContact;
 pub use view_age::ViewAge;
 pub use view_lag::ViewLag;
-pub use view_offer::{OfferVerdict, ViewOffer};
+pub use view_offer::{OfferDecision, ViewOffer};
 pub use watch_plan::WatchPlan;
--- a/crates/policy/src/freshness/freshness_settings.rs
+++ b/crates/policy/src/freshness/freshness_settings.rs
@@ -13,20 +13,20 @@
     pub fresh_within: Duration,
     /// The interval at which a daemon that doesn't follow the platform requests the
     /// view from one that does.
-    pub ask_interval: Duration,
+    pub request_interval: Duration,
     /// The interval between the requests of a daemon that has no view yet.
-    pub first_ask_interval: Duration,
+    pub first_request_interval: Duration,
     /// How long a daemon that didn't answer is skipped.
-    pub avoid_for: Duration,
+    pub skip_duration: Duration,
     /// How long a daemon that offered an old view ranks behind the others as a source.
-    pub postpone_for: Duration,
+    pub deprioritize_duration: Duration,
     /// The age of the own view up to which an outdated answer is followed by an early
     /// request to another daemon. A greater age means an outage, in which requests
     /// above the normal rate would only load daemons that have nothing newer.
-    pub hurry_within: Duration,
+    pub early_request_max_age: Duration,
     /// The number of other daemons that must have answered or timed out before a daemon
     /// that finds no fresh view serves with the newest one it received.
-    pub enough_answers: usize,
+    pub min_answers: usize,
 }
 
 impl Default for FreshnessSettings {
@@ -34,12 +34,12 @@
         FreshnessSettings {
             watchers: 2,
             fresh_within: Duration::from_secs(3),
-            ask_interval: Duration::from_secs(1),
-            first_ask_interval: Duration::from_millis(100),
-            avoid_for: Duration::from_secs(10),
-            postpone_for: Duration::from_secs(2),
-            hurry_within: Duration::from_secs(12),
-            enough_answers: 5,
+            request_interval: Duration::from_secs(1),
+            first_request_interval: Duration::from_millis(100),
+            skip_duration: Duration::from_secs(10),
+            deprioritize_duration: Duration::from_secs(2),
+            early_request_max_age: Duration::from_secs(12),
+            min_answers: 5,
         }
     }
 }
--- a/crates/policy/src/freshness/passed_sources.rs
+++ b/crates/policy/src/freshness/passed_sources.rs
@@ -20,19 +20,19 @@
 /// again and again instead of daemons of other zones, its zone would keep old settings
 /// for as long as the fault lasts.
 #[derive(Clone, Debug)]
-pub struct PassedSources<T> {
+pub struct PausedSources<T> {
     paused: Vec<(T, Timestamp)>,
 }
 
-impl<T> Default for PassedSources<T> {
+impl<T> Default for PausedSources<T> {
     fn default() -> Self {
-        PassedSources { paused: Vec::new() }
+        PausedSources { paused: Vec::new() }
     }
 }
 
-impl<T: Copy + PartialEq> PassedSources<T> {
+impl<T: Copy + PartialEq> PausedSources<T> {
     /// Returns whether requests to a peer are paused at present.
-    pub fn is_passed(&self, source: T, now: Timestamp) -> bool {
+    pub fn is_paused(&self, source: T, now: Timestamp) -> bool {
         self.paused.iter().any(|it| it.0 == source && it.1 > now)
     }
 
--- a/crates/policy/src/freshness/show_budget.rs
+++ b/crates/policy/src/freshness/show_budget.rs
@@ -23,11 +23,11 @@
 /// requests while the serving daemon is healthy and up to date. Sent to a few peers at
 /// a time, the view arrives complete, and each of them becomes a source for others.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ShowBudget {
+pub struct SendBudget {
     busy_until: Timestamp,
 }
 
-impl ShowBudget {
+impl SendBudget {
     /// Returns whether a view of `bytes` bytes may be sent; if so, it is charged to the
     /// budget.
     pub fn admits(&mut self, bytes: usize, now: Timestamp) -> bool {
--- a/crates/policy/src/freshness/store_contact.rs
+++ b/crates/policy/src/freshness/store_contact.rs
@@ -70,12 +70,12 @@
     /// ends a silence.
     pub fn note_answer(&mut self, sent_at: Timestamp, now: Timestamp) -> bool {
         self.answer_latency = now.since(sent_at);
-        self.note_news(sent_at, now)
+        self.note_change(sent_at, now)
     }
 
     /// Records the answer to a call that waited for a change. Returns whether it ends a
     /// silence.
-    pub fn note_news(&mut self, sent_at: Timestamp, now: Timestamp) -> bool {
+    pub fn note_change(&mut self, sent_at: Timestamp, now: Timestamp) -> bool {
         self.newest_answered = self.newest_answered.max(Some(sent_at));
         let is_regained = self.silent_since.take().is_some();
         if is_regained {
@@ -112,13 +112,13 @@
     }
 
     /// Returns how long ago the newest answered call was sent.
-    pub fn answered_ago(&self, now: Timestamp) -> Option<Duration> {
+    pub fn answered_call_age(&self, now: Timestamp) -> Option<Duration> {
         self.newest_answered.map(|it| now.since(it))
     }
 
     /// Returns whether a call that was sent at `sent_at` and still waits may never be
     /// answered, so that it has to be reissued.
-    pub fn is_doubtful(&self, sent_at: Timestamp) -> bool {
+    pub fn is_unconfirmed(&self, sent_at: Timestamp) -> bool {
         self.regained_at.is_some_and(|it| sent_at <= it)
     }
 
--- a/crates/policy/src/freshness/view_lag.rs
+++ b/crates/policy/src/freshness/view_lag.rs
@@ -44,7 +44,7 @@
     /// always do: one more after a step, then three, seven and so on. If all of them
     /// did so at the first sign of a lag, a short delay would cost one call per daemon
     /// of the fleet.
-    pub fn stand_ins(&self, now: Timestamp) -> usize {
+    pub fn substitutes(&self, now: Timestamp) -> usize {
         let steps = self.age(now).as_millis() / STEP_DURATION.as_millis();
         let steps = u32::try_from(steps).unwrap_or(MAX_STEPS).min(MAX_STEPS);
         (1 << steps) - 1
--- a/crates/policy/src/freshness/view_offer.rs
+++ b/crates/policy/src/freshness/view_offer.rs
@@ -19,12 +19,12 @@
 
 /// What to do with an offered view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OfferVerdict {
+pub enum OfferDecision {
     /// Apply its changes, which lead from the own revision to the offered one.
-    Take,
+    Apply,
     /// Changes between the own view and the offered ones are missing: request the
     /// complete view.
     Gap,
     /// Ignore the offered view, which is older than the own one.
-    Behind,
+    Outdated,
 }
--- a/crates/policy/src/freshness/watch_plan.rs
+++ b/crates/policy/src/freshness/watch_plan.rs
@@ -5,7 +5,7 @@
 
 use rand::{Rng, seq::IndexedRandom};
 
-use super::{FleetMember, FreshnessSettings, OfferVerdict, ViewAge, ViewOffer};
+use super::{FleetMember, FreshnessSettings, OfferDecision, ViewAge, ViewOffer};
 use crate::{DaemonId, Timestamp};
 
 /// A member that didn't answer, or offered nothing useful.
@@ -129,13 +129,13 @@
     }
 
     /// Returns whether the next request to a peer is due.
-    pub fn is_ask_due(&self, now: Timestamp) -> bool {
+    pub fn is_request_due(&self, now: Timestamp) -> bool {
         now >= self.next_request_at
     }
 
     /// Returns the peer to query now, if a request is due.
-    pub fn next_ask(&mut self, now: Timestamp, rng: &mut impl Rng) -> Option<DaemonId> {
-        if !self.is_ask_due(now) {
+    pub fn next_request(&mut self, now: Timestamp, rng: &mut impl Rng) -> Option<DaemonId> {
+        if !self.is_request_due(now) {
             return None;
         }
         let target = match self.choose_probe(now) {
@@ -144,8 +144,8 @@
             None => self.choose_uncontacted(now, rng),
         };
         let interval = match self.view {
-            Some(_) => self.settings.ask_interval,
-            None => self.settings.first_ask_interval,
+            Some(_) => self.settings.request_interval,
+            None => self.settings.first_request_interval,
         };
         self.next_request_at = now + interval;
         target
@@ -160,10 +160,10 @@
     /// ranking, so the member ranked next replaces it at once. It is queried again after
     /// a delay; a higher-ranked member stays skipped until it answers, since the ranking
     /// would otherwise change with each attempt.
-    pub fn take_silence(&mut self, member: DaemonId, now: Timestamp) {
+    pub fn record_timeout(&mut self, member: DaemonId, now: Timestamp) {
         self.note_contacted(member);
         self.avoided.retain(|it| it.id != member);
-        let until = now + self.settings.avoid_for;
+        let until = now + self.settings.skip_duration;
         self.avoided.push(SkippedMember { id: member, until });
         self.next_request_at = now;
         self.update_ready(now);
@@ -171,7 +171,7 @@
 
     /// Records that a member answered without a view to offer, for example because it
     /// has just been started like the daemon that queries it.
-    pub fn take_nothing(&mut self, member: DaemonId, now: Timestamp) {
+    pub fn record_empty_answer(&mut self, member: DaemonId, now: Timestamp) {
         self.note_contacted(member);
         self.avoided.retain(|it| it.id != member);
         self.update_ready(now);
@@ -182,22 +182,22 @@
     /// The age counts from the time of the request rather than from the arrival of the
     /// answer: an answer can wait in this process's own buffers while the process is
     /// paused.
-    pub fn take_offer(
+    pub fn apply_offer(
         &mut self,
         member: DaemonId,
         offer: ViewOffer,
         sent: Timestamp,
         now: Timestamp,
-    ) -> OfferVerdict {
+    ) -> OfferDecision {
         self.note_contacted(member);
         self.avoided.retain(|it| it.id != member);
         let verdict = self.compare(offer);
-        if verdict == OfferVerdict::Take {
+        if verdict == OfferDecision::Apply {
             self.take_view(offer.revision, ViewAge::new(sent, offer.age));
             self.note_relief(member, offer, sent, now);
         }
         let offered = ViewAge::new(sent, offer.age);
-        if verdict == OfferVerdict::Behind || !self.is_fresh(Some(offered), now) {
+        if verdict == OfferDecision::Outdated || !self.is_fresh(Some(offered), now) {
             self.postpone(member, now);
         }
         self.update_ready(now);
@@ -208,23 +208,23 @@
     /// the platform, half of the queried members have nothing new, and drawing them
     /// repeatedly would take seconds.
     fn postpone(&mut self, member: DaemonId, now: Timestamp) {
-        let until = now + self.settings.postpone_for;
+        let until = now + self.settings.deprioritize_duration;
         self.postponed.retain(|it| it.until > now);
         self.postponed.push(SkippedMember { id: member, until });
         let age = self.age(now).unwrap_or_default();
-        if age > self.settings.fresh_within && age <= self.settings.hurry_within {
-            self.next_request_at = now + self.settings.first_ask_interval;
+        if age > self.settings.fresh_within && age <= self.settings.early_request_max_age {
+            self.next_request_at = now + self.settings.first_request_interval;
         }
     }
 
-    fn compare(&self, offer: ViewOffer) -> OfferVerdict {
+    fn compare(&self, offer: ViewOffer) -> OfferDecision {
         if offer.revision < self.revision {
-            return OfferVerdict::Behind;
+            return OfferDecision::Outdated;
         }
         if offer.base > self.revision {
-            return OfferVerdict::Gap;
+            return OfferDecision::Gap;
         }
-        OfferVerdict::Take
+        OfferDecision::Apply
     }
 
     fn take_view(&mut self, revision: i64, view: ViewAge) {
@@ -241,7 +241,7 @@
 
     /// Applies the result of a read of the platform that was sent at `sent`. Returns
     /// false, and changes nothing, if the view is already ahead of it.
-    pub fn take_read(&mut self, revision: i64, sent: Timestamp, now: Timestamp) -> bool {
+    pub fn apply_read(&mut self, revision: i64, sent: Timestamp, now: Timestamp) -> bool {
         if revision < self.revision {
             return false;
         }
@@ -255,7 +255,7 @@
     /// Applies an event of a watch. Returns false if the view is already ahead of it.
     /// The age of the view doesn't change: an event can have waited in a buffer for any
     /// time, and later ones may still be delayed.
-    pub fn take_watched(&mut self, revision: i64) -> bool {
+    pub fn apply_watch_event(&mut self, revision: i64) -> bool {
         if revision <= self.revision {
             return false;
         }
@@ -274,7 +274,7 @@
     /// without a fresh view.
     fn update_ready(&mut self, now: Timestamp) {
         let others = self.zone.len() + self.other_zones.len();
-        let enough = self.settings.enough_answers.min(others);
+        let enough = self.settings.min_answers.min(others);
         let contacted_enough = others > 0 && self.contacted.len() >= enough;
         let fresh = self.is_fresh(self.view, now);
         self.ready |= self.view.is_some() && (fresh || contacted_enough);
--- a/crates/policy/src/hash.rs
+++ b/crates/policy/src/hash.rs
@@ -3,7 +3,7 @@
 use sha2::{Digest, Sha256};
 
 /// Returns a 64-bit hash of `name`: the first eight bytes of its SHA-256 digest.
-pub fn name_key(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     let digest = Sha256::digest(name.as_bytes());
     let mut head = [0; 8];
     head.copy_from_slice(&digest[..8]);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -13,13 +13,13 @@
 //! - Routing: which server gets a request ([`ServerTable`]).
 //! - Retries: whether a failed attempt is retried ([`decide_retry`], [`RetryBudget`]).
 //! - Suspects: requests that were in flight on a server that died ([`SuspectTable`]).
-//! - Claims: calls that must not run twice ([`ClaimBook`]).
+//! - Claims: calls that must not run twice ([`ClaimTracker`]).
 //! - [`bulk`] and [`lots`]: how much bulk work a server gets, and from which lots
-//!   ([`bulk::BulkGate`], [`lots::LotRanking`]).
+//!   ([`bulk::BulkLimiter`], [`lots::LotRanking`]).
 //! - [`placement`]: which server a request goes to, when it is refused instead,
 //!   and which lot items are preempted ([`placement::PlacementTable`]).
 //! - [`usage`]: enforces customers' rates by usage counts that daemons exchange
-//!   ([`usage::UsageBook`]).
+//!   ([`usage::UsageTracker`]).
 //! - Members and freshness: which daemons belong to the fleet, and how old the
 //!   local view of the settings is ([`MemberTable`], [`WatchPlan`]).
 //!
@@ -43,29 +43,29 @@
 pub mod usage;
 
 pub use claims::{
-    AnswerRef, ClaimBook, ClaimCause, ClaimChange, ClaimGroup, ClaimKey, ClaimRecord, ClaimRefusal,
-    ClaimState, ClaimTicket, ClaimVerdict, GroupAnswer,
+    AnswerRef, ClaimCause, ClaimChange, ClaimGroup, ClaimKey, ClaimRecord, ClaimRefusal,
+    ClaimState, ClaimTicket, ClaimTracker, ClaimVerdict, GroupAnswer,
 };
 pub use freshness::{
-    FleetMember, FreshnessSettings, OfferVerdict, PassedSources, ShowBudget, StoreContact, ViewAge,
-    ViewLag, ViewOffer, WatchPlan, member_score,
+    FleetMember, FreshnessSettings, OfferDecision, PausedSources, SendBudget, StoreContact,
+    ViewAge, ViewLag, ViewOffer, WatchPlan, member_score,
 };
-pub use hash::name_key;
+pub use hash::name_hash;
 pub use ids::{CustomerId, DaemonId, GroupId, Incarnation, ServerId, ServiceId, ZoneId};
-pub use members::{Heartbeat, ListedDaemon, MemberEntry, MemberNews, MemberTable};
+pub use members::{Heartbeat, ListedDaemon, MemberEntry, MemberEvent, MemberTable};
 pub use queue::{LiveQueue, QueueCause, QueueRefusal, QueuedCall};
 pub use retries::{
     AttemptReport, FinalAnswer, FinalCause, RetryBudget, RetryDecision, RunState, SuspectVerdict,
     decide_retry,
 };
 pub use routing::{
-    ListOutcome, ListedServer, LoadReport, RouteQuery, ServerEntry, ServerHealth, ServerKey,
-    ServerLoad, ServerOutcome, ServerState, ServerTable, YieldingLoad, ZoneLoad,
+    ListOutcome, ListedServer, LoadReport, PreemptibleLoad, RouteQuery, ServerEntry, ServerHealth,
+    ServerKey, ServerLoad, ServerOutcome, ServerState, ServerTable, ZoneLoad,
 };
 pub use suspects::{
     DeathFact, DeathId, Fingerprint, NoticeAck, RunEnd, RunId, Suspect, SuspectFact, SuspectNotice,
-    SuspectStage, SuspectTable, TrialAnswer, TrialAsk, TrialBook, TrialEnd, TrialRecord,
-    TrialSettlement, TrialStep, TrialTicket,
+    SuspectStage, SuspectTable, TrialAnswer, TrialEnd, TrialRecord, TrialRequest, TrialSettlement,
+    TrialStep, TrialTicket, TrialTracker,
 };
 pub use time::Timestamp;
-pub use urgency::{CallTraits, CallerDoor, CallerKey, Urgency, UrgencyTable};
+pub use urgency::{CallTraits, CallerInterface, CallerKey, Urgency, UrgencyTable};
--- a/crates/policy/src/lots/copy_proof.rs
+++ b/crates/policy/src/lots/copy_proof.rs
@@ -22,11 +22,11 @@
 
 /// What the daemon that runs a lot reports of its results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RunnerVouch {
+pub struct RunnerConfirmation {
     /// How many results there are.
     pub results: usize,
     /// When this report arrived.
-    pub heard_at: Timestamp,
+    pub last_received_at: Timestamp,
 }
 
 /// A daemon's copy of a lot's results.
@@ -52,7 +52,7 @@
     /// The first position that it wants.
     pub after: usize,
     /// When it sent the request.
-    pub asked_at: Timestamp,
+    pub requested_at: Timestamp,
 }
 
 impl CopyState {
@@ -63,10 +63,10 @@
 
     /// Returns whether the store or the runner has to be queried for further results
     /// before a reader is answered.
-    pub fn is_doubtful(
+    pub fn needs_refresh(
         &self,
         reader: ReaderPosition,
-        report: Option<RunnerVouch>,
+        report: Option<RunnerConfirmation>,
         now: Timestamp,
     ) -> bool {
         if self.is_final {
@@ -75,10 +75,10 @@
         // The reader was sent more results elsewhere, which proves that the copy is
         // incomplete.
         if self.is_behind(reader) {
-            let is_outdated = self.proved_at < reader.asked_at;
+            let is_outdated = self.proved_at < reader.requested_at;
             return is_outdated || now.since(self.proved_at) > EMPTY_PROOF_LIFETIME;
         }
-        if self.falls_short(report) {
+        if self.lacks_reported_results(report) {
             return true;
         }
         let proof_lifetime = match self.serves(reader) {
@@ -96,16 +96,16 @@
     /// Returns whether the daemon that runs the lot reported more results than the copy
     /// has. Results are never removed, so this holds however old the report is, and
     /// whatever a query has returned.
-    pub fn falls_short(&self, report: Option<RunnerVouch>) -> bool {
+    pub fn lacks_reported_results(&self, report: Option<RunnerConfirmation>) -> bool {
         !self.is_final && report.is_some_and(|it| it.results > self.results)
     }
 
     /// Returns whether a reader may be told that there are no results for it, after a
     /// query that may have taken its time.
-    pub fn proves_nothing_there(
+    pub fn proves_no_results(
         &self,
         reader: ReaderPosition,
-        report: Option<RunnerVouch>,
+        report: Option<RunnerConfirmation>,
         now: Timestamp,
     ) -> bool {
         let proved_at = match self.is_behind(reader) {
@@ -113,19 +113,19 @@
             false => self.last_proved_at(report),
         };
         let is_recent = now.since(proved_at) <= DELAYED_PROOF_LIFETIME;
-        self.is_final || (is_recent && !self.falls_short(report))
+        self.is_final || (is_recent && !self.lacks_reported_results(report))
     }
 
-    fn last_proved_at(&self, report: Option<RunnerVouch>) -> Timestamp {
+    fn last_proved_at(&self, report: Option<RunnerConfirmation>) -> Timestamp {
         let matching = report.filter(|it| it.results == self.results);
-        let last_reported_at = matching.map_or(Timestamp::ZERO, |it| it.heard_at);
+        let last_reported_at = matching.map_or(Timestamp::ZERO, |it| it.last_received_at);
         self.proved_at.max(last_reported_at)
     }
 }
 
 /// Returns whether a daemon that runs a lot under a valid claim may confirm that it
-/// knows all of its results. `undecided_since` is the time at which it began a write
+/// knows all of its results. `unanswered_since` is the time at which it began a write
 /// that has no answer yet.
-pub fn knows_all_results(undecided_since: Option<Timestamp>, now: Timestamp) -> bool {
-    undecided_since.is_none_or(|it| now.since(it) <= UNDECIDED_WRITE_LIMIT)
+pub fn knows_all_results(unanswered_since: Option<Timestamp>, now: Timestamp) -> bool {
+    unanswered_since.is_none_or(|it| now.since(it) <= UNDECIDED_WRITE_LIMIT)
 }
--- a/crates/policy/src/lots/hold_limit.rs
+++ b/crates/policy/src/lots/hold_limit.rs
@@ -21,7 +21,7 @@
 
 impl HeldSize {
     /// Returns whether one more lot may be claimed.
-    pub fn has_room(self) -> bool {
+    pub fn has_capacity(self) -> bool {
         self.lots < MAX_LOTS && self.bytes < MAX_BYTES
     }
 }
--- a/crates/policy/src/lots/item_tries.rs
+++ b/crates/policy/src/lots/item_tries.rs
@@ -8,7 +8,7 @@
 
 /// The failed attempts of an item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ItemTries {
+pub struct ItemAttempts {
     /// Runs that ended in a server's fault.
     pub faults: u32,
     /// Those of them that count against the item, since other items succeeded
@@ -31,7 +31,7 @@
 
 /// What to do with an item after a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryVerdict {
+pub enum ItemRetryVerdict {
     /// Run it again, at this time at the earliest.
     Retry(Timestamp),
     /// Record an error as the item's result.
@@ -46,7 +46,7 @@
 /// nothing succeeds, the servers are at fault: the item waits, however long that takes,
 /// and isn't failed for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TryPolicy {
+pub struct ItemRetryPolicy {
     /// The number of faults of its own at which an item is given up.
     pub max_own_faults: u32,
     /// How many other items must have succeeded since the item's last fault for the
@@ -60,9 +60,9 @@
     pub max_backoff: Duration,
 }
 
-impl Default for TryPolicy {
+impl Default for ItemRetryPolicy {
     fn default() -> Self {
-        TryPolicy {
+        ItemRetryPolicy {
             max_own_faults: 3,
             min_other_successes: 2,
             max_crashes: 2,
@@ -72,16 +72,16 @@
     }
 }
 
-impl TryPolicy {
+impl ItemRetryPolicy {
     /// Records a server's fault. `others_done` is the number of other items of the same
     /// model that succeeded since the item's run began.
     pub fn fault(
         &self,
-        attempts: &mut ItemTries,
+        attempts: &mut ItemAttempts,
         others_done: u64,
         now: Timestamp,
         random: &mut impl Rng,
-    ) -> TryVerdict {
+    ) -> ItemRetryVerdict {
         attempts.faults += 1;
         attempts.needs_probe = others_done < self.min_other_successes;
         if !attempts.needs_probe {
@@ -93,38 +93,38 @@
     /// Decides on the last fault by whether a probe succeeded.
     pub fn probe(
         &self,
-        attempts: &mut ItemTries,
+        attempts: &mut ItemAttempts,
         went_through: bool,
         now: Timestamp,
         random: &mut impl Rng,
-    ) -> TryVerdict {
+    ) -> ItemRetryVerdict {
         attempts.needs_probe = false;
         if went_through {
             attempts.own_faults += 1;
             return self.verdict(attempts, now);
         }
-        TryVerdict::Retry(now + self.backoff_after(attempts.faults, random))
+        ItemRetryVerdict::Retry(now + self.backoff_after(attempts.faults, random))
     }
 
-    fn verdict(&self, attempts: &ItemTries, retry_at: Timestamp) -> TryVerdict {
+    fn verdict(&self, attempts: &ItemAttempts, retry_at: Timestamp) -> ItemRetryVerdict {
         match attempts.own_faults >= self.max_own_faults {
-            true => TryVerdict::GiveUp(GiveUpReason::FailsAlone),
-            false => TryVerdict::Retry(retry_at),
+            true => ItemRetryVerdict::GiveUp(GiveUpReason::FailsAlone),
+            false => ItemRetryVerdict::Retry(retry_at),
         }
     }
 
     /// Records that a backend server crashed while the item ran on it.
     pub fn crash(
         &self,
-        attempts: &mut ItemTries,
+        attempts: &mut ItemAttempts,
         now: Timestamp,
         random: &mut impl Rng,
-    ) -> TryVerdict {
+    ) -> ItemRetryVerdict {
         attempts.crashes = attempts.crashes.saturating_add(1);
         if attempts.crashes >= self.max_crashes {
-            return TryVerdict::GiveUp(GiveUpReason::CrashesServers);
+            return ItemRetryVerdict::GiveUp(GiveUpReason::CrashesServers);
         }
-        TryVerdict::Retry(now + self.backoff_after(1, random))
+        ItemRetryVerdict::Retry(now + self.backoff_after(1, random))
     }
 
     /// Returns a doubling backoff, randomized over its upper half so that the items of
--- a/crates/policy/src/lots/mod.rs
+++ b/crates/policy/src/lots/mod.rs
@@ -4,7 +4,7 @@
 //!   time left to each lot.
 //! - [`LotForecast`] tells early which lots will miss their due time.
 //! - [`SegmentChoice`] picks the segment to claim next.
-//! - [`TryPolicy`] distinguishes an item that can never succeed from a server's fault.
+//! - [`ItemRetryPolicy`] distinguishes an item that can never succeed from a server's fault.
 //! - [`home_daemon`] names the daemon through which bulk work reaches a server;
 //!   [`crate::bulk`] decides how much of it.
 //! - [`CopyState`] decides when a reader may be answered from a copy of a lot's
@@ -32,15 +32,15 @@
 mod start_order;
 mod waiting_tokens;
 
-pub use claim_doubt::{may_begin_items, was_out_of_touch};
-pub use copy_proof::{CopyState, ReaderPosition, RunnerVouch, knows_all_results};
+pub use claim_doubt::{may_begin_items, was_out_of_contact};
+pub use copy_proof::{CopyState, ReaderPosition, RunnerConfirmation, knows_all_results};
 pub use hold_limit::HeldSize;
 pub use home_daemon::home_daemon;
-pub use item_tries::{GiveUpReason, ItemTries, TryPolicy, TryVerdict};
+pub use item_tries::{GiveUpReason, ItemAttempts, ItemRetryPolicy, ItemRetryVerdict};
 pub use lot_forecast::{LotForecast, PaceMeter};
 pub use lot_ranking::{LotKey, LotRanking, RankedLot};
 pub use result_grouping::ResultGrouping;
-pub use runner_choice::{RunnerLoad, choose_runner, choose_successor};
+pub use runner_choice::{RunnerLoad, choose_handover_target, choose_runner};
 pub use segment_choice::SegmentChoice;
-pub use start_order::{ItemTimes, RunPace, StartRank};
-pub use waiting_tokens::{LotsKnown, ReturnPace, TokenLedger, TokenVerdict, WaitingLot};
+pub use start_order::{ItemTimes, RunTimeEstimate, StartRank};
+pub use waiting_tokens::{LotTokenBounds, TokenLedger, TokenReturnRate, TokenVerdict, WaitingLot};
--- a/crates/policy/src/lots/runner_choice.rs
+++ b/crates/policy/src/lots/runner_choice.rs
@@ -36,7 +36,7 @@
 ///
 /// After a restart of all VMs, the first daemon that is back finds all lots without a
 /// runner, claims them, and would otherwise run them alone.
-pub fn choose_successor(own: u32, moved: u32, others: &[RunnerLoad]) -> Option<PeerId> {
+pub fn choose_handover_target(own: u32, moved: u32, others: &[RunnerLoad]) -> Option<PeerId> {
     let least_loaded = others.iter().min_by_key(|it| (it.items, it.runner))?;
     let required = least_loaded
         .items
--- a/crates/policy/src/lots/start_order.rs
+++ b/crates/policy/src/lots/start_order.rs
@@ -50,7 +50,7 @@
 
 /// The typical run time of items, as a decaying mean.
 #[derive(Clone, Copy, Debug)]
-pub struct RunPace {
+pub struct RunTimeEstimate {
     secs_per_event: f64,
     events_per_item: f64,
 }
@@ -58,19 +58,19 @@
 /// The weight of a new sample in the mean.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-impl Default for RunPace {
+impl Default for RunTimeEstimate {
     /// Without samples, every item counts as able to be on time.
     fn default() -> Self {
-        RunPace {
+        RunTimeEstimate {
             secs_per_event: 0.0,
             events_per_item: 0.0,
         }
     }
 }
 
-impl RunPace {
+impl RunTimeEstimate {
     /// Records a run that produced `events` events.
-    pub fn note_run(&mut self, run_time: Duration, events: u32) {
+    pub fn record_run(&mut self, run_time: Duration, events: u32) {
         if events > 0 {
             let secs_per_event = run_time.as_secs_f64() / f64::from(events);
             update_mean(&mut self.secs_per_event, secs_per_event);
@@ -78,13 +78,13 @@
     }
 
     /// Records how many events a whole item had.
-    pub fn note_whole(&mut self, events: u32) {
+    pub fn record_item_events(&mut self, events: u32) {
         update_mean(&mut self.events_per_item, f64::from(events));
     }
 
     /// Returns how long the rest of an item takes that has produced `events` events so
     /// far.
-    pub fn rest(&self, events: u32) -> Duration {
+    pub fn remaining(&self, events: u32) -> Duration {
         let remaining = (self.events_per_item - f64::from(events)).max(0.0);
         Duration::from_secs_f64(remaining * self.secs_per_event)
     }
--- a/crates/policy/src/lots/waiting_tokens.rs
+++ b/crates/policy/src/lots/waiting_tokens.rs
@@ -32,7 +32,7 @@
     /// It fits within the bound.
     Fits,
     /// It was accepted before.
-    Known,
+    AlreadyAccepted,
     /// There will be capacity once this many tokens have returned.
     Full {
         /// The tokens that are missing.
@@ -76,14 +76,14 @@
 
     /// Returns whether the ledger has to be compared with the open lots before it
     /// decides: it was compared for another bound, or has become long.
-    pub fn is_doubtful(&self, bound: u64) -> bool {
+    pub fn needs_refresh(&self, bound: u64) -> bool {
         self.bound != bound || self.lots.len() > MAX_UNCHECKED_LOTS
     }
 
     /// Decides whether a lot fits within `bound`.
-    pub fn judge(&self, lot: &WaitingLot, bound: u64) -> TokenVerdict {
+    pub fn check_fit(&self, lot: &WaitingLot, bound: u64) -> TokenVerdict {
         if self.position(&lot.lot).is_ok() {
-            return TokenVerdict::Known;
+            return TokenVerdict::AlreadyAccepted;
         }
         if lot.tokens > bound {
             return TokenVerdict::NeverFits;
@@ -106,13 +106,13 @@
     /// Compares the ledger with all open lots of this customer and route, as the store
     /// returned them after it had returned this ledger. A lot that is no longer open is
     /// never opened again.
-    pub fn compare(&mut self, open: &[WaitingLot], bound: u64) -> LotsKnown {
-        let mut known = LotsKnown::default();
+    pub fn compare(&mut self, open: &[WaitingLot], bound: u64) -> LotTokenBounds {
+        let mut known = LotTokenBounds::default();
         for lot in &self.lots {
             let matching = open.iter().find(|it| it.lot == lot.lot);
             known.set(&lot.lot, matching.map_or(0, |it| it.tokens));
         }
-        self.reduce(&known);
+        self.apply_bounds(&known);
         for lot in open {
             if self.position(&lot.lot).is_err() {
                 self.add(lot.clone());
@@ -124,7 +124,7 @@
 
     /// Lowers the waiting tokens of each lot to the known upper bound. That holds for
     /// any later version of the ledger too, since finished items stay finished.
-    pub fn reduce(&mut self, known: &LotsKnown) {
+    pub fn apply_bounds(&mut self, known: &LotTokenBounds) {
         for lot in &mut self.lots {
             if let Some(tokens) = known.tokens(&lot.lot) {
                 lot.tokens = lot.tokens.min(tokens);
@@ -145,12 +145,12 @@
 
 /// Upper bounds on the waiting tokens of lots.
 #[derive(Clone, Debug, Default)]
-pub struct LotsKnown {
+pub struct LotTokenBounds {
     /// Sorted by id.
     lots: Vec<WaitingLot>,
 }
 
-impl LotsKnown {
+impl LotTokenBounds {
     fn set(&mut self, lot: &str, tokens: u64) {
         match self.lots.binary_search_by(|it| it.lot.as_str().cmp(lot)) {
             Ok(position) => self.lots[position].tokens = tokens,
@@ -170,13 +170,13 @@
 /// The rate at which a customer's waiting tokens return, from one query of the open
 /// lots to the next.
 #[derive(Clone, Debug, Default)]
-pub struct ReturnPace {
+pub struct TokenReturnRate {
     tokens_per_sec: f64,
     /// The open lots at the last query, and the time of it.
     last_observation: Option<(Vec<WaitingLot>, Timestamp)>,
 }
 
-impl ReturnPace {
+impl TokenReturnRate {
     /// Records the open lots as of now.
     pub fn note(&mut self, open: &[WaitingLot], now: Timestamp) {
         let last_observation = self.last_observation.replace((open.to_vec(), now));
@@ -207,7 +207,7 @@
 
     /// Returns after which time there should be capacity for `missing` tokens, at most
     /// the given limit (but no less than the shortest delay).
-    pub fn room_in(&self, missing: u64, max_retry_after: Duration) -> Duration {
+    pub fn retry_after(&self, missing: u64, max_retry_after: Duration) -> Duration {
         let wait = match self.tokens_per_sec > 0.0 {
             true => Duration::try_from_secs_f64(missing as f64 / self.tokens_per_sec),
             false => Ok(DEFAULT_RETRY_AFTER),
--- a/crates/policy/src/members.rs
+++ b/crates/policy/src/members.rs
@@ -11,4 +11,4 @@
 mod roles;
 
 pub use list::ListedDaemon;
-pub use member_table::{Heartbeat, MemberEntry, MemberNews, MemberTable};
+pub use member_table::{Heartbeat, MemberEntry, MemberEvent, MemberTable};
--- a/crates/policy/src/members/member_table.rs
+++ b/crates/policy/src/members/member_table.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::{DaemonId, Incarnation, Timestamp, ZoneId, hash::name_key};
+use crate::{DaemonId, Incarnation, Timestamp, ZoneId, hash::name_hash};
 
 /// The interval between heartbeats to a daemon of the own zone.
 pub(super) const SAME_ZONE_INTERVAL: Duration = Duration::from_secs(2);
@@ -32,9 +32,9 @@
 
 /// The change of state that a heartbeat revealed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MemberNews {
+pub enum MemberEvent {
     /// Nothing has changed.
-    Known(DaemonId),
+    Unchanged(DaemonId),
     /// The daemon was unknown, or had been silent for long.
     Joined(DaemonId),
     /// The daemon was restarted and has lost its state.
@@ -102,7 +102,7 @@
     ///
     /// The daemon needn't be listed: the list is delayed, and a daemon that sends
     /// messages is running.
-    pub fn heartbeat(&mut self, beat: &Heartbeat, now: Timestamp) -> MemberNews {
+    pub fn heartbeat(&mut self, beat: &Heartbeat, now: Timestamp) -> MemberEvent {
         let position = self.position(&beat.name);
         let daemon = match position {
             Ok(at) => self.by_name[at],
@@ -126,19 +126,19 @@
         entry.last_received_at = Some(now);
         entry.is_unreachable = false;
         if leaves {
-            MemberNews::Leaving(daemon)
+            MemberEvent::Leaving(daemon)
         } else if restarted {
-            MemberNews::Restarted(daemon)
+            MemberEvent::Restarted(daemon)
         } else if !was_alive && !entry.reported_leaving {
-            MemberNews::Joined(daemon)
+            MemberEvent::Joined(daemon)
         } else {
-            MemberNews::Known(daemon)
+            MemberEvent::Unchanged(daemon)
         }
     }
 
     /// Records that a daemon's connections broke and can't be reopened. It counts as
     /// gone until a message from it arrives.
-    pub fn unreachable(&mut self, daemon: DaemonId) {
+    pub fn mark_unreachable(&mut self, daemon: DaemonId) {
         if daemon == Self::OWN {
             return;
         }
@@ -175,7 +175,7 @@
     ///
     /// Silent daemons get heartbeats too, so that both sides of a network partition
     /// find each other again.
-    pub fn beats_due(&mut self, now: Timestamp) -> Vec<DaemonId> {
+    pub fn due_heartbeats(&mut self, now: Timestamp) -> Vec<DaemonId> {
         let mut due = Vec::new();
         for &daemon in &self.by_name {
             let entry = &self.entries[daemon.index()];
@@ -201,7 +201,7 @@
     pub(super) fn insert(&mut self, name: &str, now: Timestamp) -> DaemonId {
         let entry = MemberEntry {
             name: name.to_owned(),
-            key: name_key(name),
+            key: name_hash(name),
             known_since: now,
             ..MemberEntry::default()
         };
--- a/crates/policy/src/members/roles.rs
+++ b/crates/policy/src/members/roles.rs
@@ -18,7 +18,7 @@
     /// own. While daemons disagree about a member, a server can have two homes; each of
     /// them sizes its share by its own measurements, so the server gets too much bulk
     /// work for some seconds, and no item is lost.
-    pub fn home(&self, server: ServerKey, zone: ZoneId, now: Timestamp) -> Option<DaemonId> {
+    pub fn home_daemon(&self, server: ServerKey, zone: ZoneId, now: Timestamp) -> Option<DaemonId> {
         self.ranked(server.0, zone, now)[0]
     }
 
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -22,6 +22,6 @@
 
 pub use home_set::{HomePair, home_pairs};
 pub use placement_table::{
-    Placement, PlacementQuery, PlacementRefusal, PlacementTable, ServerListing, YieldOrder,
+    Placement, PlacementQuery, PlacementRefusal, PlacementTable, PreemptionOrder, ServerListing,
 };
 pub use server_load::{LoadShare, ServerOutcomeKind, SlotReport, WorkKind};
--- a/crates/policy/src/placement/placement_table.rs
+++ b/crates/policy/src/placement/placement_table.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 
 use super::{LoadShare, ServerOutcomeKind, SlotReport, WorkKind, server_load::ServerLoad};
-use crate::{ServerId, Timestamp, hash::name_key, usage::PeerId};
+use crate::{ServerId, Timestamp, hash::name_hash, usage::PeerId};
 
 /// The weight of a lot item against a live request when a server is chosen for a live
 /// request: the item can be preempted, which takes a moment.
@@ -40,7 +40,7 @@
     /// Whether it takes new requests.
     pub is_ready: bool,
     /// A number that changes when the server restarts under the same name.
-    pub start: u64,
+    pub incarnation: u64,
 }
 
 /// What a request requires of a server.
@@ -53,7 +53,7 @@
     /// Servers that were attempted already.
     pub exclude: &'a [ServerId],
     /// The longest wait for a slot that still meets the request's objective.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// A chosen server.
@@ -81,7 +81,7 @@
 
 /// How many lot items to preempt at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct YieldOrder {
+pub struct PreemptionOrder {
     /// The server.
     pub server: ServerId,
     /// How many of this daemon's items to preempt.
@@ -125,7 +125,7 @@
         for listing in listings {
             let is_same_server = |it: &ServerEntry| {
                 it.listing.name == listing.name
-                    && it.listing.start == listing.start
+                    && it.listing.incarnation == listing.incarnation
                     && it.listing.address == listing.address
             };
             if let Some(entry) = self.servers.iter_mut().find(|it| is_same_server(it)) {
@@ -137,7 +137,7 @@
                 continue;
             }
             let entry = ServerEntry {
-                key: name_key(&listing.name),
+                key: name_hash(&listing.name),
                 load: ServerLoad::new(listing.slots),
                 listing: listing.clone(),
                 is_listed: true,
@@ -214,8 +214,8 @@
         };
         let entry = &self.servers[index];
         let expected_wait = entry.load.expected_wait(now);
-        if expected_wait > query.longest_wait {
-            let excess_wait = expected_wait - query.longest_wait;
+        if expected_wait > query.max_wait {
+            let excess_wait = expected_wait - query.max_wait;
             let retry_after = (excess_wait * 2).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
             return Err(PlacementRefusal::Full { retry_after });
         }
@@ -271,7 +271,7 @@
     ///
     /// Each daemon gives up its share of the missing slots, so that all of them
     /// together give up just enough.
-    pub fn yield_orders(&mut self, now: Timestamp) -> Vec<YieldOrder> {
+    pub fn preemption_orders(&mut self, now: Timestamp) -> Vec<PreemptionOrder> {
         let mut orders = Vec::new();
         for (index, entry) in self.servers.iter_mut().enumerate() {
             let items = entry.load.own_preemptions(self.own, now);
@@ -279,7 +279,7 @@
                 continue;
             }
             entry.load.record_preemption(now);
-            orders.push(YieldOrder {
+            orders.push(PreemptionOrder {
                 server: ServerId(index as u32),
                 items,
             });
@@ -289,7 +289,7 @@
 
     /// Returns the other daemons whose items have to be preempted at a server. They
     /// need a report at once, since a live request waits for these slots.
-    pub fn yield_holders(&self, id: ServerId, now: Timestamp) -> Vec<PeerId> {
+    pub fn preemption_holders(&self, id: ServerId, now: Timestamp) -> Vec<PeerId> {
         self.servers[id.index()].load.preemption_holders(now)
     }
 
@@ -327,7 +327,7 @@
     /// time in the server's queue included, later requests would seem to have no chance
     /// to start in time, and a server that answers within 60 ms would be rejected for a
     /// queue of three.
-    pub fn note_span(&mut self, id: ServerId, hold_time: Duration) {
+    pub fn record_hold_time(&mut self, id: ServerId, hold_time: Duration) {
         self.servers[id.index()].load.record_hold_time(hold_time);
     }
 
@@ -338,7 +338,7 @@
 
     /// Applies a report of another daemon: its load on servers, by the hashes of their
     /// names. It has nothing on servers that the report doesn't name.
-    pub fn hear(&mut self, peer: PeerId, shares: &[(u64, LoadShare)], now: Timestamp) {
+    pub fn receive(&mut self, peer: PeerId, shares: &[(u64, LoadShare)], now: Timestamp) {
         for entry in &mut self.servers {
             let named = shares.iter().find(|it| it.0 == entry.key);
             let share = named.map_or_else(LoadShare::default, |it| it.1);
--- a/crates/policy/src/queue/live_queue.rs
+++ b/crates/policy/src/queue/live_queue.rs
@@ -162,7 +162,7 @@
     }
 
     /// Takes out the calls whose deadline has passed; they must be rejected.
-    pub fn take_late(&mut self, now: Timestamp) -> Vec<QueuedCall> {
+    pub fn take_expired(&mut self, now: Timestamp) -> Vec<QueuedCall> {
         let calls = self.waiting.iter().map(|it| &self.calls[it.index()]);
         let calls = calls.flat_map(CallList::iter);
         let expired = calls.filter(|it| it.deadline <= now);
@@ -180,7 +180,7 @@
     /// customers that were served less may come after it. If it stayed, it would wait
     /// until its deadline only to be rejected then. The last call of each customer has
     /// the longest wait, so the search ends at the first one that can still start.
-    pub fn take_hopeless(&mut self, now: Timestamp) -> Vec<QueuedCall> {
+    pub fn take_infeasible(&mut self, now: Timestamp) -> Vec<QueuedCall> {
         let mut infeasible = Vec::new();
         for customer in self.waiting.clone() {
             for urgency in Urgency::ALL {
--- a/crates/policy/src/rates/message_outbox.rs
+++ b/crates/policy/src/rates/message_outbox.rs
@@ -2,7 +2,7 @@
 
 use crate::DaemonId;
 
-use super::{Outgoing, RateAsk, SliceReturn, SliceWant, TokenSettlement};
+use super::{Outgoing, RateRequest, SliceRequest, SliceReturn, TokenSettlement};
 
 /// Requests that are queued for sending, at most one of each kind per receiver.
 #[derive(Clone, Debug, Default)]
@@ -15,39 +15,39 @@
         std::mem::take(&mut self.messages)
     }
 
-    pub(super) fn request_slice(&mut self, to: DaemonId, want: SliceWant) {
-        for ask in self.requests_to(to) {
-            if let RateAsk::Slices(wants) = ask {
+    pub(super) fn request_slice(&mut self, to: DaemonId, want: SliceRequest) {
+        for request in self.requests_to(to) {
+            if let RateRequest::Slices(wants) = request {
                 return wants.push(want);
             }
         }
-        let ask = RateAsk::Slices(vec![want]);
-        self.messages.push(Outgoing { to, ask });
+        let request = RateRequest::Slices(vec![want]);
+        self.messages.push(Outgoing { to, request });
     }
 
     pub(super) fn return_slice(&mut self, to: DaemonId, returned: SliceReturn) {
-        for ask in self.requests_to(to) {
-            if let RateAsk::Return(returns) = ask {
+        for request in self.requests_to(to) {
+            if let RateRequest::Return(returns) = request {
                 return returns.push(returned);
             }
         }
-        let ask = RateAsk::Return(vec![returned]);
-        self.messages.push(Outgoing { to, ask });
+        let request = RateRequest::Return(vec![returned]);
+        self.messages.push(Outgoing { to, request });
     }
 
     pub(super) fn settle_grant(&mut self, to: DaemonId, settlement: TokenSettlement) {
-        for ask in self.requests_to(to) {
-            if let RateAsk::Settle(settlements) = ask {
+        for request in self.requests_to(to) {
+            if let RateRequest::Settle(settlements) = request {
                 return settlements.push(settlement);
             }
         }
-        let ask = RateAsk::Settle(vec![settlement]);
-        self.messages.push(Outgoing { to, ask });
+        let request = RateRequest::Settle(vec![settlement]);
+        self.messages.push(Outgoing { to, request });
     }
 
-    fn requests_to(&mut self, to: DaemonId) -> impl Iterator<Item = &mut RateAsk> {
+    fn requests_to(&mut self, to: DaemonId) -> impl Iterator<Item = &mut RateRequest> {
         let messages = self.messages.iter_mut();
         let messages = messages.filter(move |message| message.to == to);
-        messages.map(|message| &mut message.ask)
+        messages.map(|message| &mut message.request)
     }
 }
--- a/crates/policy/src/rates/messages.rs
+++ b/crates/policy/src/rates/messages.rs
@@ -10,7 +10,7 @@
 
 /// Requests tokens from a slot's holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TokenAsk {
+pub struct TokenRequest {
     /// The customer.
     pub customer: CustomerKey,
     /// The roster slot.
@@ -24,10 +24,10 @@
     pub spent: Option<u64>,
 }
 
-/// The answer to a [`TokenAsk`].
+/// The answer to a [`TokenRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TokenAnswer {
-    /// Tokens to spend within [`super::LedgerTiming::grant`] of the request.
+    /// Tokens to spend within [`super::LedgerTiming::grant_duration`] of the request.
     Granted {
         /// The holder's number for the grant.
         grant: u64,
@@ -69,7 +69,7 @@
 /// Requests a loan of its part from another zone's holder of the same slot, or
 /// renews that loan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SliceWant {
+pub struct SliceRequest {
     /// The customer.
     pub customer: CustomerKey,
     /// The roster slot.
@@ -81,7 +81,7 @@
     pub sent: u64,
 }
 
-/// The answer to a [`SliceWant`].
+/// The answer to a [`SliceRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SliceOffer {
     /// The customer.
@@ -90,7 +90,7 @@
     pub slot: u8,
     /// The borrower's number for the loan.
     pub loan: u64,
-    /// The borrower's send time, copied from the [`SliceWant`].
+    /// The borrower's send time, copied from the [`SliceRequest`].
     pub sent: u64,
     /// The total slice lent; nothing is lent if it is zero.
     pub slice: Slice,
@@ -114,23 +114,23 @@
 /// A request from one ledger to another. All variants but the first cover many
 /// customers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RateAsk {
+pub enum RateRequest {
     /// Requests tokens for a caller's request that is waiting.
-    Tokens(TokenAsk),
+    Tokens(TokenRequest),
     /// Requests or renews loans of slices.
-    Slices(Vec<SliceWant>),
+    Slices(Vec<SliceRequest>),
     /// Returns slices to their lender.
     Return(Vec<SliceReturn>),
     /// Reports grants that have ended.
     Settle(Vec<TokenSettlement>),
 }
 
-/// The answer to a [`RateAsk`].
+/// The answer to a [`RateRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RateAnswer {
-    /// Answers [`RateAsk::Tokens`].
+    /// Answers [`RateRequest::Tokens`].
     Tokens(TokenAnswer),
-    /// Answers [`RateAsk::Slices`].
+    /// Answers [`RateRequest::Slices`].
     Slices(Vec<SliceOffer>),
     /// Acknowledges the other requests.
     Done,
@@ -142,10 +142,10 @@
     /// The receiver.
     pub to: DaemonId,
     /// The request to send.
-    pub ask: RateAsk,
+    pub request: RateRequest,
 }
 
-impl SliceWant {
+impl SliceRequest {
     /// Converts the `sent` field of a request or offer to a time on the borrower's clock.
     pub(super) fn sent_at(sent: u64) -> Timestamp {
         Timestamp::from_micros(sent)
--- a/crates/policy/src/rates/mod.rs
+++ b/crates/policy/src/rates/mod.rs
@@ -43,11 +43,13 @@
 pub use demand_meter::DemandMeter;
 pub use ledger_timing::LedgerTiming;
 pub use messages::{
-    Outgoing, RateAnswer, RateAsk, SliceOffer, SliceReturn, SliceWant, TokenAnswer, TokenAsk,
-    TokenSettlement,
+    Outgoing, RateAnswer, RateRequest, SliceOffer, SliceRequest, SliceReturn, TokenAnswer,
+    TokenRequest, TokenSettlement,
 };
 pub use rate_parts::{CustomerKey, CustomerRate, MAX_CUSTOMER_SLOTS, MAX_ZONES, RateParts, Slice};
-pub use share_ledger::{Attempt, Decision, ShareLedger, ShareLevel};
+pub use share_ledger::{Decision, ShareLedger, ShareLevel, TokenAttempt};
 pub use token_bucket::TokenBucket;
 pub use tokens::Tokens;
-pub use zone_roster::{ExpulsionWatch, MemberState, RosterChange, RosterMember, SLOTS, ZoneRoster};
+pub use zone_roster::{
+    ExpulsionTracker, MemberState, RosterChange, RosterMember, SLOTS, ZoneRoster,
+};
--- a/crates/policy/src/rates/rate_parts.rs
+++ b/crates/policy/src/rates/rate_parts.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::hash::{mix, name_key};
+use crate::hash::{mix, name_hash};
 
 use super::{SLOTS, Tokens};
 
@@ -37,7 +37,7 @@
 impl CustomerKey {
     /// Returns the key of the customer called `name`.
     pub fn of_name(name: &str) -> Self {
-        CustomerKey(name_key(name))
+        CustomerKey(name_hash(name))
     }
 }
 
--- a/crates/policy/src/rates/share_ledger.rs
+++ b/crates/policy/src/rates/share_ledger.rs
@@ -14,19 +14,19 @@
     token_grants::GrantedTokens,
 };
 
-pub use request_path::{Attempt, Decision};
+pub use request_path::{Decision, TokenAttempt};
 
 /// One daemon's share of the rates of all customers.
 ///
-/// The request path calls [`ShareLedger::admit`]. On [`Decision::Borrow`] it
-/// sends the token request and passes the answer to [`ShareLedger::take`], or a timeout
-/// to [`ShareLedger::fail`], until the caller's request is admitted or refused. A
+/// The request path calls [`ShareLedger::admit`]. On [`Decision::RequestToken`] it sends
+/// the token request and passes the answer to [`ShareLedger::on_answer`], or a timeout to
+/// [`ShareLedger::on_timeout`], until the caller's request is admitted or refused. A
 /// background task calls [`ShareLedger::tick`] several times a second and sends the
-/// messages returned by [`ShareLedger::outgoing`]; the answers go to
-/// [`ShareLedger::take_offers`].
+/// messages returned by [`ShareLedger::take_outgoing`]; the answers go to
+/// [`ShareLedger::accept_offers`].
 ///
 /// The owner keeps the ledger's view current by [`ShareLedger::set_rates`],
-/// [`ShareLedger::set_holders`] and [`ShareLedger::confirm`].
+/// [`ShareLedger::set_holders`] and [`ShareLedger::confirm_view`].
 #[derive(Clone, Debug)]
 pub struct ShareLedger {
     own_id: DaemonId,
@@ -115,23 +115,23 @@
 
     /// Records that this daemon's view of roster and settings was current at `at`: the time
     /// just before the query to the store, or to a peer that confirmed the view.
-    pub fn confirm(&mut self, at: Timestamp) {
+    pub fn confirm_view(&mut self, at: Timestamp) {
         self.freshness.confirm(at);
     }
 
     /// Whether this daemon may spend from the slots that it holds.
     pub fn may_spend(&self, now: Timestamp) -> bool {
-        self.freshness.may_spend(now, self.timing.fresh)
+        self.freshness.may_spend(now, self.timing.max_view_age)
     }
 
     /// Whether the current settings name this customer.
-    pub fn knows(&self, customer: CustomerKey) -> bool {
+    pub fn has_rate(&self, customer: CustomerKey) -> bool {
         let index = self.find(customer);
         index.is_some_and(|index| self.shares[index].removed.is_none())
     }
 
     /// Returns this daemon's current share of a customer's rate, borrowed slices included.
-    pub fn level(&self, customer: CustomerKey) -> ShareLevel {
+    pub fn share_level(&self, customer: CustomerKey) -> ShareLevel {
         let mut level = ShareLevel::default();
         let Some(index) = self.find(customer) else {
             return level;
@@ -152,17 +152,18 @@
     }
 
     /// Records that a daemon is unreachable. No request is sent to it for
-    /// [`LedgerTiming::down`].
+    /// [`LedgerTiming::down_duration`].
     pub fn note_down(&mut self, daemon: DaemonId, now: Timestamp) {
-        self.reachability.note_down(daemon, now + self.timing.down);
+        self.reachability
+            .note_down(daemon, now + self.timing.down_duration);
     }
 
     /// Ends expired grants, loans and handovers, returns granted tokens that are about to
     /// expire, and renews or returns borrowed slices.
     pub fn tick(&mut self, now: Timestamp) {
         self.end_due_handovers(now);
-        self.freshness.tick(now, self.timing.fresh);
-        let spending = self.freshness.may_spend(now, self.timing.fresh);
+        self.freshness.tick(now, self.timing.max_view_age);
+        let spending = self.freshness.may_spend(now, self.timing.max_view_age);
         for index in 0..self.shares.len() {
             self.return_expiring_grants(index, now);
             for position in 0..self.shares[index].held.len() {
@@ -175,13 +176,13 @@
     }
 
     /// Removes and returns the messages that are queued for sending.
-    pub fn outgoing(&mut self) -> Vec<Outgoing> {
+    pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         self.outgoing.take()
     }
 
     /// Returns the approximate size of this ledger in bytes, heap included, for planning
     /// memory.
-    pub fn footprint(&self) -> usize {
+    pub fn memory_size(&self) -> usize {
         let held = |share: &CustomerShare| share.held.capacity() * size_of::<SlotShare>();
         let held: usize = self.shares.iter().map(held).sum();
         size_of::<Self>()
--- a/crates/policy/src/rates/share_ledger/division.rs
+++ b/crates/policy/src/rates/share_ledger/division.rs
@@ -13,11 +13,12 @@
 impl ShareLedger {
     /// Sets the rates of all customers from the current settings.
     ///
-    /// A changed rate applies immediately if the numbers of slots and zones stay the same:
-    /// all parts scale by the same factor, so a mix of old and new parts adds up to between
-    /// the old and the new rate. Otherwise parts shrink immediately and grow only after
-    /// [`LedgerTiming::settle`](super::super::LedgerTiming::settle), when every daemon has
-    /// received the change or stopped spending.
+    /// A changed rate applies immediately if the numbers of slots and zones stay the
+    /// same: all parts scale by the same factor, so a mix of old and new parts adds up to
+    /// between the old and the new rate. Otherwise parts shrink immediately and grow only
+    /// after
+    /// [`LedgerTiming::takeover_delay`](super::super::LedgerTiming::takeover_delay), when
+    /// every daemon has received the change or stopped spending.
     pub fn set_rates(&mut self, rates: &[CustomerRate], now: Timestamp) {
         let mut rates = rates.to_vec();
         rates.sort_unstable_by_key(|rate| rate.customer);
@@ -57,11 +58,11 @@
 
     /// Sets which daemon holds each slot of a zone.
     ///
-    /// In this daemon's own zone this decides which slots it may spend from. The
-    /// slots in `never_held`, one bit each, never had a holder and may be used immediately.
-    /// Other slots that this daemon gains start empty, and only after
-    /// [`LedgerTiming::settle`](super::super::LedgerTiming::settle), when everything that
-    /// their previous holder granted or lent has certainly ended.
+    /// In this daemon's own zone this decides which slots it may spend from. The slots in
+    /// `never_held`, one bit each, never had a holder and may be used immediately. Other
+    /// slots that this daemon gains start empty, and only after
+    /// [`LedgerTiming::takeover_delay`](super::super::LedgerTiming::takeover_delay), when
+    /// everything that their previous holder granted or lent has certainly ended.
     pub fn set_holders(
         &mut self,
         zone: usize,
@@ -110,7 +111,7 @@
         if share.parts == parts {
             return share;
         }
-        let raise_at = now + self.timing.settle();
+        let raise_at = now + self.timing.takeover_delay();
         let raise_at = (!share.parts.same_division(&parts)).then_some(raise_at);
         share.parts = parts;
         share.granted.clear();
@@ -138,7 +139,7 @@
             Some(until) if until <= now => None,
             Some(_) => Some(share),
             None => {
-                let filled = share.parts.fill_time().max(self.timing.settle());
+                let filled = share.parts.fill_time().max(self.timing.takeover_delay());
                 let mut share = self.changed_share(share, RateParts::default(), now);
                 share.removed = Some(now + filled);
                 Some(share)
--- a/crates/policy/src/rates/share_ledger/handover.rs
+++ b/crates/policy/src/rates/share_ledger/handover.rs
@@ -13,23 +13,23 @@
     /// slot was open.
     ///
     /// This daemon uses the slot for
-    /// [`LedgerTiming::fresh`](super::super::LedgerTiming::fresh), the maximum age of a
-    /// view, from `now` on. Each [`ShareLedger::note_view`] that shows that the new holder
-    /// hasn't read the new roster yet extends that time.
-    pub fn give_slot(&mut self, slot: u8, to: DaemonId, revision: i64, now: Timestamp) -> bool {
-        let until = now + self.timing.fresh;
+    /// [`LedgerTiming::max_view_age`](super::super::LedgerTiming::max_view_age), the
+    /// maximum age of a view, from `now` on. Each [`ShareLedger::note_peer_revision`]
+    /// that shows that the new holder hasn't read the new roster yet extends that time.
+    pub fn hand_over(&mut self, slot: u8, to: DaemonId, revision: i64, now: Timestamp) -> bool {
+        let until = now + self.timing.max_view_age;
         self.handovers.start(slot, to, revision, until)
     }
 
     /// Cancels a slot's handover, because the write for it has certainly not run.
-    pub fn take_slot_back(&mut self, slot: u8, now: Timestamp) {
+    pub fn cancel_handover(&mut self, slot: u8, now: Timestamp) {
         self.handovers.remove(slot);
         self.update_own_slots(0, now);
     }
 
     /// Records that a daemon, queried at `queried_at`, uses the rosters of `revision`.
-    pub fn note_view(&mut self, daemon: DaemonId, revision: i64, queried_at: Timestamp) {
-        let max_view_age = self.timing.fresh;
+    pub fn note_peer_revision(&mut self, daemon: DaemonId, revision: i64, queried_at: Timestamp) {
+        let max_view_age = self.timing.max_view_age;
         self.handovers
             .extend(daemon, revision, queried_at, max_view_age);
     }
@@ -49,12 +49,12 @@
     }
 
     /// Whether this daemon still uses slots that it hands over.
-    pub fn is_giving(&self, now: Timestamp) -> bool {
+    pub fn has_open_handovers(&self, now: Timestamp) -> bool {
         self.handovers.has_open(now)
     }
 
     /// Ends all handovers, because this daemon is shutting down.
-    pub fn end_giving(&mut self) {
+    pub fn end_all_handovers(&mut self) {
         self.handovers = Default::default();
     }
 
@@ -77,7 +77,7 @@
             let is_unused = never_held & (1 << slot) != 0;
             let wait = match is_unused {
                 true => Duration::ZERO,
-                false => self.timing.settle(),
+                false => self.timing.takeover_delay(),
             };
             self.usable_from[slot] = now + wait;
         }
--- a/crates/policy/src/rates/share_ledger/lending.rs
+++ b/crates/policy/src/rates/share_ledger/lending.rs
@@ -4,8 +4,8 @@
 
 use super::{
     super::{
-        RateAnswer, RateAsk, SLOTS, Slice, SliceOffer, SliceReturn, SliceWant, TokenAnswer,
-        TokenAsk, Tokens,
+        RateAnswer, RateRequest, SLOTS, Slice, SliceOffer, SliceRequest, SliceReturn, TokenAnswer,
+        TokenRequest, Tokens,
         rate_parts::{roster_slot, zone_order},
         reachability::ReachabilityTable,
         slot_share::{LoanAction, ZoneHolders},
@@ -15,15 +15,20 @@
 
 impl ShareLedger {
     /// Answers a request of another daemon.
-    pub fn handle(&mut self, from: DaemonId, ask: &RateAsk, now: Timestamp) -> RateAnswer {
+    pub fn handle_request(
+        &mut self,
+        from: DaemonId,
+        request: &RateRequest,
+        now: Timestamp,
+    ) -> RateAnswer {
         self.end_due_handovers(now);
-        match ask {
-            RateAsk::Tokens(ask) => RateAnswer::Tokens(self.handle_tokens(ask, now)),
-            RateAsk::Slices(wants) => {
+        match request {
+            RateRequest::Tokens(request) => RateAnswer::Tokens(self.handle_tokens(request, now)),
+            RateRequest::Slices(wants) => {
                 let offers = wants.iter().map(|want| self.offer(from, want, now));
                 RateAnswer::Slices(offers.collect())
             }
-            RateAsk::Return(returns) => {
+            RateRequest::Return(returns) => {
                 for returned in returns {
                     if let Some(held) = self.held_slot(returned.customer, returned.slot) {
                         held.advance(now);
@@ -32,7 +37,7 @@
                 }
                 RateAnswer::Done
             }
-            RateAsk::Settle(settlements) => {
+            RateRequest::Settle(settlements) => {
                 for settlement in settlements {
                     if let Some(held) = self.held_slot(settlement.customer, settlement.slot) {
                         held.advance(now);
@@ -45,32 +50,32 @@
     }
 
     /// Answers a token request, the most frequent kind, without allocating.
-    pub fn handle_tokens(&mut self, ask: &TokenAsk, now: Timestamp) -> TokenAnswer {
+    pub fn handle_tokens(&mut self, request: &TokenRequest, now: Timestamp) -> TokenAnswer {
         self.end_due_handovers(now);
         if !self.may_spend(now) {
             return TokenAnswer::Stale;
         }
-        let Some(index) = self.find(ask.customer) else {
+        let Some(index) = self.find(request.customer) else {
             return TokenAnswer::NotHolder;
         };
-        let Some(position) = self.shares[index].position(ask.slot) else {
+        let Some(position) = self.shares[index].position(request.slot) else {
             return TokenAnswer::NotHolder;
         };
         let timing = self.timing;
         let held = &mut self.shares[index].held[position];
         held.advance(now);
-        if let Some(spent) = ask.spent {
+        if let Some(spent) = request.spent {
             held.settle_grant(spent, 0);
         }
         let mut complete = false;
-        if ask.home {
+        if request.home {
             held.mark_home(now, &timing);
             complete = self.borrow_slices(index, position, now);
         }
         self.next_id += 1;
         let grant = self.next_id;
         let held = &mut self.shares[index].held[position];
-        match held.grant(ask.want, grant, now, &timing) {
+        match held.grant(request.want, grant, now, &timing) {
             Some(count) => TokenAnswer::Granted {
                 grant,
                 count,
@@ -84,7 +89,7 @@
     }
 
     /// Adds the slices that `from` offers to this daemon's slots.
-    pub fn take_offers(&mut self, from: DaemonId, offers: &[SliceOffer], now: Timestamp) {
+    pub fn accept_offers(&mut self, from: DaemonId, offers: &[SliceOffer], now: Timestamp) {
         let timing = self.timing;
         for offer in offers {
             let slot = usize::from(offer.slot) % SLOTS;
@@ -99,7 +104,7 @@
         }
     }
 
-    fn offer(&mut self, from: DaemonId, want: &SliceWant, now: Timestamp) -> SliceOffer {
+    fn offer(&mut self, from: DaemonId, want: &SliceRequest, now: Timestamp) -> SliceOffer {
         let mut offer = SliceOffer {
             customer: want.customer,
             slot: want.slot,
@@ -109,7 +114,7 @@
             tokens: Tokens::ZERO,
         };
         let timing = self.timing;
-        if !self.freshness.may_spend(now, timing.fresh) {
+        if !self.freshness.may_spend(now, timing.max_view_age) {
             return offer;
         }
         let borrower_precedes = self.is_preceded_by(from, want);
@@ -122,7 +127,7 @@
 
     /// Whether the zone of `from` comes before this daemon's zone in the slot's order of
     /// homes.
-    fn is_preceded_by(&self, from: DaemonId, want: &SliceWant) -> bool {
+    fn is_preceded_by(&self, from: DaemonId, want: &SliceRequest) -> bool {
         let slot = usize::from(want.slot) % SLOTS;
         let order = zone_order(want.customer, want.slot, self.zones as u8);
         let first = order[..self.zones].iter().map(|zone| usize::from(*zone));
@@ -150,7 +155,7 @@
         share.held[position].borrow_slices(&holders, now, &self.timing, |to| {
             *next_id += 1;
             let loan = *next_id;
-            let want = SliceWant {
+            let want = SliceRequest {
                 customer,
                 slot,
                 loan,
@@ -173,7 +178,7 @@
             };
             match step {
                 LoanAction::Renew { loan } => {
-                    let want = SliceWant {
+                    let want = SliceRequest {
                         customer,
                         slot,
                         loan,
--- a/crates/policy/src/rates/share_ledger/request_path.rs
+++ b/crates/policy/src/rates/share_ledger/request_path.rs
@@ -6,7 +6,7 @@
 
 use super::{
     super::{
-        CustomerKey, TokenAnswer, TokenAsk, TokenSettlement,
+        CustomerKey, TokenAnswer, TokenRequest, TokenSettlement,
         rate_parts::{roster_slot, zone_order},
         token_grants::ReceivedGrant,
     },
@@ -34,13 +34,13 @@
     /// The request may run.
     Admitted,
     /// A token has to be requested from another daemon first.
-    Borrow {
+    RequestToken {
         /// The daemon to send the token request to.
         to: DaemonId,
         /// The token request.
-        ask: TokenAsk,
+        request: TokenRequest,
         /// The state of the attempt, which the caller passes back with the answer.
-        attempt: Attempt,
+        attempt: TokenAttempt,
     },
     /// The request exceeds its customer's rate.
     Refused {
@@ -52,7 +52,7 @@
 /// The state of an attempt to get a token for one caller's request by token requests to
 /// one daemon after another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Attempt {
+pub struct TokenAttempt {
     customer: CustomerKey,
     started: Timestamp,
     sent_at: Timestamp,
@@ -81,7 +81,7 @@
         }
         let share = &mut self.shares[index];
         share.cursor = share.cursor.wrapping_add(1);
-        let attempt = Attempt {
+        let attempt = TokenAttempt {
             customer,
             started: now,
             sent_at: now,
@@ -99,7 +99,12 @@
     /// Continues the attempt to get a token after an answer.
     ///
     /// Tokens that arrive after their expiry are dropped.
-    pub fn take(&mut self, mut attempt: Attempt, answer: TokenAnswer, now: Timestamp) -> Decision {
+    pub fn on_answer(
+        &mut self,
+        mut attempt: TokenAttempt,
+        answer: TokenAnswer,
+        now: Timestamp,
+    ) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
             let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
@@ -144,7 +149,7 @@
     }
 
     /// Continues the attempt after a token request that couldn't be sent.
-    pub fn unreachable(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
+    pub fn on_unreachable(&mut self, attempt: TokenAttempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
             let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
@@ -153,7 +158,7 @@
     }
 
     /// Continues the attempt after a token request that timed out.
-    pub fn fail(&mut self, attempt: Attempt, now: Timestamp) -> Decision {
+    pub fn on_timeout(&mut self, attempt: TokenAttempt, now: Timestamp) -> Decision {
         let Some(index) = self.find(attempt.customer) else {
             let retry_after = DEFAULT_RETRY_AFTER;
             return Decision::Refused { retry_after };
@@ -161,7 +166,7 @@
         // One lost answer doesn't mean that a daemon is unreachable, and counting it as
         // down would change the slot's home needlessly; the attempt just continues with
         // the next daemon.
-        let until = now + self.timing.down;
+        let until = now + self.timing.down_duration;
         let zone = usize::from(attempt.zone);
         let own = zone == self.zone;
         if !self.reachability.note_timeout(attempt.to, zone, own, until) {
@@ -180,7 +185,7 @@
             return true;
         }
         let share = &mut self.shares[index];
-        if share.held.is_empty() || !self.freshness.may_spend(now, self.timing.fresh) {
+        if share.held.is_empty() || !self.freshness.may_spend(now, self.timing.max_view_age) {
             return false;
         }
         for held in &mut share.held {
@@ -193,14 +198,14 @@
     }
 
     /// Marks the daemon of the last token request as down and continues without it.
-    fn skip_daemon(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
+    fn skip_daemon(&mut self, index: usize, mut attempt: TokenAttempt, now: Timestamp) -> Decision {
         self.note_down(attempt.to, now);
         // The next daemon now has the position of the one that is down.
         attempt.step = attempt.step.saturating_sub(1);
         self.resume(index, attempt, now)
     }
 
-    fn resume(&mut self, index: usize, attempt: Attempt, now: Timestamp) -> Decision {
+    fn resume(&mut self, index: usize, attempt: TokenAttempt, now: Timestamp) -> Decision {
         if self.spend_local(index, now) {
             return Decision::Admitted;
         }
@@ -211,7 +216,7 @@
     /// customer's slots, then alternately the holders in another zone, which may have
     /// tokens that no home has borrowed, and the homes again, which may have borrowed them
     /// meanwhile.
-    fn try_holders(&mut self, index: usize, mut attempt: Attempt, now: Timestamp) -> Decision {
+    fn try_holders(&mut self, index: usize, mut attempt: TokenAttempt, now: Timestamp) -> Decision {
         let slots = self.shares[index].parts.slots.max(1);
         let steps = slots.saturating_mul(self.zones as u8 * 2);
         let in_time = now.since(attempt.started) < MAX_SEARCH_TIME;
@@ -249,7 +254,7 @@
         index: usize,
         to: DaemonId,
         home: bool,
-        mut attempt: Attempt,
+        mut attempt: TokenAttempt,
         now: Timestamp,
     ) -> Decision {
         let slot = roster_slot(attempt.customer, attempt.slot_index);
@@ -267,19 +272,26 @@
         if spent.is_some() {
             share.spent_grant = None;
         }
-        self.reachability
-            .start_probe(to, usize::from(attempt.zone), now + self.timing.answer);
+        self.reachability.start_probe(
+            to,
+            usize::from(attempt.zone),
+            now + self.timing.request_timeout,
+        );
         attempt.to = to;
         attempt.sent_at = now;
         attempt.requests_sent += 1;
-        let ask = TokenAsk {
+        let request = TokenRequest {
             customer: attempt.customer,
             slot,
             want: 1 + prefetch as u32,
             home,
             spent,
         };
-        Decision::Borrow { to, ask, attempt }
+        Decision::RequestToken {
+            to,
+            request,
+            attempt,
+        }
     }
 
     /// Returns the holder to send a token request to in a round, its zone, and whether it
--- a/crates/policy/src/rates/slot_handover.rs
+++ b/crates/policy/src/rates/slot_handover.rs
@@ -22,11 +22,11 @@
 /// The new holder reads the roster record up to a second after it is written or, if the
 /// store becomes unavailable, only once the store is back; until then no other daemon
 /// would use the slot. The new holder waits for
-/// [`LedgerTiming::settle`](super::LedgerTiming::settle) after it has read the record.
-/// The previous holder may therefore use the slot until
-/// [`LedgerTiming::fresh`](super::LedgerTiming::fresh), the maximum age of a view, after
-/// the last time at which the new holder is known not to have read the record. See
-/// `docs/RATES.md`.
+/// [`LedgerTiming::takeover_delay`](super::LedgerTiming::takeover_delay) after it has
+/// read the record. The previous holder may therefore use the slot until
+/// [`LedgerTiming::max_view_age`](super::LedgerTiming::max_view_age), the maximum age of
+/// a view, after the last time at which the new holder is known not to have read the
+/// record. See `docs/RATES.md`.
 #[derive(Clone, Debug)]
 pub(super) struct SlotHandovers {
     slots: [Option<OpenHandover>; SLOTS],
--- a/crates/policy/src/rates/slot_share.rs
+++ b/crates/policy/src/rates/slot_share.rs
@@ -5,7 +5,7 @@
 use crate::{DaemonId, Timestamp};
 
 use super::{
-    DemandMeter, LedgerTiming, Slice, SliceOffer, SliceWant, TokenBucket, Tokens,
+    DemandMeter, LedgerTiming, Slice, SliceOffer, SliceRequest, TokenBucket, Tokens,
     grant_tracker::GrantTracker,
     zone_loan::{ZoneLoan, renewal_time},
 };
@@ -200,7 +200,7 @@
     pub(super) fn lend(
         &mut self,
         borrower: DaemonId,
-        want: &SliceWant,
+        want: &SliceRequest,
         borrower_precedes: bool,
         now: Timestamp,
         timing: &LedgerTiming,
@@ -281,7 +281,7 @@
         let Some(zone_loan) = self.zone_loans.get(zone).copied() else {
             return;
         };
-        let end = SliceWant::sent_at(offer.sent) + timing.slice;
+        let end = SliceRequest::sent_at(offer.sent) + timing.slice_duration;
         let empty = offer.slice == Slice::default();
         let (slice, until) = match zone_loan {
             ZoneLoan::Requested { loan, .. } if loan == offer.loan => {
@@ -311,7 +311,7 @@
 
     /// Records that a daemon uses this holder as the slot's home.
     pub(super) fn mark_home(&mut self, now: Timestamp, timing: &LedgerTiming) {
-        self.borrows_until = self.borrows_until.max(now + 2 * timing.slice);
+        self.borrows_until = self.borrows_until.max(now + 2 * timing.slice_duration);
     }
 
     /// Requests slices from the other zones if this slot needs more, and returns whether
@@ -340,7 +340,7 @@
             match zone_loan {
                 ZoneLoan::Idle if needed => {
                     let loan = request_loan(holder);
-                    let until = now + timing.answer;
+                    let until = now + timing.request_timeout;
                     *zone_loan = ZoneLoan::Requested { loan, until };
                     complete = false;
                 }
@@ -389,7 +389,7 @@
                 send(zone, LoanAction::Return { loan, tokens });
                 continue;
             }
-            *renew_at = now + timing.answer;
+            *renew_at = now + timing.request_timeout;
             if is_former_home {
                 // The grants issued from the loan still reserve its capacity, so it is
                 // left to expire.
--- a/crates/policy/src/rates/zone_loan.rs
+++ b/crates/policy/src/rates/zone_loan.rs
@@ -68,7 +68,7 @@
 /// Returns when to renew a loan: with at least half its time left, and at times common
 /// to all loans, so that the renewals of many customers share a message.
 pub(super) fn renewal_time(until: Timestamp, timing: &LedgerTiming) -> Timestamp {
-    let half = (timing.slice / 2).as_micros().max(1) as u64;
-    let latest = (until - timing.slice / 2).as_micros();
+    let half = (timing.slice_duration / 2).as_micros().max(1) as u64;
+    let latest = (until - timing.slice_duration / 2).as_micros();
     Timestamp::from_micros(latest - latest % half)
 }
--- a/crates/policy/src/rates/zone_roster.rs
+++ b/crates/policy/src/rates/zone_roster.rs
@@ -58,7 +58,7 @@
     /// The record to write.
     pub roster: ZoneRoster,
     /// The slots that the writer hands over by it, each with its new holder's name.
-    pub given: Vec<(u8, String)>,
+    pub handed_over: Vec<(u8, String)>,
 }
 
 impl Default for ZoneRoster {
@@ -113,7 +113,7 @@
     }
 
     /// Returns the slots that `name` holds beyond its equal share.
-    pub fn excess(&self, name: &str) -> Vec<u8> {
+    pub fn excess_slots(&self, name: &str) -> Vec<u8> {
         let excess = self.slot_count(name).saturating_sub(self.equal_share());
         let held = (0..SLOTS as u8).filter(|slot| self.holder(*slot) == Some(name));
         held.take(excess).collect()
@@ -147,11 +147,11 @@
     /// Returns the next change that `own` has to write, if any.
     ///
     /// `expulsion` is how long a member that is marked as expelled keeps its slots; `gone`
-    /// and `silent` are as in [`ExpulsionWatch::marked`].
+    /// and `silent` are as in [`ExpulsionTracker::marked`].
     pub fn next_change(
         &self,
         own: &RosterMember,
-        watch: &ExpulsionWatch,
+        watch: &ExpulsionTracker,
         expulsion: Duration,
         gone: impl Fn(&str) -> bool,
         silent: impl Fn(&str) -> bool,
@@ -159,7 +159,8 @@
     ) -> Option<RosterChange> {
         let joined = self.with_member(&own.name, &own.address, own.incarnation);
         let changed = joined.or_else(|| self.with_slots(&own.name));
-        let changed = changed.or_else(|| self.without_slots(&own.name, &self.excess(&own.name)));
+        let changed =
+            changed.or_else(|| self.without_slots(&own.name, &self.excess_slots(&own.name)));
         let changed = changed.or_else(|| watch.freed(self, expulsion, now));
         let changed = changed.or_else(|| watch.marked(self, &own.name, gone, silent));
         Some(self.change_to(&own.name, &changed?))
@@ -182,7 +183,10 @@
                 given.push((slot as u8, new_holder.clone()));
             }
         }
-        RosterChange { roster, given }
+        RosterChange {
+            roster,
+            handed_over: given,
+        }
     }
 
     /// Removes a member that has stopped using its slots, and frees them.
@@ -273,12 +277,12 @@
 /// for the whole expulsion delay frees the slots. This delay is much longer than the time
 /// in which a member detects that its view is stale.
 #[derive(Clone, Debug, Default)]
-pub struct ExpulsionWatch {
+pub struct ExpulsionTracker {
     /// The members marked as expelled: name, incarnation, and when the mark was first seen.
     marked_since: Vec<(String, u64, Timestamp)>,
 }
 
-impl ExpulsionWatch {
+impl ExpulsionTracker {
     /// Updates the marked members from the record as read at `now`.
     pub fn note(&mut self, roster: &ZoneRoster, now: Timestamp) {
         let old = std::mem::take(&mut self.marked_since);
--- a/crates/policy/src/retries/budget.rs
+++ b/crates/policy/src/retries/budget.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// The retries that each success adds to the budget.
-    pub share: f64,
+    pub tokens_per_success: f64,
     tokens: f64,
     refilled_at: Timestamp,
 }
@@ -34,7 +34,7 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         RetryBudget {
-            share: TOKENS_PER_SUCCESS,
+            tokens_per_success: TOKENS_PER_SUCCESS,
             tokens: TIME_REFILL_LIMIT,
             refilled_at: Timestamp::ZERO,
         }
@@ -44,7 +44,7 @@
 impl RetryBudget {
     /// Records an answered request.
     pub fn success(&mut self) {
-        self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
+        self.tokens = (self.tokens + self.tokens_per_success).min(MAX_TOKENS);
     }
 
     /// Takes one retry from the budget. Returns false if there is none.
@@ -58,7 +58,7 @@
     }
 
     /// Returns the number of retries left.
-    pub fn left(&self) -> f64 {
+    pub fn remaining(&self) -> f64 {
         self.tokens
     }
 
--- a/crates/policy/src/retries/decision.rs
+++ b/crates/policy/src/retries/decision.rs
@@ -61,7 +61,7 @@
     pub tokens_delivered: u32,
     /// Whether the caller has received a part of an answer that no other server can
     /// continue.
-    pub answer_begun: bool,
+    pub answer_started: bool,
     /// The number of attempts so far, including this one.
     pub attempts: u32,
     /// The attempts of which no byte reached a server.
@@ -71,7 +71,7 @@
     /// The deadline of the request.
     pub deadline: Timestamp,
     /// The minimum duration of another attempt.
-    pub attempt_takes: Duration,
+    pub min_attempt_duration: Duration,
     /// What the table of suspects says about the request.
     pub suspect: SuspectVerdict,
 }
@@ -109,7 +109,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
     /// The request is retried on another server.
-    Elsewhere {
+    Retry {
         /// Whether a trial must be granted first.
         trial: bool,
     },
@@ -144,7 +144,7 @@
     }
     let trial = attempt.suspect == SuspectVerdict::NeedsTrial;
     match attempt.tokens_delivered {
-        0 => RetryDecision::Elsewhere { trial },
+        0 => RetryDecision::Retry { trial },
         from_token => RetryDecision::Resume { from_token, trial },
     }
 }
@@ -152,7 +152,7 @@
 impl AttemptReport {
     /// Returns whether the request has run, as far as this daemon can know.
     pub fn run_state(&self) -> RunState {
-        if self.tokens_delivered > 0 || self.answer_begun {
+        if self.tokens_delivered > 0 || self.answer_started {
             RunState::Partly
         } else if self.bytes_sent {
             RunState::Unknown
@@ -172,10 +172,10 @@
     if attempt.bytes_sent && !attempt.idempotent {
         return Some(FinalCause::NotIdempotent);
     }
-    if attempt.answer_begun {
+    if attempt.answer_started {
         return Some(FinalCause::Begun);
     }
-    if now + attempt.attempt_takes >= attempt.deadline {
+    if now + attempt.min_attempt_duration >= attempt.deadline {
         return Some(FinalCause::Deadline);
     }
     let reached = attempt.attempts.saturating_sub(attempt.not_sent);
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -14,5 +14,5 @@
 pub use choose::RouteQuery;
 pub use health::{ServerHealth, ServerOutcome};
 pub use list::{ListOutcome, ListedServer};
-pub use load::{LoadReport, ServerLoad, YieldingLoad, ZoneLoad};
+pub use load::{LoadReport, PreemptibleLoad, ServerLoad, ZoneLoad};
 pub use server_table::{ServerEntry, ServerKey, ServerState, ServerTable};
--- a/crates/policy/src/routing/choose.rs
+++ b/crates/policy/src/routing/choose.rs
@@ -89,7 +89,7 @@
     ///
     /// A daemon without any request in flight may always send one, and learns from its
     /// answer how busy the servers are.
-    pub fn choose_with_room(
+    pub fn choose_with_capacity(
         &self,
         query: &RouteQuery<'_>,
         now: Timestamp,
--- a/crates/policy/src/routing/load.rs
+++ b/crates/policy/src/routing/load.rs
@@ -51,7 +51,7 @@
 /// The number of bulk requests on one server, which are preempted (cancelled) when live
 /// requests need their places in the batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct YieldingLoad {
+pub struct PreemptibleLoad {
     /// The bulk requests of this daemon, which its own count includes.
     pub own: u32,
     /// The bulk requests reported by the server's home daemon.
@@ -64,7 +64,7 @@
     /// The number of requests of this daemon on the server.
     pub in_flight: u32,
     /// The bulk requests of this and other daemons, which live requests preempt.
-    pub yielding: YieldingLoad,
+    pub preemptible: PreemptibleLoad,
     batch: u32,
     others: f32,
     reported_at: Option<Timestamp>,
@@ -94,13 +94,13 @@
     /// server that is full of live requests while another has only bulk requests, which
     /// can be cancelled.
     pub fn requests(&self, typical_others: f32, now: Timestamp) -> f32 {
-        let bulk = (self.yielding.own + self.yielding.others) as f32 * BULK_FRACTION;
+        let bulk = (self.preemptible.own + self.preemptible.others) as f32 * BULK_FRACTION;
         self.live_requests(typical_others, now) + bulk
     }
 
     /// Estimates the number of requests that can't be preempted.
     fn live_requests(&self, typical_others: f32, now: Timestamp) -> f32 {
-        let live = self.in_flight.saturating_sub(self.yielding.own) as f32;
+        let live = self.in_flight.saturating_sub(self.preemptible.own) as f32;
         let Some(reported_at) = self.reported_at else {
             return live + typical_others;
         };
@@ -128,7 +128,7 @@
     /// Applies a report and returns the number of requests of other daemons in it.
     pub(super) fn report(&mut self, report: LoadReport, now: Timestamp) -> f32 {
         let total = report.running.saturating_add(report.waiting);
-        let known = self.in_flight + self.yielding.others;
+        let known = self.in_flight + self.preemptible.others;
         self.others = total.saturating_sub(known) as f32;
         self.reported_at = Some(now);
         self.batch = report.batch;
@@ -139,7 +139,7 @@
     pub(super) fn forget_reports(&mut self) {
         *self = ServerLoad {
             in_flight: self.in_flight,
-            yielding: self.yielding,
+            preemptible: self.preemptible,
             ..ServerLoad::default()
         };
     }
--- a/crates/policy/src/routing/server_table.rs
+++ b/crates/policy/src/routing/server_table.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::load::age_weight;
-use super::{LoadReport, ServerHealth, ServerLoad, ServerOutcome, YieldingLoad, ZoneLoad};
-use crate::{GroupId, ServerId, Timestamp, ZoneId, hash::name_key};
+use super::{LoadReport, PreemptibleLoad, ServerHealth, ServerLoad, ServerOutcome, ZoneLoad};
+use crate::{GroupId, ServerId, Timestamp, ZoneId, hash::name_hash};
 
 /// The weight of one report in a pool's mean of other daemons' requests.
 const REPORT_WEIGHT: f32 = 0.05;
@@ -24,7 +24,7 @@
 impl ServerKey {
     /// Returns the key of the server with the platform's name `name`.
     pub fn of(name: &str) -> Self {
-        ServerKey(name_key(name))
+        ServerKey(name_hash(name))
     }
 }
 
@@ -187,9 +187,9 @@
     }
 
     /// Sets the number of bulk requests on the server, which live requests preempt.
-    pub fn set_yielding(&mut self, server: ServerId, preemptible: YieldingLoad) {
+    pub fn set_preemptible(&mut self, server: ServerId, preemptible: PreemptibleLoad) {
         if let Some(entry) = self.entries.get_mut(server.index()) {
-            entry.load.yielding = preemptible;
+            entry.load.preemptible = preemptible;
         }
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Applies a server's own report that it is leaving, which may precede the VM list.
-    pub fn leave(&mut self, server: ServerId) {
+    pub fn mark_leaving(&mut self, server: ServerId) {
         let Some(entry) = self.entries.get_mut(server.index()) else {
             return;
         };
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -10,7 +10,7 @@
 //!    further copy.
 //! 2. No trial starts before every peer has answered and no copy runs anywhere.
 //! 3. A trial requires a record that is unique in the platform and outlives the daemon
-//!    that wrote it. [`TrialBook`] keeps the same records in memory.
+//!    that wrote it. [`TrialTracker`] keeps the same records in memory.
 //!
 //! See `docs/DESIGN.md` for the remaining risks.
 
@@ -24,9 +24,9 @@
 
 pub use messages::{
     DeathFact, DeathId, Fingerprint, NoticeAck, RunId, SuspectFact, SuspectNotice, SuspectStage,
-    TrialAnswer, TrialAsk, TrialEnd, TrialRecord, TrialSettlement, TrialTicket,
+    TrialAnswer, TrialEnd, TrialRecord, TrialRequest, TrialSettlement, TrialTicket,
 };
 pub use running::RunEnd;
 pub use suspect_table::{Suspect, SuspectTable};
-pub use trial_tracker::TrialBook;
+pub use trial_tracker::TrialTracker;
 pub use trials::TrialStep;
--- a/crates/policy/src/suspects/entry.rs
+++ b/crates/policy/src/suspects/entry.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::running::Running;
-use super::{DeathFact, DeathId, Fingerprint, SuspectFact, SuspectStage, TrialAsk};
+use super::{DeathFact, DeathId, Fingerprint, SuspectFact, SuspectStage, TrialRequest};
 use crate::{DaemonId, ServerKey, Timestamp};
 
 /// Detections of a server's death within this time count as one death, since daemons
@@ -33,13 +33,16 @@
     #[default]
     Idle,
     /// The trial has been requested.
-    Asked { ask: TrialAsk, sent_at: Timestamp },
+    Asked {
+        ask: TrialRequest,
+        sent_at: Timestamp,
+    },
     /// The trial has been granted and may start until `until`.
-    Granted { ask: TrialAsk, until: Timestamp },
+    Granted { ask: TrialRequest, until: Timestamp },
     /// The trial is running.
-    Running { ask: TrialAsk },
+    Running { ask: TrialRequest },
     /// The trial was stopped; its server may still die of it.
-    Stopped { ask: TrialAsk, since: Timestamp },
+    Stopped { ask: TrialRequest, since: Timestamp },
     /// Another daemon holds the trial, or the records are unavailable; a new request is
     /// useless before `until`.
     HeldElsewhere { until: Timestamp },
@@ -47,7 +50,7 @@
 
 impl Trial {
     /// Returns the trial if the suspect has started to run in it.
-    pub(super) fn started(&self) -> Option<TrialAsk> {
+    pub(super) fn started(&self) -> Option<TrialRequest> {
         match *self {
             Trial::Running { ask } | Trial::Stopped { ask, .. } => Some(ask),
             _ => None,
@@ -153,7 +156,7 @@
 
     /// Ends a trial that this daemon requested or started, and returns it so that it
     /// can be settled.
-    pub(super) fn take_trial(&mut self) -> Option<TrialAsk> {
+    pub(super) fn take_trial(&mut self) -> Option<TrialRequest> {
         match std::mem::take(&mut self.trial) {
             Trial::Asked { ask, .. }
             | Trial::Granted { ask, .. }
--- a/crates/policy/src/suspects/messages.rs
+++ b/crates/policy/src/suspects/messages.rs
@@ -121,7 +121,7 @@
 
 /// A request for permission to run a suspect once more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TrialAsk {
+pub struct TrialRequest {
     /// The suspect.
     pub fingerprint: Fingerprint,
     /// The server on which the suspect would run.
@@ -135,12 +135,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialRecord {
     /// The request for the trial.
-    pub ask: TrialAsk,
+    pub ask: TrialRequest,
     /// Whether the server died in the trial.
     pub died: bool,
 }
 
-/// The answer to a [`TrialAsk`].
+/// The answer to a [`TrialRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TrialAnswer {
@@ -180,7 +180,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialSettlement {
     /// The request for the trial.
-    pub ask: TrialAsk,
+    pub ask: TrialRequest,
     /// How the trial ended.
     pub end: TrialEnd,
 }
--- a/crates/policy/src/suspects/suspect_table.rs
+++ b/crates/policy/src/suspects/suspect_table.rs
@@ -101,8 +101,8 @@
     /// sent, and the verdict says why.
     ///
     /// It has to be called before the first byte is sent, under the same lock as
-    /// [`note`](Self::note): a copy started after a peer was notified that none runs here
-    /// could cost a third server.
+    /// [`apply_notice`](Self::apply_notice): a copy started after a peer was notified
+    /// that none runs here could cost a third server.
     pub fn begin(
         &mut self,
         fingerprint: Fingerprint,
@@ -263,7 +263,7 @@
     }
 
     /// Applies a peer's notice and returns the acknowledgement.
-    pub fn note(&mut self, notice: &SuspectNotice, now: Timestamp) -> NoticeAck {
+    pub fn apply_notice(&mut self, notice: &SuspectNotice, now: Timestamp) -> NoticeAck {
         let mut ack = NoticeAck::default();
         for fact in &notice.facts {
             self.import_fact(fact, now);
@@ -283,7 +283,7 @@
     }
 
     /// Applies a peer's acknowledgement.
-    pub fn acknowledged(&mut self, peer: DaemonId, ack: &NoticeAck, now: Timestamp) {
+    pub fn apply_ack(&mut self, peer: DaemonId, ack: &NoticeAck, now: Timestamp) {
         for fact in &ack.facts {
             self.import_fact(fact, now);
         }
--- a/crates/policy/src/suspects/trial_tracker.rs
+++ b/crates/policy/src/suspects/trial_tracker.rs
@@ -1,7 +1,7 @@
 //! Trial records held in memory.
 
 use super::suspect_table::SUSPECT_LIFETIME;
-use super::{TrialAnswer, TrialAsk, TrialEnd, TrialRecord, TrialSettlement};
+use super::{TrialAnswer, TrialEnd, TrialRecord, TrialRequest, TrialSettlement};
 use crate::Timestamp;
 
 /// Trial records held in memory.
@@ -9,13 +9,13 @@
 /// It specifies the effect of the transactions on the platform's records, and can
 /// replace them on a single daemon during an outage of the platform.
 #[derive(Clone, Debug, Default)]
-pub struct TrialBook {
+pub struct TrialTracker {
     records: Vec<(TrialRecord, Timestamp)>,
 }
 
-impl TrialBook {
+impl TrialTracker {
     /// Answers a request for a trial. A repeated request gets the same answer.
-    pub fn ask(&mut self, ask: &TrialAsk, now: Timestamp) -> TrialAnswer {
+    pub fn ask(&mut self, ask: &TrialRequest, now: Timestamp) -> TrialAnswer {
         self.records
             .retain(|&(_, at)| now.since(at) < SUSPECT_LIFETIME);
         let same = |it: &(TrialRecord, Timestamp)| it.0.ask.fingerprint == ask.fingerprint;
--- a/crates/policy/src/suspects/trials.rs
+++ b/crates/policy/src/suspects/trials.rs
@@ -6,7 +6,8 @@
 use super::running::Running;
 use super::suspect_table::TRIAL_RETRY_AFTER;
 use super::{
-    Fingerprint, RunId, SuspectTable, TrialAnswer, TrialAsk, TrialEnd, TrialSettlement, TrialTicket,
+    Fingerprint, RunId, SuspectTable, TrialAnswer, TrialEnd, TrialRequest, TrialSettlement,
+    TrialTicket,
 };
 use crate::{ServerKey, SuspectVerdict, Timestamp};
 
@@ -35,7 +36,7 @@
     /// for a trial hasn't been answered yet.
     Wait,
     /// Choose a server without a suspect on it and request a trial there.
-    Ask,
+    Request,
     /// Start the trial; see [`SuspectTable::start_trial`].
     Start,
     /// Give the caller a final answer; it may retry after this long.
@@ -54,7 +55,7 @@
                 let runs_here = !self.runs.of(fingerprint).is_empty();
                 let waited = now.since(entry.notified_at) >= PEER_NOTICE_TIMEOUT;
                 if entry.pending_peers.is_empty() && !runs_here {
-                    TrialStep::Ask
+                    TrialStep::Request
                 } else if waited && entry.awaits_answer() {
                     TrialStep::Refuse(TRIAL_RETRY_AFTER)
                 } else {
@@ -70,7 +71,7 @@
     }
 
     /// Returns whether the failure of an interrupted run may be reported to its caller.
-    pub fn may_tell_caller(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
+    pub fn may_notify_caller(&self, fingerprint: Fingerprint, now: Timestamp) -> bool {
         self.entry(fingerprint).is_none_or(|entry| {
             let waited = now.since(entry.notified_at) >= PEER_NOTICE_TIMEOUT;
             waited || entry.blocked || !entry.awaits_answer()
@@ -90,20 +91,20 @@
     }
 
     /// Requests a trial on `server`, if that is the suspect's next step.
-    pub fn ask_trial(
+    pub fn request_trial(
         &mut self,
         fingerprint: Fingerprint,
         server: ServerKey,
         now: Timestamp,
-    ) -> Option<TrialAsk> {
-        if self.trial_step(fingerprint, now) != TrialStep::Ask
+    ) -> Option<TrialRequest> {
+        if self.trial_step(fingerprint, now) != TrialStep::Request
             || self.servers_on_trial().contains(&server)
         {
             return None;
         }
         let at = self.position(fingerprint).ok()?;
         self.trial_requests += 1;
-        let ask = TrialAsk {
+        let ask = TrialRequest {
             fingerprint,
             server,
             ticket: TrialTicket {
@@ -116,7 +117,7 @@
     }
 
     /// Applies the answer to a request for a trial.
-    pub fn trial_answer(&mut self, ask: &TrialAsk, answer: TrialAnswer, now: Timestamp) {
+    pub fn trial_answer(&mut self, ask: &TrialRequest, answer: TrialAnswer, now: Timestamp) {
         let Ok(at) = self.position(ask.fingerprint) else {
             return;
         };
--- a/crates/policy/src/urgency.rs
+++ b/crates/policy/src/urgency.rs
@@ -7,4 +7,4 @@
 mod key_traffic;
 mod urgency_table;
 
-pub use urgency_table::{CallTraits, CallerDoor, CallerKey, Urgency, UrgencyTable};
+pub use urgency_table::{CallTraits, CallerInterface, CallerKey, Urgency, UrgencyTable};
--- a/crates/policy/src/urgency/urgency_table.rs
+++ b/crates/policy/src/urgency/urgency_table.rs
@@ -14,7 +14,7 @@
 
 /// The interface through which a request arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum CallerDoor {
+pub enum CallerInterface {
     /// Completions and plain services, for which a person may be waiting.
     #[default]
     Live,
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallTraits {
     /// The interface through which it arrived.
-    pub door: CallerDoor,
+    pub interface: CallerInterface,
     /// Whether its answer is streamed.
     pub streaming: bool,
 }
@@ -62,7 +62,7 @@
 impl UrgencyTable {
     /// Counts the start of a request and returns its urgency.
     pub fn begin(&mut self, key: CallerKey, traits: CallTraits, now: Timestamp) -> Urgency {
-        if traits.door == CallerDoor::Lots {
+        if traits.interface == CallerInterface::Lots {
             return Urgency::Lot;
         }
         let position = self.position(key, traits);
@@ -96,7 +96,7 @@
     }
 
     /// Returns the number of entries: one or two for each key in use.
-    pub fn habits(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.traffic.len()
     }
 
--- a/crates/policy/src/usage/mod.rs
+++ b/crates/policy/src/usage/mod.rs
@@ -1,12 +1,12 @@
 //! Customers' rates, enforced by all daemons together without a coordinator.
 //!
 //! Each daemon reports to the others how many requests of each customer it has admitted
-//! since it started ([`UsageBook::own_counts`]). Every daemon charges these requests to
+//! since it started ([`UsageTracker::own_counts`]). Every daemon charges these requests to
 //! its own copy of the customer's [`UsageBucket`], so all copies stay nearly level, and
 //! a customer may spend its whole rate at any one daemon.
 //!
 //! The copies drift apart when a daemon receives no reports, because of a network
-//! partition, or while a report is in transit. [`UsageBook`] then reserves what the
+//! partition, or while a report is in transit. [`UsageTracker`] then reserves what the
 //! silent daemons may be spending. docs/PLATFORM.md has the figures.
 
 mod late_charges;
@@ -14,6 +14,6 @@
 mod usage_book;
 mod usage_bucket;
 
-pub use speak_schedule::SpeakSchedule;
-pub use usage_book::{CustomerLimit, PeerId, SpendingTimes, UsageBook, UsageCount};
+pub use speak_schedule::ReportSchedule;
+pub use usage_book::{CustomerLimit, PeerId, SpendingTimes, UsageCount, UsageTracker};
 pub use usage_bucket::UsageBucket;
--- a/crates/policy/src/usage/speak_schedule.rs
+++ b/crates/policy/src/usage/speak_schedule.rs
@@ -13,16 +13,16 @@
 /// daemon would leave most of each customer's tokens to the others
 /// (`tests/usage_large.rs`).
 #[derive(Clone, Copy, Debug)]
-pub struct SpeakSchedule {
+pub struct ReportSchedule {
     due_at: Timestamp,
     has_reported: bool,
 }
 
-impl SpeakSchedule {
+impl ReportSchedule {
     /// Creates the schedule of a daemon that starts now: the first report is due at
     /// once, since the other daemons wait for it.
     pub fn new(now: Timestamp) -> Self {
-        SpeakSchedule {
+        ReportSchedule {
             due_at: now,
             has_reported: false,
         }
@@ -35,7 +35,7 @@
 
     /// Records that a report was sent. The delay after the first report is random, so
     /// that daemons that started together spread out.
-    pub fn speak(&mut self, interval: Duration, now: Timestamp, random: &mut impl Rng) {
+    pub fn record_report(&mut self, interval: Duration, now: Timestamp, random: &mut impl Rng) {
         let fraction = match self.has_reported {
             true => 1.0,
             false => random.random_range(0.0..1.0),
--- a/crates/policy/src/usage/usage_book.rs
+++ b/crates/policy/src/usage/usage_book.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::UsageBucket;
-use crate::{Timestamp, hash::name_key};
+use crate::{Timestamp, hash::name_hash};
 
-/// The longest time between two reports of a daemon, unless [`UsageBook::set_interval`]
+/// The longest time between two reports of a daemon, unless [`UsageTracker::set_interval`]
 /// changes it.
 const DEFAULT_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// A daemon counts as silent after this many intervals without a report: that allows
@@ -51,7 +51,7 @@
 impl PeerId {
     /// Returns the id of the daemon with this name.
     pub fn of_name(name: &str) -> Self {
-        PeerId(name_key(name))
+        PeerId(name_hash(name))
     }
 }
 
@@ -108,7 +108,7 @@
 
 /// The usage of all customers, as one daemon knows it.
 #[derive(Clone, Debug, Default)]
-pub struct UsageBook {
+pub struct UsageTracker {
     /// Sorted by the customer's hash.
     customers: Vec<CustomerUsage>,
     /// Sorted by id.
@@ -206,14 +206,14 @@
     }
 }
 
-impl UsageBook {
+impl UsageTracker {
     /// Creates the tracker of a daemon that starts now.
     pub fn new(now: Timestamp) -> Self {
-        UsageBook {
+        UsageTracker {
             started_at: now,
             silent_after: DEFAULT_REPORT_INTERVAL.mul_f64(SILENT_INTERVALS),
             unconfirmed_after: unconfirmed_limits(DEFAULT_REPORT_INTERVAL),
-            ..UsageBook::default()
+            ..UsageTracker::default()
         }
     }
 
@@ -291,7 +291,7 @@
 
     /// Returns whether so many requests of a customer are unreported that the other
     /// daemons need a report at once.
-    pub fn is_tell_urgent(&self, customer: u64) -> bool {
+    pub fn is_report_urgent(&self, customer: u64) -> bool {
         let Some(index) = self.find(customer) else {
             return false;
         };
@@ -329,8 +329,8 @@
 
     /// Returns whether a request of a customer would be rejected only because peers may
     /// have admitted requests since their last report. A new report from those peers
-    /// ([`UsageBook::doubted_peers`]) decides it.
-    pub fn is_refused_by_doubt(&self, customer: u64, now: Timestamp) -> bool {
+    /// ([`UsageTracker::unconfirmed_peers`]) decides it.
+    pub fn is_rejected_as_unconfirmed(&self, customer: u64, now: Timestamp) -> bool {
         let Some(index) = self
             .find(customer)
             .filter(|_| !self.is_recently_started(now))
@@ -348,7 +348,7 @@
     }
 
     /// Returns the daemons whose last report is so old that tokens are left to them.
-    pub fn doubted_peers(&self, now: Timestamp) -> Vec<PeerId> {
+    pub fn unconfirmed_peers(&self, now: Timestamp) -> Vec<PeerId> {
         let unconfirmed = self.peers.iter().filter(|it| self.is_unconfirmed(it, now));
         unconfirmed.map(|it| it.id).collect()
     }
@@ -384,7 +384,7 @@
 
     /// Applies a report of another daemon: charges what that daemon admitted since its
     /// previous report.
-    pub fn hear(&mut self, id: PeerId, incarnation: u64, counts: &[UsageCount], now: Timestamp) {
+    pub fn receive(&mut self, id: PeerId, incarnation: u64, counts: &[UsageCount], now: Timestamp) {
         let index = match self.peers.binary_search_by_key(&id, |it| it.id) {
             Ok(index) => index,
             Err(index) => {
--- a/crates/policy/tests/claims.rs
+++ b/crates/policy/tests/claims.rs
@@ -7,14 +7,14 @@
 use assert_matches::assert_matches;
 use claims_store::{Store, at};
 use comfreyramp_policy::{
-    AnswerRef, ClaimBook, ClaimCause, ClaimKey, ClaimState, ClaimVerdict, Fingerprint, GroupAnswer,
-    Incarnation, RunState, Timestamp,
+    AnswerRef, ClaimCause, ClaimKey, ClaimState, ClaimTracker, ClaimVerdict, Fingerprint,
+    GroupAnswer, Incarnation, RunState, Timestamp,
 };
 
 const BODY: Fingerprint = Fingerprint(5);
 
 /// Writes the next group of claims to the store and passes the answer to the tracker.
-fn write(tracker: &mut ClaimBook, store: &mut Store, now: Timestamp) -> GroupAnswer {
+fn write(tracker: &mut ClaimTracker, store: &mut Store, now: Timestamp) -> GroupAnswer {
     let group = tracker.next_group(now).expect("a group");
     let answer = store.transact(&group.records, now);
     tracker.group_answer(group.number, &answer, now);
@@ -26,7 +26,7 @@
 #[test]
 fn a_paused_daemon_does_not_send_on_an_old_claim() {
     let mut store = Store::default();
-    let mut paused = ClaimBook::new(Incarnation(1));
+    let mut paused = ClaimTracker::new(Incarnation(1));
     let key = ClaimKey(1);
     let ticket = paused.claim(key, BODY, at(60.0), at(1.0)).unwrap();
     assert_eq!(
@@ -35,7 +35,7 @@
     );
 
     let later = at(25.0 * 3600.0);
-    let mut other = ClaimBook::new(Incarnation(2));
+    let mut other = ClaimTracker::new(Incarnation(2));
     let second = other
         .claim(key, BODY, later + Duration::from_secs(9), later)
         .unwrap();
@@ -61,13 +61,13 @@
 #[test]
 fn a_resend_after_the_claimant_was_lost_is_unknown() {
     let mut store = Store::default();
-    let mut lost_daemon = ClaimBook::new(Incarnation(1));
+    let mut lost_daemon = ClaimTracker::new(Incarnation(1));
     lost_daemon
         .claim(ClaimKey(1), BODY, at(60.0), at(1.0))
         .unwrap();
     write(&mut lost_daemon, &mut store, at(1.0));
 
-    let mut other = ClaimBook::new(Incarnation(2));
+    let mut other = ClaimTracker::new(Incarnation(2));
     let ticket = other.claim(ClaimKey(1), BODY, at(60.0), at(9.0)).unwrap();
     write(&mut other, &mut store, at(9.0));
     let verdict = other.verdict(ClaimKey(1), ticket);
@@ -83,7 +83,7 @@
 #[test]
 fn an_own_claim_is_known_again_after_a_lost_answer() {
     let mut store = Store::default();
-    let mut tracker = ClaimBook::new(Incarnation(1));
+    let mut tracker = ClaimTracker::new(Incarnation(1));
     let ticket = tracker.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
     let group = tracker.next_group(at(1.0)).unwrap();
     store.transact(&group.records, at(1.0));
@@ -103,7 +103,7 @@
 /// platform.
 #[test]
 fn without_the_platform_calls_are_refused_and_not_run() {
-    let mut tracker = ClaimBook::new(Incarnation(1));
+    let mut tracker = ClaimTracker::new(Incarnation(1));
     let ticket = tracker.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
     let group = tracker.next_group(at(1.0)).unwrap();
     tracker.group_answer(group.number, &GroupAnswer::Unreachable, at(1.1));
@@ -129,7 +129,7 @@
 #[test]
 fn a_claim_that_came_too_late_is_released() {
     let mut store = Store::default();
-    let mut tracker = ClaimBook::new(Incarnation(1));
+    let mut tracker = ClaimTracker::new(Incarnation(1));
     let ticket = tracker.claim(ClaimKey(1), BODY, at(2.0), at(1.0)).unwrap();
     let group = tracker.next_group(at(1.0)).unwrap();
     store.transact(&group.records, at(2.5));
@@ -149,7 +149,7 @@
 #[test]
 fn a_resend_finds_the_answer_and_another_body_is_refused() {
     let mut store = Store::default();
-    let mut first = ClaimBook::new(Incarnation(1));
+    let mut first = ClaimTracker::new(Incarnation(1));
     let ticket = first.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
     write(&mut first, &mut store, at(1.0));
     assert!(first.start(ClaimKey(1), ticket, at(1.1)));
@@ -166,7 +166,7 @@
     let found = &store.records[0].0.state;
     assert_matches!(found, ClaimState::Finished { answer: it } if *it == answer);
 
-    let mut second = ClaimBook::new(Incarnation(2));
+    let mut second = ClaimTracker::new(Incarnation(2));
     let resent = second.claim(ClaimKey(1), BODY, at(60.0), at(5.0)).unwrap();
     write(&mut second, &mut store, at(5.0));
     assert_eq!(
@@ -184,7 +184,7 @@
 
 #[test]
 fn claims_are_written_together_under_load() {
-    let mut tracker = ClaimBook::new(Incarnation(1));
+    let mut tracker = ClaimTracker::new(Incarnation(1));
     let mut store = Store::default();
     let mut groups = 0;
     for millis in 0..1000 {
@@ -207,14 +207,14 @@
 #[test]
 fn a_call_whose_caller_left_keeps_its_claim() {
     let mut store = Store::default();
-    let mut tracker = ClaimBook::new(Incarnation(1));
+    let mut tracker = ClaimTracker::new(Incarnation(1));
     let ticket = tracker.claim(ClaimKey(1), BODY, at(60.0), at(1.0)).unwrap();
     write(&mut tracker, &mut store, at(1.0));
     assert!(tracker.start(ClaimKey(1), ticket, at(1.1)));
     tracker.forget(ClaimKey(1), ticket);
     tracker.poll(at(30.0));
     assert!(tracker.take_changes(10).is_empty());
-    tracker.lose(ClaimKey(1), ticket);
+    tracker.record_lost_answer(ClaimKey(1), ticket);
     tracker
         .take_changes(10)
         .into_iter()
--- a/crates/policy/tests/claims_fleet.rs
+++ b/crates/policy/tests/claims_fleet.rs
@@ -6,7 +6,7 @@
 
 use claims_store::{Store, at};
 use comfreyramp_policy::{
-    AnswerRef, ClaimBook, ClaimGroup, ClaimKey, ClaimTicket, ClaimVerdict, Fingerprint,
+    AnswerRef, ClaimGroup, ClaimKey, ClaimTicket, ClaimTracker, ClaimVerdict, Fingerprint,
     GroupAnswer, Incarnation, RunState, Timestamp,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -39,7 +39,7 @@
     store: Store,
     delayed_writes: Vec<(Timestamp, ClaimGroup)>,
     outage_until: Timestamp,
-    trackers: Vec<(ClaimBook, Timestamp)>,
+    trackers: Vec<(ClaimTracker, Timestamp)>,
     starts: u64,
     attempts: Vec<Attempt>,
     runs: Vec<u32>,
@@ -57,7 +57,7 @@
             delayed_writes: Vec::new(),
             outage_until: Timestamp::ZERO,
             trackers: (0..4)
-                .map(|it| (ClaimBook::new(Incarnation(it)), Timestamp::ZERO))
+                .map(|it| (ClaimTracker::new(Incarnation(it)), Timestamp::ZERO))
                 .collect(),
             starts: 4,
             attempts: Vec::new(),
@@ -115,7 +115,7 @@
             // The daemon is lost and a new one is started in its place. Calls that the
             // lost one had sent continue to run.
             self.starts += 1;
-            self.trackers[at] = (ClaimBook::new(Incarnation(self.starts)), now);
+            self.trackers[at] = (ClaimTracker::new(Incarnation(self.starts)), now);
             self.attempts.retain(|it| it.daemon != at);
         }
         if self.fault(0.003) {
@@ -165,7 +165,7 @@
             }
             (Stage::Running(since), _) if now.since(since) >= RUN_DURATION => {
                 if is_lost {
-                    tracker.lose(key, ticket);
+                    tracker.record_lost_answer(key, ticket);
                 } else {
                     tracker.finish(key, ticket, AnswerRef(format!("answer {}", key.0)));
                     self.answered[key.0 as usize] = true;
--- a/crates/policy/tests/copy_proof.rs
+++ b/crates/policy/tests/copy_proof.rs
@@ -4,7 +4,7 @@
 
 use comfreyramp_policy::{
     Timestamp,
-    lots::{CopyState, ReaderPosition, RunnerVouch, knows_all_results},
+    lots::{CopyState, ReaderPosition, RunnerConfirmation, knows_all_results},
 };
 
 /// A result that one reader has got must be available to all readers after this time.
@@ -22,12 +22,18 @@
     }
 }
 
-fn runner_report(results: usize, heard_at: Timestamp) -> Option<RunnerVouch> {
-    Some(RunnerVouch { results, heard_at })
+fn runner_report(results: usize, heard_at: Timestamp) -> Option<RunnerConfirmation> {
+    Some(RunnerConfirmation {
+        results,
+        last_received_at: heard_at,
+    })
 }
 
 fn reader(after: usize, asked_at: Timestamp) -> ReaderPosition {
-    ReaderPosition { after, asked_at }
+    ReaderPosition {
+        after,
+        requested_at: asked_at,
+    }
 }
 
 /// The daemon that runs a lot writes the last result and is lost before it receives the
@@ -47,10 +53,10 @@
             let copy = copy_of(11, written);
             let asked = reader(11, now);
             assert!(
-                copy.is_doubtful(asked, report, now),
+                copy.needs_refresh(asked, report, now),
                 "{reported_after} {delay}"
             );
-            assert!(!copy.proves_nothing_there(asked, None, now));
+            assert!(!copy.proves_no_results(asked, None, now));
         }
     }
 }
@@ -61,21 +67,21 @@
 fn a_report_of_the_runner_saves_a_read_of_the_store() {
     let copy = copy_of(3, at(0));
     let asked = reader(3, at(9_000));
-    assert!(!copy.is_doubtful(asked, runner_report(3, at(8_900)), at(9_000)));
+    assert!(!copy.needs_refresh(asked, runner_report(3, at(8_900)), at(9_000)));
     assert!(
-        copy.is_doubtful(asked, runner_report(4, at(8_900)), at(9_000)),
+        copy.needs_refresh(asked, runner_report(4, at(8_900)), at(9_000)),
         "the runner has more results"
     );
     assert!(
-        copy.is_doubtful(asked, runner_report(2, at(8_900)), at(9_000)),
+        copy.needs_refresh(asked, runner_report(2, at(8_900)), at(9_000)),
         "an outdated report"
     );
     assert!(
-        copy.is_doubtful(asked, None, at(9_000)),
+        copy.needs_refresh(asked, None, at(9_000)),
         "no daemon runs the lot"
     );
     assert!(
-        copy.is_doubtful(asked, runner_report(3, at(8_000)), at(9_000)),
+        copy.needs_refresh(asked, runner_report(3, at(8_000)), at(9_000)),
         "the last report is too old"
     );
 }
@@ -87,15 +93,15 @@
 fn a_reader_that_knows_more_causes_a_read_of_the_store() {
     let copy = copy_of(11, at(8_950));
     let asked = reader(12, at(9_000));
-    assert!(copy.is_doubtful(asked, runner_report(11, at(8_990)), at(9_000)));
+    assert!(copy.needs_refresh(asked, runner_report(11, at(8_990)), at(9_000)));
     let report = runner_report(11, at(9_600));
     assert!(
-        !copy.proves_nothing_there(asked, report, at(9_600)),
+        !copy.proves_no_results(asked, report, at(9_600)),
         "not by a report either"
     );
     let after_the_read = copy_of(11, at(9_010));
     assert!(
-        !after_the_read.is_doubtful(asked, runner_report(11, at(8_990)), at(9_020)),
+        !after_the_read.needs_refresh(asked, runner_report(11, at(8_990)), at(9_020)),
         "one read is sufficient"
     );
 }
@@ -105,13 +111,13 @@
 #[test]
 fn known_results_are_sent_without_a_read_of_the_store() {
     let copy = copy_of(3, at(5_000));
-    assert!(!copy.is_doubtful(reader(0, at(9_000)), None, at(9_000)));
+    assert!(!copy.needs_refresh(reader(0, at(9_000)), None, at(9_000)));
     let whole = CopyState {
         is_final: true,
         ..copy
     };
-    assert!(!whole.is_doubtful(reader(3, at(99_000)), None, at(99_000)));
-    assert!(whole.proves_nothing_there(reader(3, at(99_000)), None, at(99_000)));
+    assert!(!whole.needs_refresh(reader(3, at(99_000)), None, at(99_000)));
+    assert!(whole.proves_no_results(reader(3, at(99_000)), None, at(99_000)));
 }
 
 /// The daemon that runs a lot reports three results but sends two: its copy was dropped
@@ -123,12 +129,12 @@
     let now = at(9_000);
     let copy = copy_of(2, now);
     let asked = reader(2, now);
-    assert!(copy.is_doubtful(asked, runner_report(3, now), now));
-    assert!(!copy.proves_nothing_there(asked, runner_report(3, now), now));
-    assert!(copy.proves_nothing_there(asked, runner_report(2, now), now));
+    assert!(copy.needs_refresh(asked, runner_report(3, now), now));
+    assert!(!copy.proves_no_results(asked, runner_report(3, now), now));
+    assert!(copy.proves_no_results(asked, runner_report(2, now), now));
     let former = copy_of(3, now);
     assert!(
-        former.proves_nothing_there(reader(3, now), runner_report(2, now), now),
+        former.proves_no_results(reader(3, now), runner_report(2, now), now),
         "an outdated report"
     );
 }
--- a/crates/policy/tests/fleet_run/mod.rs
+++ b/crates/policy/tests/fleet_run/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use comfreyramp_policy::{
-    DaemonId, FleetMember, FreshnessSettings, OfferVerdict, Timestamp, WatchPlan, member_score,
+    DaemonId, FleetMember, FreshnessSettings, OfferDecision, Timestamp, WatchPlan, member_score,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -236,7 +236,7 @@
             return;
         }
         if reaches && !self.watches_silent {
-            daemon.plan.take_watched(revision);
+            daemon.plan.apply_watch_event(revision);
         }
         if now < daemon.next_check {
             return;
@@ -244,30 +244,30 @@
         daemon.next_check = now + CHECK_INTERVAL;
         self.platform_calls += 1;
         if reaches {
-            assert!(daemon.plan.take_read(revision, now, now));
+            assert!(daemon.plan.apply_read(revision, now, now));
             daemon.current_at = Some(now);
         }
     }
 
     fn query_peer(&mut self, own: usize) {
         let now = self.now;
-        let target = self.daemons[own].plan.next_ask(now, &mut self.rng);
+        let target = self.daemons[own].plan.next_request(now, &mut self.rng);
         let Some(target) = target else {
             return;
         };
         self.queries += 1;
         let peer = target.index();
         if !self.reaches(own, peer) {
-            return self.daemons[own].plan.take_silence(target, now);
+            return self.daemons[own].plan.record_timeout(target, now);
         }
         let offered = self.daemons[peer].plan.offer(0, now);
         let current_at = self.daemons[peer].current_at;
         let daemon = &mut self.daemons[own];
         let Some(offer) = offered else {
-            return daemon.plan.take_nothing(target, now);
+            return daemon.plan.record_empty_answer(target, now);
         };
-        let verdict = daemon.plan.take_offer(target, offer, now, now);
-        if verdict == OfferVerdict::Take {
+        let verdict = daemon.plan.apply_offer(target, offer, now, now);
+        if verdict == OfferDecision::Apply {
             daemon.current_at = daemon.current_at.max(current_at);
         }
     }
--- a/crates/policy/tests/freshness.rs
+++ b/crates/policy/tests/freshness.rs
@@ -13,7 +13,7 @@
 
 use assert_matches::assert_matches;
 use comfreyramp_policy::{
-    DaemonId, FleetMember, FreshnessSettings, OfferVerdict, Timestamp, ViewAge, ViewOffer,
+    DaemonId, FleetMember, FreshnessSettings, OfferDecision, Timestamp, ViewAge, ViewOffer,
     WatchPlan, member_score,
 };
 use fleet_run::FleetRun;
@@ -234,15 +234,15 @@
 fn an_old_revision_from_a_stale_peer_is_ignored() {
     let mut plan = plan();
     plan.set_members(&[member(1, 200), member(2, 300)]);
-    assert!(plan.take_read(50, at(1000), at(1000)));
+    assert!(plan.apply_read(50, at(1000), at(1000)));
     let stale = offer(0, 40, Duration::ZERO);
-    let verdict = plan.take_offer(DaemonId(1), stale, at(9000), at(9000));
-    assert_matches!(verdict, OfferVerdict::Behind);
+    let verdict = plan.apply_offer(DaemonId(1), stale, at(9000), at(9000));
+    assert_matches!(verdict, OfferDecision::Outdated);
     assert_eq!(plan.revision(), 50);
     // The age of a rejected offer says nothing about the age of this daemon's view.
     assert_eq!(plan.age(at(9000)), Some(seconds(8)));
-    assert!(!plan.take_read(49, at(9000), at(9000)));
-    assert!(!plan.take_watched(50));
+    assert!(!plan.apply_read(49, at(9000), at(9000)));
+    assert!(!plan.apply_watch_event(50));
     assert_eq!(plan.age(at(9000)), Some(seconds(8)));
 }
 
@@ -251,14 +251,14 @@
 #[test]
 fn changes_with_a_gap_are_not_taken() {
     let mut plan = plan();
-    plan.take_read(50, at(0), at(0));
+    plan.apply_read(50, at(0), at(0));
     let gapped = offer(55, 60, Duration::ZERO);
-    let verdict = plan.take_offer(DaemonId(1), gapped, at(0), at(0));
-    assert_matches!(verdict, OfferVerdict::Gap);
+    let verdict = plan.apply_offer(DaemonId(1), gapped, at(0), at(0));
+    assert_matches!(verdict, OfferDecision::Gap);
     assert_eq!(plan.revision(), 50);
     let whole = offer(0, 60, Duration::ZERO);
-    let verdict = plan.take_offer(DaemonId(1), whole, at(0), at(0));
-    assert_matches!(verdict, OfferVerdict::Take);
+    let verdict = plan.apply_offer(DaemonId(1), whole, at(0), at(0));
+    assert_matches!(verdict, OfferDecision::Apply);
     assert_eq!(plan.revision(), 60);
 }
 
@@ -269,7 +269,7 @@
 fn the_age_of_a_delayed_answer_counts_from_the_query() {
     let mut plan = plan();
     let fresh = offer(0, 60, Duration::from_millis(200));
-    plan.take_offer(DaemonId(1), fresh, at(1000), at(61_000));
+    plan.apply_offer(DaemonId(1), fresh, at(1000), at(61_000));
     let age = plan.age(at(61_000));
     assert_eq!(age, Some(seconds(60) + Duration::from_millis(200)));
 }
@@ -279,7 +279,7 @@
 #[test]
 fn a_view_can_be_older_than_the_process() {
     let mut plan = plan();
-    plan.take_offer(DaemonId(1), offer(0, 60, seconds(3600)), at(2000), at(2000));
+    plan.apply_offer(DaemonId(1), offer(0, 60, seconds(3600)), at(2000), at(2000));
     assert_eq!(plan.age(at(2000)), Some(seconds(3600)));
     let other = ViewAge::new(at(0), seconds(10));
     let view = ViewAge::new(at(5000), seconds(60)).fresher(other);
@@ -300,15 +300,15 @@
     for round in 0..5 {
         assert!(plan.should_follow(now));
         assert!(!plan.is_ready(), "ready after {round} answers");
-        let peer = plan.next_ask(now, &mut rng).unwrap();
+        let peer = plan.next_request(now, &mut rng).unwrap();
         assert!(!queried.contains(&peer), "queried {peer:?} twice");
         queried.push(peer);
         match revisions.get(round) {
             Some(revision) => {
                 let old = offer(0, *revision, seconds(1800));
-                plan.take_offer(peer, old, now, now);
+                plan.apply_offer(peer, old, now, now);
             }
-            None => plan.take_silence(peer, now),
+            None => plan.record_timeout(peer, now),
         }
         now = now + SECOND;
     }
@@ -324,10 +324,10 @@
     let mut plan = plan();
     plan.set_members(&[member(1, 50), member(2, 70)]);
     for peer in [1, 2] {
-        plan.take_silence(DaemonId(peer), at(0));
+        plan.record_timeout(DaemonId(peer), at(0));
     }
     assert!(!plan.is_ready());
-    plan.take_read(1, at(600_000), at(600_000));
+    plan.apply_read(1, at(600_000), at(600_000));
     assert!(plan.is_ready());
     // It stays ready: each customer's settings limit how long an old view may be used.
     assert!(plan.is_ready());
--- a/crates/policy/tests/lots_decisions.rs
+++ b/crates/policy/tests/lots_decisions.rs
@@ -6,8 +6,8 @@
 use comfreyramp_policy::{
     CustomerId, Timestamp,
     lots::{
-        GiveUpReason, ItemTries, LotForecast, LotKey, LotRanking, PaceMeter, RankedLot,
-        SegmentChoice, TryPolicy, TryVerdict,
+        GiveUpReason, ItemAttempts, ItemRetryPolicy, ItemRetryVerdict, LotForecast, LotKey,
+        LotRanking, PaceMeter, RankedLot, SegmentChoice,
     },
 };
 use rand::{SeedableRng, rngs::StdRng};
@@ -108,14 +108,14 @@
 // recorded as failed: their customer would lose work because of a fault of the service.
 #[test]
 fn an_outage_fails_no_item() {
-    let policy = TryPolicy::default();
+    let policy = ItemRetryPolicy::default();
     let mut random = StdRng::seed_from_u64(1);
-    let mut attempts = ItemTries::default();
+    let mut attempts = ItemAttempts::default();
     let mut now = Timestamp::ZERO;
     while now < Timestamp::ZERO + HOUR {
         let verdict = policy.fault(&mut attempts, 0, now, &mut random);
-        assert_matches!(verdict, TryVerdict::Retry(at) if at > now);
-        if let TryVerdict::Retry(at) = verdict {
+        assert_matches!(verdict, ItemRetryVerdict::Retry(at) if at > now);
+        if let ItemRetryVerdict::Retry(at) = verdict {
             now = at;
         }
     }
@@ -130,15 +130,21 @@
 // attempts its lot would never end.
 #[test]
 fn an_item_that_fails_alone_is_given_up_after_three_attempts() {
-    let policy = TryPolicy::default();
+    let policy = ItemRetryPolicy::default();
     let mut random = StdRng::seed_from_u64(2);
-    let mut attempts = ItemTries::default();
+    let mut attempts = ItemAttempts::default();
     let now = Timestamp::ZERO;
-    let verdicts: Vec<TryVerdict> = (0..3)
+    let verdicts: Vec<ItemRetryVerdict> = (0..3)
         .map(|_| policy.fault(&mut attempts, 5, now, &mut random))
         .collect();
-    assert_matches!(verdicts[..2], [TryVerdict::Retry(_), TryVerdict::Retry(_)]);
-    assert_eq!(verdicts[2], TryVerdict::GiveUp(GiveUpReason::FailsAlone));
+    assert_matches!(
+        verdicts[..2],
+        [ItemRetryVerdict::Retry(_), ItemRetryVerdict::Retry(_)]
+    );
+    assert_eq!(
+        verdicts[2],
+        ItemRetryVerdict::GiveUp(GiveUpReason::FailsAlone)
+    );
 }
 
 // The last item of a lot fails each time, and there are no other items that could show
@@ -146,33 +152,36 @@
 // never end, and if their result were ignored, an outage would fail the item.
 #[test]
 fn a_probe_distinguishes_server_faults_from_item_faults() {
-    let policy = TryPolicy::default();
+    let policy = ItemRetryPolicy::default();
     let mut random = StdRng::seed_from_u64(6);
-    let mut attempts = ItemTries::default();
+    let mut attempts = ItemAttempts::default();
     let now = Timestamp::ZERO;
     for succeeded in [false, true, false, true] {
         let fault = policy.fault(&mut attempts, 0, now, &mut random);
-        assert_matches!(fault, TryVerdict::Retry(_));
+        assert_matches!(fault, ItemRetryVerdict::Retry(_));
         assert!(attempts.needs_probe);
         let probed = policy.probe(&mut attempts, succeeded, now, &mut random);
-        assert_matches!(probed, TryVerdict::Retry(_));
+        assert_matches!(probed, ItemRetryVerdict::Retry(_));
     }
     policy.fault(&mut attempts, 0, now, &mut random);
     let probed = policy.probe(&mut attempts, true, now, &mut random);
-    assert_eq!(probed, TryVerdict::GiveUp(GiveUpReason::FailsAlone));
+    assert_eq!(probed, ItemRetryVerdict::GiveUp(GiveUpReason::FailsAlone));
 }
 
 // An item crashes each backend server that runs it. Each further attempt would take
 // another server away from live requests.
 #[test]
 fn an_item_costs_at_most_two_servers() {
-    let policy = TryPolicy::default();
+    let policy = ItemRetryPolicy::default();
     let mut random = StdRng::seed_from_u64(3);
-    let mut attempts = ItemTries::default();
+    let mut attempts = ItemAttempts::default();
     let first = policy.crash(&mut attempts, Timestamp::ZERO, &mut random);
     let second = policy.crash(&mut attempts, Timestamp::ZERO, &mut random);
-    assert_matches!(first, TryVerdict::Retry(_));
-    assert_eq!(second, TryVerdict::GiveUp(GiveUpReason::CrashesServers));
+    assert_matches!(first, ItemRetryVerdict::Retry(_));
+    assert_eq!(
+        second,
+        ItemRetryVerdict::GiveUp(GiveUpReason::CrashesServers)
+    );
 }
 
 // At its current pace a lot will end an hour late. Its customer can react if it learns
