--- a/crates/serving/src/path/front_body.rs
+++ b/crates/serving/src/path/front_body.rs
@@ -24,26 +24,26 @@
 
 /// The body of an answer to a caller: buffered, or relayed as it arrives from a server.
 #[derive(Debug)]
-pub enum FrontBody<D: Dialect> {
+pub enum AnswerBody<D: Dialect> {
     /// The whole body, until it is sent; `None` if it is empty or has been sent.
     Buffered(Option<Bytes>),
     /// A stream that is relayed as it arrives.
     Streaming(Box<StreamRelay<D>>),
 }
 
-impl<D: Dialect> FrontBody<D> {
+impl<D: Dialect> AnswerBody<D> {
     /// Returns an empty body.
     pub fn empty() -> Self {
-        FrontBody::Buffered(None)
+        AnswerBody::Buffered(None)
     }
 
     /// Returns a body that consists of `bytes`.
     pub fn whole(bytes: Bytes) -> Self {
-        FrontBody::Buffered((!bytes.is_empty()).then_some(bytes))
+        AnswerBody::Buffered((!bytes.is_empty()).then_some(bytes))
     }
 }
 
-impl<D: Dialect> Body for FrontBody<D> {
+impl<D: Dialect> Body for AnswerBody<D> {
     type Data = Bytes;
     type Error = AnswerBodyError;
 
@@ -52,8 +52,8 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerBodyError>>> {
         match self.get_mut() {
-            FrontBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
-            FrontBody::Streaming(relay) => {
+            AnswerBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
+            AnswerBody::Streaming(relay) => {
                 let chunk = relay.poll_chunk(context);
                 chunk.map(|it| it.map(|it| it.map(Frame::data)))
             }
@@ -61,15 +61,15 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, FrontBody::Buffered(None))
+        matches!(self, AnswerBody::Buffered(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            FrontBody::Buffered(bytes) => {
+            AnswerBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |it| it.len() as u64))
             }
-            FrontBody::Streaming(_) => SizeHint::default(),
+            AnswerBody::Streaming(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/serving/src/path/live_request.rs
+++ b/crates/serving/src/path/live_request.rs
@@ -13,15 +13,17 @@
 use hyper::body::Incoming;
 
 use super::{
-    AttemptGuard, FrontBody, OpenAnswer,
+    AnswerBody, AttemptGuard, OpenAnswer,
     server_attempt::{AttemptFailure, open_answer},
     stream_relay::StreamRelay,
 };
 use crate::{
     dialect::{CallerDialect, Dialect, ServerDialect},
-    fleet::{KnownCustomer, draw_service},
+    fleet::{KnownCustomer, choose_service},
     lots,
-    model::{CallerAsk, CallerHead, Refusal, RefusalCause, RouteKind, RouteSettings, SendTicket},
+    model::{
+        CallerAction, CallerHead, Refusal, RefusalCause, RequestMetadata, RouteKind, RouteSettings,
+    },
     node::Node,
     suspects::fingerprint,
 };
@@ -73,13 +75,13 @@
     first_byte_at: Option<Timestamp>,
 }
 
-type Answer<D> = Result<Response<FrontBody<D>>, Refusal>;
+type Answer<D> = Result<Response<AnswerBody<D>>, Refusal>;
 
 /// Answers a caller's request.
 pub async fn answer_caller<D: Dialect>(
     node: Rc<Node<D>>,
     request: Request<Incoming>,
-) -> Response<FrontBody<D>> {
+) -> Response<AnswerBody<D>> {
     let received_at = node.clock.now();
     let (head, body) = request.into_parts();
     let caller = match <D::Callers as CallerDialect>::read_head(&head) {
@@ -94,7 +96,7 @@
     answer.unwrap_or_else(|refusal| {
         let span = node.clock.now().since(received_at);
         // `Node` counts refusals of customers over their rate itself, by customer.
-        if refusal.cause != RefusalCause::OverRate {
+        if refusal.cause != RefusalCause::RateExceeded {
             node.metrics.refusal("", refusal.cause.as_str());
         }
         log::info!(
@@ -108,8 +110,8 @@
     })
 }
 
-fn refuse<D: Dialect>(refusal: &Refusal) -> Response<FrontBody<D>> {
-    <D::Callers as CallerDialect>::refuse(refusal).map(FrontBody::whole)
+fn refuse<D: Dialect>(refusal: &Refusal) -> Response<AnswerBody<D>> {
+    <D::Callers as CallerDialect>::refuse(refusal).map(AnswerBody::whole)
 }
 
 async fn dispatch<D: Dialect>(
@@ -123,16 +125,16 @@
         || Refusal::new(RefusalCause::NoSettings).retry_after(UNAVAILABLE_RETRY_AFTER);
     let fleet = node.fleet().ok_or_else(no_settings)?;
     let limit = fleet.settings.limits.body_bytes;
-    if caller.ask != CallerAsk::Forward {
+    if caller.ask != CallerAction::Forward {
         if !fleet.knows_host(&caller.host) {
             return Err(RefusalCause::NoRoute.into());
         }
         let customer = known_customer(&fleet, &caller)?;
-        return lots::answer_reader(node, &customer, &caller.request_id, caller.ask).await;
+        return lots::answer_lot_request(node, &customer, &caller.request_id, caller.ask).await;
     }
     let route = fleet.route(&caller.host, head.uri.path());
     let route = route.ok_or(RefusalCause::NoRoute)?;
-    let customer = match route.is_public || !fleet.asks_for_keys() {
+    let customer = match route.is_public || !fleet.requires_keys() {
         true => None,
         false => Some(known_customer(&fleet, &caller)?),
     };
@@ -190,7 +192,7 @@
     collect_limited(body, limit)
         .await
         .map_err(|error| match error {
-            BodyError::TooLong { .. } => RefusalCause::TooLong.into(),
+            BodyError::TooLong { .. } => RefusalCause::BodyTooLong.into(),
             BodyError::Connection(_) | BodyError::CutShort(_) => RefusalCause::BadRequest.into(),
         })
 }
@@ -267,7 +269,7 @@
     fn choose_server(&self, now: Timestamp) -> Result<Placement, Refusal> {
         let servers = self.node.servers.borrow();
         let mut random = rand::rng();
-        let service = draw_service(&self.route, |it| servers.has_server(it), &mut random);
+        let service = choose_service(&self.route, |it| servers.has_server(it), &mut random);
         let Some(service) = service else {
             return Err(self.final_refusal(RefusalCause::NoServer, UNAVAILABLE_RETRY_AFTER));
         };
@@ -275,12 +277,12 @@
             service,
             zone: &self.node.settings.zone,
             exclude: &self.tried_servers,
-            longest_wait: self.max_slot_wait(now),
+            max_wait: self.max_slot_wait(now),
         };
         match servers.choose_live(query, now, &mut random) {
             Ok(placement) => Ok(placement),
             Err(PlacementRefusal::NoServer) => {
-                Err(self.final_refusal(RefusalCause::TurnedAway, UNAVAILABLE_RETRY_AFTER))
+                Err(self.final_refusal(RefusalCause::RejectedByServers, UNAVAILABLE_RETRY_AFTER))
             }
             Err(PlacementRefusal::Full { retry_after }) => {
                 Err(self.final_refusal(RefusalCause::Full, retry_after))
@@ -329,7 +331,7 @@
         now: Timestamp,
     ) -> Request<Full<Bytes>> {
         let servers = self.node.servers.borrow();
-        let metadata = SendTicket {
+        let metadata = RequestMetadata {
             server: &servers.listing(server).name,
             customer: self.customer.as_ref().map(|it| it.settings.name.as_str()),
             time_left: self.deadline.since(now),
@@ -352,7 +354,7 @@
         let now = self.node.clock.now();
         if now >= self.deadline {
             return Err(match self.runs {
-                0 => self.final_refusal(RefusalCause::TurnedAway, UNAVAILABLE_RETRY_AFTER),
+                0 => self.final_refusal(RefusalCause::RejectedByServers, UNAVAILABLE_RETRY_AFTER),
                 _ => RefusalCause::TimedOut.into(),
             });
         }
@@ -363,20 +365,22 @@
             }
         }
         if self.tried_servers.len() >= MAX_SERVERS {
-            return Err(self.final_refusal(RefusalCause::TurnedAway, UNAVAILABLE_RETRY_AFTER));
+            return Err(
+                self.final_refusal(RefusalCause::RejectedByServers, UNAVAILABLE_RETRY_AFTER)
+            );
         }
         Ok(())
     }
 
-    fn return_answer(&self, head: http::response::Parts, body: Bytes) -> Response<FrontBody<D>> {
-        let mut answer = Response::new(FrontBody::whole(body));
+    fn return_answer(&self, head: http::response::Parts, body: Bytes) -> Response<AnswerBody<D>> {
+        let mut answer = Response::new(AnswerBody::whole(body));
         *answer.status_mut() = head.status;
         *answer.headers_mut() = <D::Servers as ServerDialect>::returned(head.headers);
         self.record_end("passed_back", head.status);
         answer
     }
 
-    fn relay(self, open: OpenAnswer<D>) -> Response<FrontBody<D>> {
+    fn relay(self, open: OpenAnswer<D>) -> Response<AnswerBody<D>> {
         let status = open.head.status;
         let headers = <D::Servers as ServerDialect>::returned(open.head.headers.clone());
         let span = self.node.clock.now().since(self.received_at);
@@ -384,7 +388,7 @@
             .metrics
             .first_byte(self.customer_name(), "stream", span);
         let relay = StreamRelay::new(self, open);
-        let mut answer = Response::new(FrontBody::Streaming(Box::new(relay)));
+        let mut answer = Response::new(AnswerBody::Streaming(Box::new(relay)));
         *answer.status_mut() = status;
         *answer.headers_mut() = headers;
         answer
--- a/crates/serving/src/path/mod.rs
+++ b/crates/serving/src/path/mod.rs
@@ -10,6 +10,6 @@
 
 pub use connection_loop::{ConnectionLimits, serve_connections};
 pub use connection_pool::{ConnectionPool, MAX_IDLE, SendFailure, ServerConnection};
-pub use front_body::{AnswerBodyError, FrontBody};
+pub use front_body::{AnswerBody, AnswerBodyError};
 pub use live_request::answer_caller;
 pub use server_attempt::{AttemptFailure, AttemptGuard, OpenAnswer, open_answer};
--- a/crates/serving/src/path/server_attempt.rs
+++ b/crates/serving/src/path/server_attempt.rs
@@ -14,7 +14,7 @@
 use super::{MAX_IDLE, SendFailure, ServerConnection};
 use crate::{
     dialect::{Dialect, ServerDialect},
-    model::{RunClaim, ServerAnswer},
+    model::{ExecutionStatus, ServerAnswer},
     node::Node,
 };
 
@@ -54,7 +54,7 @@
     }
 
     /// Records the outcome of the attempt.
-    pub fn note(&self, outcome: ServerOutcomeKind) {
+    pub fn record_outcome(&self, outcome: ServerOutcomeKind) {
         let now = self.node.clock.now();
         self.node
             .servers
@@ -63,14 +63,14 @@
     }
 
     /// Records that the server has answered completely.
-    pub fn note_answered(&self) {
-        self.note(ServerOutcomeKind::Answered);
+    pub fn record_answered(&self) {
+        self.record_outcome(ServerOutcomeKind::Answered);
         if self.has_slot && self.kind == WorkKind::Live {
             let slot_duration = self.node.clock.now().since(self.started_at);
             self.node
                 .servers
                 .borrow_mut()
-                .note_span(self.server, slot_duration);
+                .record_hold_time(self.server, slot_duration);
         }
     }
 }
@@ -80,7 +80,7 @@
         self.node.servers.borrow_mut().end(self.server, self.kind);
         self.node.metrics.in_flight(self.kind.as_str(), -1);
         self.node.load_changed.notify_one();
-        self.node.bulk_wake.notify_one();
+        self.node.bulk_work_changed.notify_one();
     }
 }
 
@@ -213,9 +213,9 @@
         node.servers.borrow_mut().report(guard.server, report, now);
     }
     match answer.run {
-        RunClaim::NotRun => return Err(AttemptFailure::NotRun),
-        RunClaim::Misdirected => return Err(AttemptFailure::Misdirected),
-        RunClaim::Ran => {}
+        ExecutionStatus::NotRun => return Err(AttemptFailure::NotRun),
+        ExecutionStatus::Misdirected => return Err(AttemptFailure::Misdirected),
+        ExecutionStatus::Ran => {}
     }
     // A late answer to an earlier request on the same connection may arrive in place of the
     // expected one. The connection is dropped, and with it whatever follows.
@@ -280,7 +280,7 @@
         let mut whole = Vec::from(self.first.take().unwrap_or_default());
         while let Some(frame) = self.body.frame().await {
             let Ok(frame) = frame else {
-                self.guard.note(ServerOutcomeKind::Broken);
+                self.guard.record_outcome(ServerOutcomeKind::Broken);
                 return Err(AttemptFailure::Broken);
             };
             if let Ok(data) = frame.into_data() {
@@ -290,11 +290,11 @@
                 return Err(AttemptFailure::Broken);
             }
         }
-        self.guard.note_answered();
+        self.guard.record_answered();
         let node = self.guard.node.clone();
         let now = node.clock.now();
         node.connections
-            .put_back(self.connection, self.answer.kept_for, now);
+            .put_back(self.connection, self.answer.keep_alive, now);
         Ok((self.head, whole.into()))
     }
 }
--- a/crates/serving/src/path/stream_relay.rs
+++ b/crates/serving/src/path/stream_relay.rs
@@ -134,12 +134,13 @@
         else {
             return;
         };
-        reading.guard.note_answered();
+        reading.guard.record_answered();
         let node = &reading.request.node;
         reading.request.record_end("streamed", StatusCode::OK);
         let now = node.clock.now();
-        let kept_for = reading.answer.kept_for;
-        node.connections.put_back(reading.connection, kept_for, now);
+        let keep_alive = reading.answer.keep_alive;
+        node.connections
+            .put_back(reading.connection, keep_alive, now);
     }
 
     /// Starts to resume the stream on another server. Returns whether that is permitted.
@@ -148,7 +149,7 @@
         else {
             return false;
         };
-        reading.guard.note(ServerOutcomeKind::Broken);
+        reading.guard.record_outcome(ServerOutcomeKind::Broken);
         let ReadingStream {
             request, events, ..
         } = *reading;
--- a/crates/serving/src/run.rs
+++ b/crates/serving/src/run.rs
@@ -16,12 +16,13 @@
 use crate::{
     dialect::{CallerDialect, Dialect, FleetRecords},
     fleet::{
-        FollowNews, FollowedStore, MEMBERS, SETTLE_SPAN, answer_peer, follow_peers, follow_store,
-        keep_membership, listen_to_peers, probe_store, run_announcer, run_prompt_words,
+        FollowUpdate, FollowedStore, INITIAL_WATCH_DELAY, MEMBERS, follow_peers, follow_store,
+        handle_peer_request, keep_membership, probe_store, receive_reports, run_announcer,
+        send_urgent_reports,
     },
-    lots::{follow_retire, run_lots, sweep_lots},
+    lots::{follow_retire_orders, run_lots, sweep_lots},
     node::Node,
-    path::{ConnectionLimits, FrontBody, answer_caller, serve_connections},
+    path::{AnswerBody, ConnectionLimits, answer_caller, serve_connections},
 };
 
 /// How long a stopping daemon still accepts new connections. The balancer checks
@@ -124,7 +125,7 @@
 
 fn spawn_lots<D: Dialect>(node: &Rc<Node<D>>, stop: &CancellationToken) -> JoinHandle<()> {
     tokio::task::spawn_local(sweep_lots(node.clone(), stop.clone()));
-    tokio::task::spawn_local(follow_retire(node.clone(), stop.clone()));
+    tokio::task::spawn_local(follow_retire_orders(node.clone(), stop.clone()));
     tokio::task::spawn_local(run_lots(node.clone(), stop.clone()))
 }
 
@@ -141,7 +142,7 @@
     tokio::task::spawn_local(serve_connections(
         listener,
         limits.clone(),
-        move |request| answer_peer(shared.clone(), request),
+        move |request| handle_peer_request(shared.clone(), request),
     ));
     open_metrics(node, limits).await;
     if let Some(address) = settings.health {
@@ -186,9 +187,9 @@
 fn answer_health<D: Dialect>(
     node: &Node<D>,
     request: &Request<Incoming>,
-) -> Response<FrontBody<D>> {
+) -> Response<AnswerBody<D>> {
     let is_ready_path = request.uri().path() == <D::Callers as CallerDialect>::READY_PATH;
-    let mut answer = Response::new(FrontBody::empty());
+    let mut answer = Response::new(AnswerBody::empty());
     *answer.status_mut() = match (is_ready_path, node.is_ready()) {
         (true, true) => StatusCode::OK,
         (true, false) => StatusCode::SERVICE_UNAVAILABLE,
@@ -200,13 +201,13 @@
 fn answer_metrics<D: Dialect>(
     node: &Node<D>,
     request: &Request<Incoming>,
-) -> Response<FrontBody<D>> {
+) -> Response<AnswerBody<D>> {
     if request.uri().path() != "/metrics" {
-        let mut answer = Response::new(FrontBody::empty());
+        let mut answer = Response::new(AnswerBody::empty());
         *answer.status_mut() = StatusCode::NOT_FOUND;
         return answer;
     }
-    Response::new(FrontBody::whole(Bytes::from(node.metrics.render())))
+    Response::new(AnswerBody::whole(Bytes::from(node.metrics.render())))
 }
 
 /// The interval at which the number of calls to the store is logged. Calls are billed.
@@ -231,25 +232,29 @@
     let shared = node.clone();
     let operators = <D::Records as FleetRecords>::OPERATORS;
     spawn_store_follower(node, operators, stop, move |update| match update {
-        FollowNews::Whole(list) => shared.take_operators(list),
-        FollowNews::Changed(batch) => shared.apply_operator_changes(batch),
-        FollowNews::Lost { .. } => {}
+        FollowUpdate::Listed(list) => shared.replace_operators(list),
+        FollowUpdate::Changed(batch) => shared.apply_operator_changes(batch),
+        FollowUpdate::Failed { .. } => {}
     });
     let shared = node.clone();
     let servers = <D::Records as FleetRecords>::SERVERS;
     spawn_store_follower(node, servers, stop, move |update| match update {
-        FollowNews::Whole(list) => shared.take_servers(list),
-        FollowNews::Changed(batch) => shared.apply_server_changes(batch),
-        FollowNews::Lost { .. } => {}
+        FollowUpdate::Listed(list) => shared.replace_servers(list),
+        FollowUpdate::Changed(batch) => shared.apply_server_changes(batch),
+        FollowUpdate::Failed { .. } => {}
     });
     let shared = node.clone();
     spawn_store_follower(node, MEMBERS, stop, move |update| match update {
-        FollowNews::Whole(list) => shared.take_members(list),
-        FollowNews::Changed(batch) => shared.apply_member_changes(batch),
-        FollowNews::Lost { .. } => {}
+        FollowUpdate::Listed(list) => shared.replace_members(list),
+        FollowUpdate::Changed(batch) => shared.apply_member_changes(batch),
+        FollowUpdate::Failed { .. } => {}
     });
-    tokio::task::spawn_local(listen_to_peers(node.clone(), socket.clone(), stop.clone()));
-    tokio::task::spawn_local(run_prompt_words(node.clone(), socket.clone(), stop.clone()));
+    tokio::task::spawn_local(receive_reports(node.clone(), socket.clone(), stop.clone()));
+    tokio::task::spawn_local(send_urgent_reports(
+        node.clone(),
+        socket.clone(),
+        stop.clone(),
+    ));
     tokio::task::spawn_local(run_announcer(node.clone(), socket, stop.clone()));
     tokio::task::spawn_local(follow_peers(node.clone(), stop.clone()));
     tokio::task::spawn_local(probe_store(node.clone(), stop.clone()));
@@ -260,24 +265,24 @@
     node: &Rc<Node<D>>,
     prefix: &'static str,
     stop: &CancellationToken,
-    mut apply: impl FnMut(FollowNews) + 'static,
+    mut apply: impl FnMut(FollowUpdate) + 'static,
 ) {
     let shared = node.clone();
     let mut is_lost = false;
-    let handle_update = move |update: FollowNews| {
+    let handle_update = move |update: FollowUpdate| {
         match &update {
             // The store answers, but its history no longer reaches back to the revision
             // that was requested. When this counted as an outage, lots were refused, and
             // servers that left a moment later were still used.
-            FollowNews::Lost {
+            FollowUpdate::Failed {
                 error: StoreError::Compacted(revision),
                 ..
             } => {
-                shared.note_store_answer();
+                shared.record_store_answer();
                 log::info!(prefix = prefix, revision = *revision; "store: history was compacted, listing the prefix again");
             }
-            FollowNews::Lost { error, waited } => {
-                shared.note_store_trouble();
+            FollowUpdate::Failed { error, waited } => {
+                shared.record_store_failure();
                 shared.store.note_failed();
                 if !is_lost {
                     log::warn!(
@@ -288,8 +293,8 @@
                 }
                 is_lost = true;
             }
-            FollowNews::Whole(..) | FollowNews::Changed(_) => {
-                shared.note_store_answer();
+            FollowUpdate::Listed(..) | FollowUpdate::Changed(_) => {
+                shared.record_store_answer();
                 if is_lost {
                     log::info!(prefix = prefix; "store: regained");
                 }
@@ -297,7 +302,7 @@
             }
         }
         apply(update);
-        shared.note_lag();
+        shared.update_lags();
     };
     let watching_node = node.clone();
     let is_watcher = move || watching_node.is_watcher_of(prefix);
@@ -307,7 +312,7 @@
     };
     let settle_delay = match prefix {
         MEMBERS => Duration::ZERO,
-        _ => SETTLE_SPAN,
+        _ => INITIAL_WATCH_DELAY,
     };
     let following = follow_store(
         followed_store,
--- a/crates/serving/tests/follow_store.rs
+++ b/crates/serving/tests/follow_store.rs
@@ -14,7 +14,7 @@
 
 use comfreyramp_serving::{
     clock::BootClock,
-    fleet::{ContactDesk, FollowNews, FollowedStore, follow_store},
+    fleet::{FollowUpdate, FollowedStore, StoreMonitor, follow_store},
 };
 use comfreyramp_store::{
     KeyRange, LeaseId, PlatformStore, RangeAnswer, Revision, StoreError, TransactionAnswer,
@@ -81,10 +81,10 @@
     let is_watcher = Rc::new(Cell::new(false));
     let news = Rc::new(Cell::new(0));
     let (asked, told) = (is_watcher.clone(), news.clone());
-    let sink = move |_: FollowNews| told.set(told.get() + 1);
+    let sink = move |_: FollowUpdate| told.set(told.get() + 1);
     let followed = FollowedStore {
         store: store.clone(),
-        contact: ContactDesk::new(BootClock::default()),
+        contact: StoreMonitor::new(BootClock::default()),
     };
     let following = follow_store(
         followed,
--- a/crates/serving/tests/lot_cache.rs
+++ b/crates/serving/tests/lot_cache.rs
@@ -56,7 +56,7 @@
     let pairs = [head(LOT), group(0, &[result("a"), result("b")])];
     let mut cache = LotCache::default();
     let now = Timestamp::ZERO;
-    cache.take(LOT, &pairs, now, now).unwrap();
+    cache.add_stored(LOT, &pairs, now, now).unwrap();
     cache
 }
 
@@ -68,7 +68,9 @@
     let mut cache = with_one_group();
     let now = Timestamp::ZERO;
     let second = vec![result("c"), result("d")];
-    cache.take(LOT, &[group(1, &second)], now, now).unwrap();
+    cache
+        .add_stored(LOT, &[group(1, &second)], now, now)
+        .unwrap();
     cache.add_results(LOT, 1, second, now);
     assert_eq!(ids(&cache), ["a", "b", "c", "d"]);
 }
@@ -94,18 +96,22 @@
 fn what_lies_behind_a_dropped_copy_does_not_say_that_there_is_no_lot() {
     let mut cache = LotCache::default();
     let now = Timestamp::ZERO;
-    let is_known = cache.take("lot-0", &[head("lot-0")], now, now);
+    let is_known = cache.add_stored("lot-0", &[head("lot-0")], now, now);
     assert!(is_known.unwrap());
     assert!(cache.last_key("lot-0").is_some(), "asked behind this");
     for number in 1..=64 {
         let lot = format!("lot-{number}");
         let later = now + std::time::Duration::from_millis(number);
-        cache.take(&lot, &[head(&lot)], later, later).unwrap();
+        cache.add_stored(&lot, &[head(&lot)], later, later).unwrap();
     }
-    let is_known = cache.take("lot-0", &[], now, now).unwrap();
+    let is_known = cache.add_stored("lot-0", &[], now, now).unwrap();
     assert!(!is_known, "it has to be read anew");
     assert!(cache.last_key("lot-0").is_none(), "from its beginning");
-    assert!(cache.take("lot-0", &[head("lot-0")], now, now).unwrap());
+    assert!(
+        cache
+            .add_stored("lot-0", &[head("lot-0")], now, now)
+            .unwrap()
+    );
 }
 
 /// The same, but a third reader whose question is older has made the copy anew by then,
@@ -115,7 +121,7 @@
 fn what_does_not_follow_on_a_copy_is_no_part_of_it() {
     let mut cache = with_one_group();
     let now = Timestamp::ZERO;
-    let follows = cache.take(LOT, &[group(2, &[result("d")])], now, now);
+    let follows = cache.add_stored(LOT, &[group(2, &[result("d")])], now, now);
     assert!(!follows.unwrap(), "it has to be read anew");
     assert_eq!(ids(&cache), ["a", "b"]);
     let whole = [
@@ -123,6 +129,6 @@
         group(1, &[result("c")]),
         group(2, &[result("d")]),
     ];
-    assert!(cache.take(LOT, &whole, now, now).unwrap());
+    assert!(cache.add_stored(LOT, &whole, now, now).unwrap());
     assert_eq!(ids(&cache), ["a", "b", "c", "d"]);
 }
--- a/crates/serving/tests/lot_candidates.rs
+++ b/crates/serving/tests/lot_candidates.rs
@@ -38,8 +38,8 @@
     }
     candidates.add("lot-1", BEGIN, BEGIN + PAUSE);
     assert_eq!(claimable(&mut candidates, BEGIN + PAUSE), 0);
-    candidates.put_back("lot-1", BEGIN + PAUSE);
+    candidates.postpone("lot-1", BEGIN + PAUSE);
     assert_eq!(claimable(&mut candidates, BEGIN + PAUSE), 1);
     candidates.remove("lot-1");
-    assert!(!candidates.holds("lot-1"));
+    assert!(!candidates.contains("lot-1"));
 }
--- a/crates/serving/tests/lot_notices.rs
+++ b/crates/serving/tests/lot_notices.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreyramp_policy::Timestamp;
-use comfreyramp_serving::lots::{ClaimBasis, LotNotice, LotNotices, LotProgress, LotStage};
+use comfreyramp_serving::lots::{LotNotice, LotNotices, LotProgress, LotStage, ReportBasis};
 use comfreyramp_store::LeaseId;
 
 fn ended() -> LotNotice {
@@ -18,7 +18,7 @@
 fn the_end_of_a_lot_is_told_for_longer_than_a_claim_outlives_a_cut() {
     let begin = Timestamp::from_micros(1_000_000);
     let mut notices = LotNotices::default();
-    notices.tell(ended(), begin);
+    notices.add_notice(ended(), begin);
     let (told, _) = notices.current(None, begin + Duration::from_secs(10));
     assert_eq!(told, vec![ended()]);
     let (told, _) = notices.current(None, begin + Duration::from_secs(20));
@@ -31,7 +31,7 @@
 fn an_accepted_lot_is_told_for_a_moment() {
     let begin = Timestamp::from_micros(1_000_000);
     let mut notices = LotNotices::default();
-    notices.tell(LotNotice::Accepted("lot-1".to_owned()), begin);
+    notices.add_notice(LotNotice::Accepted("lot-1".to_owned()), begin);
     let (told, _) = notices.current(None, begin + Duration::from_secs(2));
     assert_eq!(told.len(), 1);
     let (told, _) = notices.current(None, begin + Duration::from_secs(4));
@@ -41,17 +41,17 @@
 const LEASE: LeaseId = LeaseId(7);
 
 /// A daemon that runs a lot, as it says so at `now` while it holds `lease`.
-fn told_stage(basis: ClaimBasis, lease: Option<LeaseId>, now: Timestamp) -> LotStage {
+fn told_stage(basis: ReportBasis, lease: Option<LeaseId>, now: Timestamp) -> LotStage {
     let mut notices = LotNotices::default();
     let progress = LotProgress {
         lot: "lot-1".to_owned(),
         results: 3,
         stage: LotStage::Held,
     };
-    notices.tell_progress(progress, basis, Timestamp::ZERO);
+    notices.report_progress(progress, basis, Timestamp::ZERO);
     let (_, told) = notices.current(lease, now);
     assert_eq!(
-        notices.vouched_results("lot-1", lease, now),
+        notices.confirmed_results("lot-1", lease, now),
         (told[0].stage == LotStage::Held).then_some(3),
         "what is told and what is shown agree"
     );
@@ -64,9 +64,9 @@
 #[test]
 fn a_daemon_whose_claim_may_be_gone_speaks_for_no_lot() {
     let now = Timestamp::from_micros(9_000_000);
-    let basis = ClaimBasis {
+    let basis = ReportBasis {
         lease: Some(LEASE),
-        undecided_since: None,
+        unanswered_since: None,
     };
     assert_eq!(told_stage(basis, Some(LEASE), now), LotStage::Held);
     assert_eq!(told_stage(basis, None, now), LotStage::Unsure, "lapsed");
@@ -77,7 +77,7 @@
         "not claimed anew"
     );
     assert_eq!(
-        told_stage(ClaimBasis::default(), Some(LEASE), now),
+        told_stage(ReportBasis::default(), Some(LEASE), now),
         LotStage::Unsure
     );
 }
@@ -87,9 +87,9 @@
 #[test]
 fn a_daemon_with_an_unanswered_write_speaks_for_no_lot() {
     let begun = Timestamp::from_micros(9_000_000);
-    let basis = ClaimBasis {
+    let basis = ReportBasis {
         lease: Some(LEASE),
-        undecided_since: Some(begun),
+        unanswered_since: Some(begun),
     };
     let soon = begun + Duration::from_millis(100);
     assert_eq!(
--- a/crates/serving/tests/member_list.rs
+++ b/crates/serving/tests/member_list.rs
@@ -48,11 +48,11 @@
 fn lots_that_others_run_are_known_until_they_are_done_or_silent() {
     let begin = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
-    members.hear(&message(1, progress(LotStage::Held)), begin);
+    members.receive(&message(1, progress(LotStage::Held)), begin);
     assert_eq!(members.held_lots(begin), ["lot-1"]);
     let silent = begin + Duration::from_secs(4);
     assert!(members.held_lots(silent).is_empty(), "its lease has lapsed");
-    members.hear(&message(2, progress(LotStage::Finished)), begin);
+    members.receive(&message(2, progress(LotStage::Finished)), begin);
     assert!(members.held_lots(begin).is_empty(), "it is done");
 }
 
@@ -72,13 +72,17 @@
             _ => LotStage::Finished,
         },
     });
-    members.hear(&message(1, told.collect()), begin);
+    members.receive(&message(1, told.collect()), begin);
     for number in 0..200 {
         let is_held = number % 2 == 0;
         assert_eq!(members.is_held(&lot(number), begin), is_held, "{number}");
-        assert_eq!(members.told_finished(&lot(number)), !is_held, "{number}");
+        assert_eq!(
+            members.is_reported_finished(&lot(number)),
+            !is_held,
+            "{number}"
+        );
     }
-    assert!(!members.is_held("lot-x", begin) && !members.told_finished("lot-x"));
+    assert!(!members.is_held("lot-x", begin) && !members.is_reported_finished("lot-x"));
 }
 
 /// A daemon that runs a lot is restarted, and is heard again before anybody noticed.
@@ -88,12 +92,15 @@
 fn what_a_former_life_said_of_a_lot_is_forgotten() {
     let begin = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("entry-1");
-    members.hear(&message(9, progress(LotStage::Held)), begin);
-    assert_eq!(members.runner_vouch("lot-1").map(|it| it.results), Some(3));
+    members.receive(&message(9, progress(LotStage::Held)), begin);
+    assert_eq!(
+        members.runner_confirmation("lot-1").map(|it| it.results),
+        Some(3)
+    );
     let mut next_life = message(1, Vec::new());
     next_life.from.incarnation = 2;
-    members.hear(&next_life, begin + Duration::from_millis(500));
-    assert_eq!(members.runner_vouch("lot-1"), None);
+    members.receive(&next_life, begin + Duration::from_millis(500));
+    assert_eq!(members.runner_confirmation("lot-1"), None);
     assert_eq!(
         members.lot_runner("lot-1", begin + Duration::from_millis(500)),
         None
@@ -106,14 +113,14 @@
 fn only_a_daemon_that_knows_all_results_is_asked_for_them() {
     let now = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
-    members.hear(&message(1, progress(LotStage::Left)), now);
+    members.receive(&message(1, progress(LotStage::Left)), now);
     let mut other = message(1, progress(LotStage::Unsure));
     other.from.name = "lots-3".to_owned();
-    members.hear(&other, now);
-    assert_eq!(members.runner_vouch("lot-1"), None);
+    members.receive(&other, now);
+    assert_eq!(members.runner_confirmation("lot-1"), None);
     assert_eq!(members.lot_runner("lot-1", now), None);
     assert!(members.is_held("lot-1", now), "it still runs there");
-    members.hear(&message(2, progress(LotStage::Finished)), now);
+    members.receive(&message(2, progress(LotStage::Finished)), now);
     assert!(members.lot_runner("lot-1", now).is_some());
 }
 
@@ -129,10 +136,14 @@
         for (name, at) in names.into_iter().zip([begin, later]) {
             let mut word = message(1, progress(LotStage::Held));
             word.from.name = name.to_owned();
-            members.hear(&word, at);
+            members.receive(&word, at);
         }
-        let vouch = members.runner_vouch("lot-1");
-        assert_eq!(vouch.map(|it| it.heard_at), Some(later), "{names:?}");
+        let confirmation = members.runner_confirmation("lot-1");
+        assert_eq!(
+            confirmation.map(|it| it.last_received_at),
+            Some(later),
+            "{names:?}"
+        );
     }
 }
 
@@ -154,13 +165,16 @@
     let later = begin + Duration::from_millis(300);
     let mut members = MemberList::new("lots-1");
     members.set_listed(&[of_life(1, 0, Vec::new()).from], begin);
-    members.hear(&of_life(1, 9, Vec::new()), begin);
-    members.hear(&of_life(2, 1, progress(LotStage::Held)), later);
+    members.receive(&of_life(1, 9, Vec::new()), begin);
+    members.receive(&of_life(2, 1, progress(LotStage::Held)), later);
     members.set_listed(&[of_life(1, 0, Vec::new()).from], later);
     assert!(members.is_held("lot-1", later), "the living one runs it");
-    assert!(!members.is_former_life("lots-2", 2, later), "it lives");
-    assert!(members.is_former_life("lots-2", 1, later));
-    assert_eq!(members.hear(&of_life(2, 1, Vec::new()), later), None);
+    assert!(
+        !members.is_former_incarnation("lots-2", 2, later),
+        "it lives"
+    );
+    assert!(members.is_former_incarnation("lots-2", 1, later));
+    assert_eq!(members.receive(&of_life(2, 1, Vec::new()), later), None);
 }
 
 /// The same where this daemon has never heard the former life: it started after it
@@ -169,10 +183,13 @@
 fn a_list_that_is_behind_brings_back_no_life_that_was_never_heard() {
     let begin = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
-    members.hear(&of_life(2, 1, progress(LotStage::Held)), begin);
+    members.receive(&of_life(2, 1, progress(LotStage::Held)), begin);
     members.set_listed(&[of_life(1, 0, Vec::new()).from], begin);
     assert!(members.is_held("lot-1", begin), "the living one runs it");
-    assert!(!members.is_former_life("lots-2", 2, begin), "it lives");
+    assert!(
+        !members.is_former_incarnation("lots-2", 2, begin),
+        "it lives"
+    );
 }
 
 /// A daemon is restarted, and a datagram of its former life is late: it waited in a
@@ -183,13 +200,16 @@
     let begin = Timestamp::from_micros(1_000_000);
     let later = begin + Duration::from_millis(300);
     let mut members = MemberList::new("entry-1");
-    members.hear(&of_life(1, 8, Vec::new()), begin);
-    members.hear(&of_life(2, 1, Vec::new()), later);
+    members.receive(&of_life(1, 8, Vec::new()), begin);
+    members.receive(&of_life(2, 1, Vec::new()), later);
     let late = of_life(1, 9, progress(LotStage::Held));
-    assert_eq!(members.hear(&late, later), None);
-    assert_eq!(members.runner_vouch("lot-1"), None);
+    assert_eq!(members.receive(&late, later), None);
+    assert_eq!(members.runner_confirmation("lot-1"), None);
     assert!(!members.is_held("lot-1", later));
-    assert!(!members.is_former_life("lots-2", 2, later), "it lives");
+    assert!(
+        !members.is_former_incarnation("lots-2", 2, later),
+        "it lives"
+    );
 }
 
 /// Which of two lives is the later one is told by the order in which they are heard.
@@ -199,10 +219,10 @@
 fn a_life_that_goes_on_speaking_is_heard_again() {
     let begin = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("entry-1");
-    members.hear(&of_life(2, 1, Vec::new()), begin);
-    members.hear(&of_life(1, 9, Vec::new()), begin);
+    members.receive(&of_life(2, 1, Vec::new()), begin);
+    members.receive(&of_life(1, 9, Vec::new()), begin);
     let later = begin + Duration::from_millis(1_200);
-    let heard = members.hear(&of_life(2, 6, progress(LotStage::Held)), later);
+    let heard = members.receive(&of_life(2, 6, progress(LotStage::Held)), later);
     assert!(heard.is_some());
     assert!(members.is_held("lot-1", later));
 }
@@ -216,9 +236,15 @@
     let now = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
     members.set_listed(&[of_life(1, 0, Vec::new()).from], now);
-    assert!(!members.is_former_life("lots-2", 2, now), "listed only");
-    members.hear(&of_life(1, 9, Vec::new()), now);
-    assert!(!members.is_former_life("lots-2", 2, now), "it may be later");
+    assert!(
+        !members.is_former_incarnation("lots-2", 2, now),
+        "listed only"
+    );
+    members.receive(&of_life(1, 9, Vec::new()), now);
+    assert!(
+        !members.is_former_incarnation("lots-2", 2, now),
+        "it may be later"
+    );
 }
 
 /// One daemon lists all open lots for the others, which finds lots that nobody was told
@@ -229,11 +255,11 @@
     let now = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-3");
     let mut heard = message(1, Vec::new());
-    members.hear(&heard, now);
+    members.receive(&heard, now);
     assert!(!members.is_lister("lots-3", now), "lots-2 does");
     heard.number = 2;
     heard.reaches_store = false;
-    members.hear(&heard, now);
+    members.receive(&heard, now);
     assert!(members.is_lister("lots-3", now));
 }
 
@@ -245,13 +271,17 @@
     let begin = Timestamp::from_micros(1_000_000);
     let at = |millis: u64| begin + Duration::from_millis(millis);
     let mut members = MemberList::new("lots-1");
-    members.hear(&message(1, Vec::new()), begin);
-    members.hear(&message(3, Vec::new()), at(2_000));
-    assert_eq!(members.regained_at(), None);
-    members.hear(&message(4, Vec::new()), at(6_000));
-    assert_eq!(members.regained_at(), Some(at(6_000)));
-    members.hear(&message(5, Vec::new()), at(6_250));
-    assert_eq!(members.regained_at(), Some(at(6_000)), "it stays in touch");
+    members.receive(&message(1, Vec::new()), begin);
+    members.receive(&message(3, Vec::new()), at(2_000));
+    assert_eq!(members.last_reconnected_at(), None);
+    members.receive(&message(4, Vec::new()), at(6_000));
+    assert_eq!(members.last_reconnected_at(), Some(at(6_000)));
+    members.receive(&message(5, Vec::new()), at(6_250));
+    assert_eq!(
+        members.last_reconnected_at(),
+        Some(at(6_000)),
+        "it stays in touch"
+    );
 }
 
 /// A daemon learns of new settings first, tells of it and is lost. Whoever is behind asks
@@ -264,9 +294,9 @@
     members.set_listed(&[message(1, Vec::new()).from], now);
     let mut heard = message(1, Vec::new());
     heard.revisions.operators = 7;
-    members.hear(&heard, now);
+    members.receive(&heard, now);
     let known = ViewRevisions::default();
-    let ahead = |now| members.ahead_of(known, "zone-1", |_| false, &mut rand::rng(), now);
+    let ahead = |now| members.choose_peer_ahead(known, "zone-1", |_| false, &mut rand::rng(), now);
     assert_eq!(ahead(now), Some(heard.from.address));
     assert_eq!(ahead(now + Duration::from_secs(3)), None);
 }
@@ -280,7 +310,7 @@
         said.from.name = format!("entry-{place}");
         said.from.zone = format!("zone-{}", place / 30);
         said.reaches_store = reaches_store(place);
-        members.hear(&said, begin);
+        members.receive(&said, begin);
     }
     members
 }
@@ -299,11 +329,11 @@
     (0..30).filter(is_chosen).collect()
 }
 
-/// Those of the first zone that ask the store, where `stand_ins` of them stand in.
-fn watchers(stand_ins: usize, reaches_store: impl Fn(usize) -> bool) -> Vec<usize> {
+/// Those of the first zone that ask the store, where `substitutes` of them stand in.
+fn watchers(substitutes: usize, reaches_store: impl Fn(usize) -> bool) -> Vec<usize> {
     let begin = Timestamp::from_micros(1_000_000);
     chosen(reaches_store, |members, own| {
-        members.is_watcher(own, stand_ins, begin)
+        members.is_watcher(own, substitutes, begin)
     })
 }
 
--- a/crates/serving/tests/store_view.rs
+++ b/crates/serving/tests/store_view.rs
@@ -1,7 +1,7 @@
 //! What a daemon's copy of the store tells others of how new it is.
 
 use comfreyramp_policy::Timestamp;
-use comfreyramp_serving::fleet::{StoreView, WholeList};
+use comfreyramp_serving::fleet::{PrefixSnapshot, StoreView};
 use comfreyramp_store::{KeyValue, WatchBatch};
 
 const NOW: Timestamp = Timestamp::from_micros(1_000_000);
@@ -16,8 +16,8 @@
     }
 }
 
-fn list(pairs: Vec<KeyValue>, revision: i64) -> WholeList {
-    WholeList {
+fn list(pairs: Vec<KeyValue>, revision: i64) -> PrefixSnapshot {
+    PrefixSnapshot {
         pairs,
         revision,
         changed: None,
@@ -33,7 +33,7 @@
     let change = |revision| WatchBatch {
         written: vec![pair("settings", 20)],
         revision,
-        changed: 20,
+        last_change: 20,
         ..WatchBatch::default()
     };
     let (mut early, mut late) = (StoreView::default(), StoreView::default());
@@ -44,7 +44,7 @@
     let removal = |revision| WatchBatch {
         deleted: vec!["settings".to_owned()],
         revision,
-        changed: 30,
+        last_change: 30,
         ..WatchBatch::default()
     };
     early.apply(removal(30), NOW);
--- a/crates/settings/src/change_history.rs
+++ b/crates/settings/src/change_history.rs
@@ -36,7 +36,7 @@
 impl SettingsChange {
     /// Sets the differences between the settings before and after the change, truncated
     /// to the limits of a history.
-    pub fn differ(mut self, before: &Value, after: &Value) -> Self {
+    pub fn with_differences(mut self, before: &Value, after: &Value) -> Self {
         let mut differences = SettingsDifference::between(before, after);
         self.more = differences.len().saturating_sub(MAX_DIFFERENCES);
         differences.truncate(MAX_DIFFERENCES);
@@ -94,7 +94,7 @@
 
     /// Returns the index of the first change made on top of revision `seen`, if the
     /// history reaches back to it.
-    pub fn first_since(&self, seen: i64) -> Option<usize> {
+    pub fn first_after(&self, seen: i64) -> Option<usize> {
         self.changes.iter().position(|it| it.replaced == seen)
     }
 }
--- a/crates/settings/src/check_daemon.rs
+++ b/crates/settings/src/check_daemon.rs
@@ -40,7 +40,7 @@
                 .map(PathBuf::from),
         };
         reader.finish();
-        findings.or_value(settings)
+        findings.into_result(settings)
     }
 }
 
--- a/crates/settings/src/check_team.rs
+++ b/crates/settings/src/check_team.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 use crate::{
-    CustomerSettings, CutPolicy, FindingList, KeySettings, ServiceKind, ServiceSettings,
+    CustomerSettings, CutOffPolicy, FindingList, KeySettings, ServiceKind, ServiceSettings,
     TeamSettings,
     duplicate_fields::find_duplicate_fields,
     object_reader::{ObjectReader, describe},
@@ -57,7 +57,7 @@
             services,
         };
         settings.find_duplicates(&mut findings);
-        findings.or_value(settings)
+        findings.into_result(settings)
     }
 
     /// Finds names, keys, models and prefixes that another team in `others`, the teams
@@ -201,20 +201,20 @@
     KeySettings { name, sha256 }
 }
 
-fn read_cut_policy(reader: &mut ObjectReader<'_, '_>) -> CutPolicy {
+fn read_cut_policy(reader: &mut ObjectReader<'_, '_>) -> CutOffPolicy {
     const FIX: &str = "write \"serve\" or {\"refuse_after\": {\"seconds\": n}}";
     let Some(value) = reader.optional("when_cut") else {
-        return CutPolicy::default();
+        return CutOffPolicy::default();
     };
     match value {
-        Value::String(word) if word == "serve" => CutPolicy::Serve,
+        Value::String(word) if word == "serve" => CutOffPolicy::Serve,
         Value::Object(fields) if fields.len() == 1 && fields.contains_key("refuse_after") => {
             let place = reader.place_of("when_cut.refuse_after");
             let bounds = MIN_REFUSE_AFTER_SECONDS..=MAX_REFUSE_AFTER_SECONDS;
             let mut inner = ObjectReader::new(&fields["refuse_after"], place, reader.findings());
             let seconds = inner.integer("seconds", None, bounds, "seconds");
             inner.finish();
-            CutPolicy::RefuseAfter {
+            CutOffPolicy::RefuseAfter {
                 seconds: u32::try_from(seconds).unwrap_or(u32::MAX),
             }
         }
@@ -224,7 +224,7 @@
                 format!("{} is not one of the choices", describe(other)),
                 FIX,
             );
-            CutPolicy::default()
+            CutOffPolicy::default()
         }
     }
 }
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns the value if there are no findings, otherwise the findings.
-    pub fn or_value<T>(self, value: T) -> Result<T, FindingList> {
+    pub fn into_result<T>(self, value: T) -> Result<T, FindingList> {
         if self.findings.is_empty() {
             Ok(value)
         } else {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -24,5 +24,5 @@
 pub use difference::{DifferenceKind, SettingsDifference};
 pub use finding::{Finding, FindingList};
 pub use team_settings::{
-    CustomerSettings, CutPolicy, KeySettings, ServiceKind, ServiceSettings, TeamSettings,
+    CustomerSettings, CutOffPolicy, KeySettings, ServiceKind, ServiceSettings, TeamSettings,
 };
--- a/crates/settings/src/team_settings.rs
+++ b/crates/settings/src/team_settings.rs
@@ -31,7 +31,7 @@
     /// What a daemon does with the customer's keys once its view of the settings is
     /// old.
     #[serde(default)]
-    pub when_cut: CutPolicy,
+    pub when_cut: CutOffPolicy,
     /// Whether the customer's lots (batch jobs) may delay live requests rather than
     /// miss their due time.
     #[serde(default)]
@@ -56,7 +56,7 @@
 /// can't learn of revoked keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum CutPolicy {
+pub enum CutOffPolicy {
     /// Keep serving with the keys it knows.
     #[default]
     Serve,
--- a/crates/standins/src/platform/model.rs
+++ b/crates/standins/src/platform/model.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use comfreyramp_policy::Timestamp;
 use comfreyramp_store::{
-    STEP_LIMIT, VALUE_LIMIT,
+    MAX_TRANSACTION_STEPS, MAX_VALUE_BYTES,
     wire::{
         CompareMessage, CompareResult, CompareTarget, DeleteRangeResponse, EventKind, EventMessage,
         HeaderResponse, LeaseMessage, PairMessage, PutRequest, RangeRequest, RangeResponse,
@@ -98,7 +98,7 @@
             .map(Vec::len)
             .into_iter()
             .fold(request.compare.len(), usize::max);
-        if longest > STEP_LIMIT {
+        if longest > MAX_TRANSACTION_STEPS {
             return Err(ModelError::TooManySteps);
         }
         self.check_puts(&request.success)?;
@@ -235,7 +235,7 @@
             if put.key.is_empty() {
                 return Err(ModelError::EmptyKey);
             }
-            if put.value.len() > VALUE_LIMIT {
+            if put.value.len() > MAX_VALUE_BYTES {
                 return Err(ModelError::ValueTooLarge);
             }
             keys.push(&put.key);
--- a/crates/store/src/call_counts.rs
+++ b/crates/store/src/call_counts.rs
@@ -94,7 +94,7 @@
 
 /// Receives the calls of a client, for metrics. The platform counts each call, and a
 /// waiting watch as one call.
-pub trait CallCounts: Clone + Send + Sync + 'static {
+pub trait CallMetrics: Clone + Send + Sync + 'static {
     /// Counts a call that ended after `took`.
     fn count(&self, call: StoreCall, end: CallEnd, took: Duration);
 
@@ -107,8 +107,8 @@
 
 /// Ignores all calls.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NoCounts;
+pub struct NoMetrics;
 
-impl CallCounts for NoCounts {
+impl CallMetrics for NoMetrics {
     fn count(&self, _call: StoreCall, _end: CallEnd, _took: Duration) {}
 }
--- a/crates/store/src/convert.rs
+++ b/crates/store/src/convert.rs
@@ -224,7 +224,7 @@
     let last = events.iter().map(|it| it.kv.mod_revision).max();
     let mut batch = WatchBatch {
         revision: last.unwrap_or(head_revision),
-        changed: last.unwrap_or_default(),
+        last_change: last.unwrap_or_default(),
         ..WatchBatch::default()
     };
     for event in events {
--- a/crates/store/src/fenced_lease.rs
+++ b/crates/store/src/fenced_lease.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Comparison, KeyValue, LeaseId, LeaseTerm, OnceOutcome, PlatformStore, RetryPace, Revision,
-    StoreError, Write, WriteBatch, write_once,
+    Comparison, KeyValue, LeaseId, LeaseTerm, PlatformStore, RetryPolicy, Revision, StoreError,
+    Write, WriteBatch, WriteOnceOutcome, write_once,
 };
 
 /// A request for a lease.
@@ -65,12 +65,12 @@
     pub async fn acquire<S: PlatformStore>(
         store: &S,
         request: &LeaseRequest,
-        pace: RetryPace,
+        pace: RetryPolicy,
         now: Timestamp,
     ) -> Result<AcquireOutcome, StoreError> {
         let lease = store.grant(request.ttl).await?;
         let claimed = write_once(store, claim(request, lease), pace).await;
-        if let Ok(OnceOutcome::Written(fence)) = claimed {
+        if let Ok(WriteOnceOutcome::Written(fence)) = claimed {
             return Ok(AcquireOutcome::Held(FencedLease {
                 key: request.key.clone(),
                 lease,
@@ -88,10 +88,9 @@
             );
         }
         let holder = match claimed? {
-            OnceOutcome::Written(_) => None,
-            OnceOutcome::Refused { found, .. } | OnceOutcome::Overtaken { found, .. } => {
-                found.first().and_then(holder_of)
-            }
+            WriteOnceOutcome::Written(_) => None,
+            WriteOnceOutcome::Refused { found, .. }
+            | WriteOnceOutcome::Superseded { found, .. } => found.first().and_then(holder_of),
         };
         Ok(AcquireOutcome::Taken { holder })
     }
--- a/crates/store/src/gateway_store.rs
+++ b/crates/store/src/gateway_store.rs
@@ -10,7 +10,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::{
-    CallCounts, CallEnd, GatewayWatch, KeyRange, LeaseId, NoCounts, PlatformStore, RangeAnswer,
+    CallEnd, CallMetrics, GatewayWatch, KeyRange, LeaseId, NoMetrics, PlatformStore, RangeAnswer,
     Revision, StoreCall, StoreError, TransactionAnswer, WriteBatch,
     line_reader::LineReader,
     wire::{
@@ -83,13 +83,13 @@
 
 /// A client of the platform's key-value service over HTTP.
 #[derive(Clone, Debug)]
-pub struct GatewayStore<C: CallCounts = NoCounts> {
+pub struct GatewayStore<C: CallMetrics = NoMetrics> {
     client: HttpClient,
     settings: GatewaySettings,
     counts: C,
 }
 
-impl<C: CallCounts> GatewayStore<C> {
+impl<C: CallMetrics> GatewayStore<C> {
     /// Creates a client that reports its calls to `counts`.
     pub fn new(settings: GatewaySettings, counts: C) -> Self {
         let client = settings.client();
@@ -231,7 +231,7 @@
     }
 }
 
-impl<C: CallCounts> PlatformStore for GatewayStore<C> {
+impl<C: CallMetrics> PlatformStore for GatewayStore<C> {
     type Watch = GatewayWatch<C>;
 
     async fn range(&self, range: KeyRange, limit: usize) -> Result<RangeAnswer, StoreError> {
--- a/crates/store/src/gateway_vm_list.rs
+++ b/crates/store/src/gateway_vm_list.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::{
-    CallCounts, CallEnd, GatewaySettings, ListedVm, NoCounts, StoreCall, StoreError, VmList,
+    CallEnd, CallMetrics, GatewaySettings, ListedVm, NoMetrics, StoreCall, StoreError, VmList,
     gateway_store::{MAX_ERROR_BYTES, read_json, response_error, with_timeout},
 };
 
@@ -31,14 +31,14 @@
 /// a few bytes. Reading the whole list each second would take six times the bandwidth
 /// that a daemon may spend on control traffic; see docs/CAPACITY.md.
 #[derive(Clone, Debug)]
-pub struct GatewayVmList<C: CallCounts = NoCounts> {
+pub struct GatewayVmList<C: CallMetrics = NoMetrics> {
     client: HttpClient,
     settings: GatewaySettings,
     counts: C,
     last: Arc<Mutex<Option<TaggedList>>>,
 }
 
-impl<C: CallCounts> GatewayVmList<C> {
+impl<C: CallMetrics> GatewayVmList<C> {
     /// Creates a client that reports its calls to `counts`.
     pub fn new(settings: GatewaySettings, counts: C) -> Self {
         let client = settings.client();
@@ -90,7 +90,7 @@
     }
 }
 
-impl<C: CallCounts> VmList for GatewayVmList<C> {
+impl<C: CallMetrics> VmList for GatewayVmList<C> {
     async fn vms(&self) -> Result<Vec<ListedVm>, StoreError> {
         let begin = Instant::now();
         let result = with_timeout(self.settings.call_timeout, self.read()).await;
--- a/crates/store/src/gateway_watch.rs
+++ b/crates/store/src/gateway_watch.rs
@@ -1,7 +1,7 @@
 //! A watch that streams changes from the gateway.
 
 use crate::{
-    CallCounts, StoreError, WatchBatch, WatchStream,
+    CallMetrics, StoreError, WatchBatch, WatchStream,
     gateway_store::read_json,
     line_reader::LineReader,
     wire::{StreamLine, WatchResponse},
@@ -14,12 +14,12 @@
 /// reports its revision from time to time, but not at a guaranteed interval, so a
 /// reader that limits the age of its view must also check the store itself.
 #[derive(Debug)]
-pub struct GatewayWatch<C: CallCounts> {
+pub struct GatewayWatch<C: CallMetrics> {
     lines: LineReader,
     counts: C,
 }
 
-impl<C: CallCounts> GatewayWatch<C> {
+impl<C: CallMetrics> GatewayWatch<C> {
     /// Waits until the platform confirms that the watch is open.
     pub(crate) async fn open(lines: LineReader, counts: C) -> Result<Self, StoreError> {
         let mut lines = lines;
@@ -39,13 +39,13 @@
     }
 }
 
-impl<C: CallCounts> WatchStream for GatewayWatch<C> {
+impl<C: CallMetrics> WatchStream for GatewayWatch<C> {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
         next_response(&mut self.lines).await?.try_into()
     }
 }
 
-impl<C: CallCounts> Drop for GatewayWatch<C> {
+impl<C: CallMetrics> Drop for GatewayWatch<C> {
     fn drop(&mut self) {
         self.counts.watch_closed();
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -23,17 +23,18 @@
 pub mod wire;
 mod write_once;
 
-pub use call_counts::{CallCounts, CallEnd, NoCounts, StoreCall};
+pub use call_counts::{CallEnd, CallMetrics, NoMetrics, StoreCall};
 pub use fenced_lease::{AcquireOutcome, FencedLease, LeaseRequest};
 pub use gateway_store::{GatewaySettings, GatewayStore};
 pub use gateway_vm_list::GatewayVmList;
 pub use gateway_watch::GatewayWatch;
 pub use lease_term::LeaseTerm;
-pub use renewed_watch::RenewedWatch;
-pub use retry_pace::RetryPace;
+pub use renewed_watch::ReopeningWatch;
+pub use retry_pace::RetryPolicy;
 pub use store::{
-    Comparison, KeyRange, KeyValue, LeaseId, PlatformStore, RangeAnswer, Revision, STEP_LIMIT,
-    StoreError, TransactionAnswer, VALUE_LIMIT, WatchBatch, WatchStream, Write, WriteBatch,
+    Comparison, KeyRange, KeyValue, LeaseId, MAX_TRANSACTION_STEPS, MAX_VALUE_BYTES, PlatformStore,
+    RangeAnswer, Revision, StoreError, TransactionAnswer, WatchBatch, WatchStream, Write,
+    WriteBatch,
 };
 pub use vms::{ListedVm, VmList, VmState};
-pub use write_once::{OnceOutcome, WriteOnceState, WriteOnceStep, write_once};
+pub use write_once::{WriteOnceOutcome, WriteOnceState, WriteOnceStep, write_once};
--- a/crates/store/src/renewed_watch.rs
+++ b/crates/store/src/renewed_watch.rs
@@ -14,7 +14,7 @@
 /// A watch whose connection is up but whose messages were lost looks like a watch
 /// without changes. A reader that doesn't limit the age of its view would never notice.
 #[derive(Debug)]
-pub struct RenewedWatch<S: PlatformStore> {
+pub struct ReopeningWatch<S: PlatformStore> {
     store: S,
     range: KeyRange,
     /// The first revision that hasn't been received.
@@ -22,7 +22,7 @@
     watch: Option<S::Watch>,
 }
 
-impl<S: PlatformStore> RenewedWatch<S> {
+impl<S: PlatformStore> ReopeningWatch<S> {
     /// Opens a watch that reports all writes from revision `from` on.
     ///
     /// # Errors
@@ -30,7 +30,7 @@
     /// Fails if the store can't be reached or rejects the call.
     pub async fn open(store: S, range: KeyRange, from: Revision) -> Result<Self, StoreError> {
         let watch = store.watch(range.clone(), from).await?;
-        Ok(RenewedWatch {
+        Ok(ReopeningWatch {
             store,
             range,
             from,
@@ -46,7 +46,7 @@
     }
 }
 
-impl<S: PlatformStore> WatchStream for RenewedWatch<S> {
+impl<S: PlatformStore> WatchStream for ReopeningWatch<S> {
     async fn next(&mut self) -> Result<WatchBatch, StoreError> {
         loop {
             let mut watch = self.take_or_open().await?;
--- a/crates/store/src/retry_pace.rs
+++ b/crates/store/src/retry_pace.rs
@@ -10,7 +10,7 @@
 /// value and all of it: otherwise, when the platform recovers from an outage, hundreds
 /// of daemons would call it at the same instant, again and again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RetryPace {
+pub struct RetryPolicy {
     /// The maximum number of attempts, including the first.
     pub attempts: u32,
     /// The maximum delay before the first repetition.
@@ -21,10 +21,10 @@
     pub seed: u64,
 }
 
-impl RetryPace {
+impl RetryPolicy {
     /// Creates the default policy with this process's seed.
     pub fn new(seed: u64) -> Self {
-        RetryPace {
+        RetryPolicy {
             attempts: 4,
             first_delay: Duration::from_millis(50),
             max_delay: Duration::from_secs(1),
@@ -45,7 +45,7 @@
     }
 
     /// Sets the maximum delay before any repetition.
-    pub fn longest_wait(mut self, delay: Duration) -> Self {
+    pub fn max_delay(mut self, delay: Duration) -> Self {
         self.max_delay = delay;
         self
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 /// The maximum size of a value in bytes.
-pub const VALUE_LIMIT: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 /// The maximum number of comparisons, and of steps, in a transaction.
-pub const STEP_LIMIT: usize = 128;
+pub const MAX_TRANSACTION_STEPS: usize = 128;
 /// The bounds of the range that contains every key.
 const ALL_KEYS: (Bytes, Bytes) = (Bytes::from_static(&[0]), Bytes::from_static(&[0]));
 
@@ -164,7 +164,7 @@
     pub revision: Revision,
     /// The revision of the latest change in this message; 0 if there is none. Two
     /// watches may report the same change up to different revisions.
-    pub changed: Revision,
+    pub last_change: Revision,
 }
 
 /// Why a call to the store failed.
--- a/crates/store/src/write_once.rs
+++ b/crates/store/src/write_once.rs
@@ -3,13 +3,13 @@
 use bytes::Bytes;
 
 use crate::{
-    Comparison, KeyValue, PlatformStore, RetryPace, Revision, StoreError, TransactionAnswer, Write,
-    WriteBatch,
+    Comparison, KeyValue, PlatformStore, RetryPolicy, Revision, StoreError, TransactionAnswer,
+    Write, WriteBatch,
 };
 
 /// The outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OnceOutcome {
+pub enum WriteOnceOutcome {
     /// The write took effect exactly once, at this revision.
     Written(Revision),
     /// A comparison failed, and the write certainly never took effect.
@@ -21,7 +21,7 @@
     },
     /// The write isn't in force now. An answer was lost, and another writer has written
     /// the key, either before or after this write.
-    Overtaken {
+    Superseded {
         /// The pairs of the batch's `read_back` that exist.
         found: Vec<KeyValue>,
         /// The store's revision when it answered.
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub enum WriteOnceStep {
     /// The outcome is known.
-    Done(Result<OnceOutcome, StoreError>),
+    Done(Result<WriteOnceOutcome, StoreError>),
     /// The same batch must be sent again.
     Again,
 }
@@ -141,7 +141,7 @@
     pub fn on_result(&mut self, result: Result<TransactionAnswer, StoreError>) -> WriteOnceStep {
         match result {
             Ok(TransactionAnswer::Written(revision)) => {
-                WriteOnceStep::Done(Ok(OnceOutcome::Written(revision)))
+                WriteOnceStep::Done(Ok(WriteOnceOutcome::Written(revision)))
             }
             Ok(TransactionAnswer::Refused { found, revision }) => {
                 WriteOnceStep::Done(Ok(self.refused(found, revision)))
@@ -157,13 +157,13 @@
         }
     }
 
-    fn refused(&self, found: Vec<KeyValue>, revision: Revision) -> OnceOutcome {
+    fn refused(&self, found: Vec<KeyValue>, revision: Revision) -> WriteOnceOutcome {
         if !self.answer_lost {
-            return OnceOutcome::Refused { found, revision };
+            return WriteOnceOutcome::Refused { found, revision };
         }
         match self.marker.find_revision(&found, revision) {
-            Some(written) => OnceOutcome::Written(written),
-            None => OnceOutcome::Overtaken { found, revision },
+            Some(written) => WriteOnceOutcome::Written(written),
+            None => WriteOnceOutcome::Superseded { found, revision },
         }
     }
 }
@@ -184,8 +184,8 @@
 pub async fn write_once<S: PlatformStore>(
     store: &S,
     mut batch: WriteBatch,
-    pace: RetryPace,
-) -> Result<OnceOutcome, StoreError> {
+    pace: RetryPolicy,
+) -> Result<WriteOnceOutcome, StoreError> {
     let mut state = WriteOnceState::new(&mut batch)?;
     let mut delays = pace.delays();
     loop {
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -14,8 +14,8 @@
     FaultChange, LostAnswers, MemoryStore, SharedPlatform, serve_platform,
 };
 use comfreyramp_store::{
-    Comparison, GatewaySettings, GatewayStore, GatewayVmList, KeyRange, NoCounts, PlatformStore,
-    RetryPace, TransactionAnswer, Write, WriteBatch,
+    Comparison, GatewaySettings, GatewayStore, GatewayVmList, KeyRange, NoMetrics, PlatformStore,
+    RetryPolicy, TransactionAnswer, Write, WriteBatch,
 };
 use tokio_util::sync::{CancellationToken, DropGuard};
 
@@ -54,7 +54,7 @@
     let stop = CancellationToken::new();
     tokio::spawn(serve_platform(listener, platform.clone(), stop.clone()));
     TestBed {
-        store: GatewayStore::new(settings(&base_url), NoCounts),
+        store: GatewayStore::new(settings(&base_url), NoMetrics),
         platform,
         base_url,
         _stop: stop.drop_guard(),
@@ -68,11 +68,11 @@
 /// Returns a client with a short timeout.
 pub fn store_with_short_timeout(base_url: &str) -> GatewayStore {
     let settings = settings(base_url).call_timeout(SHORT_TIMEOUT);
-    GatewayStore::new(settings, NoCounts)
+    GatewayStore::new(settings, NoMetrics)
 }
 
 pub fn vm_list(base_url: &str) -> GatewayVmList {
-    GatewayVmList::new(settings(base_url), NoCounts)
+    GatewayVmList::new(settings(base_url), NoMetrics)
 }
 
 /// Runs each test against both implementations of the store.
@@ -96,8 +96,8 @@
 }
 
 /// A retry policy with few attempts and short delays.
-pub fn quick_retries() -> RetryPace {
-    RetryPace::new(7)
+pub fn quick_retries() -> RetryPolicy {
+    RetryPolicy::new(7)
         .attempts(4)
         .first_delay(Duration::from_millis(5))
 }
--- a/crates/store/tests/renewed_watch.rs
+++ b/crates/store/tests/renewed_watch.rs
@@ -8,7 +8,7 @@
 };
 
 use comfreyramp_store::{
-    KeyRange, LeaseId, PlatformStore, RangeAnswer, RenewedWatch, Revision, StoreError,
+    KeyRange, LeaseId, PlatformStore, RangeAnswer, ReopeningWatch, Revision, StoreError,
     TransactionAnswer, WatchBatch, WatchStream, WriteBatch,
 };
 
@@ -80,7 +80,7 @@
 async fn a_stalled_watch_is_reopened() {
     let store = StallingStore::default();
     let range = KeyRange::Prefix("lots/".to_owned());
-    let mut watch = RenewedWatch::open(store.clone(), range, 7).await.unwrap();
+    let mut watch = ReopeningWatch::open(store.clone(), range, 7).await.unwrap();
     let minute = Duration::from_secs(60);
     let first = tokio::time::timeout(minute, watch.next()).await.unwrap();
     assert_eq!(first.unwrap().revision, 11);
--- a/crates/store/tests/store_contract.rs
+++ b/crates/store/tests/store_contract.rs
@@ -13,8 +13,8 @@
 use assert_matches::assert_matches;
 use bytes::Bytes;
 use comfreyramp_store::{
-    Comparison, KeyRange, PlatformStore, STEP_LIMIT, StoreError, TransactionAnswer, VALUE_LIMIT,
-    Write,
+    Comparison, KeyRange, MAX_TRANSACTION_STEPS, MAX_VALUE_BYTES, PlatformStore, StoreError,
+    TransactionAnswer, Write,
 };
 
 use common::{TestBed, absent, batch, one, prefix, put, value_of, write};
@@ -105,13 +105,13 @@
         value: Bytes::from(vec![b'x'; length]),
         lease: None,
     };
-    write(store, vec![sized(VALUE_LIMIT)]).await;
-    let too_large = batch(Vec::new(), vec![put("l", ""), sized(VALUE_LIMIT + 1)]);
+    write(store, vec![sized(MAX_VALUE_BYTES)]).await;
+    let too_large = batch(Vec::new(), vec![put("l", ""), sized(MAX_VALUE_BYTES + 1)]);
     let result = store.transact(too_large).await;
     assert_matches!(result, Err(StoreError::Rejected(_)));
     assert_eq!(value_of(store, "l").await, None);
 
-    let steps = (0..=STEP_LIMIT).map(|it| put(&it.to_string(), ""));
+    let steps = (0..=MAX_TRANSACTION_STEPS).map(|it| put(&it.to_string(), ""));
     let result = store.transact(batch(Vec::new(), steps.collect())).await;
     assert_matches!(result, Err(StoreError::Rejected(_)));
 }
--- a/crates/store/tests/store_faults.rs
+++ b/crates/store/tests/store_faults.rs
@@ -17,7 +17,7 @@
 use comfreyramp_http::{MessageBody, Response, ServeLimits, StatusCode, bind, serve};
 use comfreyramp_standins::platform::{FaultChange, LostAnswers, SharedPlatform};
 use comfreyramp_store::{
-    CallCounts, CallEnd, GatewaySettings, GatewayStore, ListedVm, NoCounts, PlatformStore,
+    CallEnd, CallMetrics, GatewaySettings, GatewayStore, ListedVm, NoMetrics, PlatformStore,
     StoreCall, StoreError, VmList, VmState,
 };
 use tokio_util::sync::{CancellationToken, DropGuard};
@@ -101,7 +101,7 @@
     let listener = bind(([127, 0, 0, 1], 0).into()).await.unwrap();
     let base_url = format!("http://{}", listener.local_addr().unwrap());
     drop(listener);
-    let store = GatewayStore::new(settings(&base_url), NoCounts);
+    let store = GatewayStore::new(settings(&base_url), NoMetrics);
     let result = store.transact(batch(vec![], vec![put("k", "")])).await;
     assert_matches!(result, Err(StoreError::Unreachable(_)));
     let result = store.watch(prefix(""), 0).await;
@@ -136,7 +136,7 @@
     };
     let limits = ServeLimits::default();
     tokio::spawn(serve(listener, limits, stop.clone(), handler));
-    let store = GatewayStore::new(GatewaySettings::new(&base_url), NoCounts);
+    let store = GatewayStore::new(GatewaySettings::new(&base_url), NoMetrics);
     (store, stop.drop_guard())
 }
 
@@ -187,7 +187,7 @@
     watches: Arc<Mutex<i32>>,
 }
 
-impl CallCounts for RecordingCounts {
+impl CallMetrics for RecordingCounts {
     fn count(&self, call: StoreCall, end: CallEnd, _took: Duration) {
         self.calls.lock().unwrap().push((call, end));
     }
--- a/crates/store/tests/write_once.rs
+++ b/crates/store/tests/write_once.rs
@@ -13,8 +13,8 @@
 use assert_matches::assert_matches;
 use comfreyramp_standins::platform::LostAnswers;
 use comfreyramp_store::{
-    Comparison, KeyValue, OnceOutcome, PlatformStore, RetryPace, StoreError, TransactionAnswer,
-    Write, WriteBatch, WriteOnceState, WriteOnceStep, write_once,
+    Comparison, KeyValue, PlatformStore, RetryPolicy, StoreError, TransactionAnswer, Write,
+    WriteBatch, WriteOnceOutcome, WriteOnceState, WriteOnceStep, write_once,
 };
 
 use common::{
@@ -43,7 +43,7 @@
         let key = format!("k{lost}");
         bed.platform.change_faults(lose(LostAnswers::Next(lost)));
         let outcome = write_once(&bed.store, create(&key, "mine"), quick_retries()).await;
-        let written = assert_matches!(outcome, Ok(OnceOutcome::Written(revision)) => revision);
+        let written = assert_matches!(outcome, Ok(WriteOnceOutcome::Written(revision)) => revision);
         let pair = bed.store.range(one(&key), 0).await.unwrap().pairs.remove(0);
         assert_eq!((pair.modified, pair.version), (written, 1));
     }
@@ -60,7 +60,7 @@
 async fn a_failed_comparison_is_a_refusal<S: PlatformStore>(bed: TestBed<S>) {
     write(&bed.store, vec![put("k", "theirs")]).await;
     let outcome = write_once(&bed.store, create("k", "mine"), quick_retries()).await;
-    let found = assert_matches!(outcome, Ok(OnceOutcome::Refused { found, .. }) => found);
+    let found = assert_matches!(outcome, Ok(WriteOnceOutcome::Refused { found, .. }) => found);
     assert_eq!(found[0].value, "theirs");
     assert_eq!(bed.platform.calls().txn, 2);
 }
@@ -88,7 +88,7 @@
         );
         let value = value_of(&bed.store, &key).await.unwrap();
         for (outcome, own) in [(first, "first"), (second, "second")] {
-            let won = matches!(outcome, Ok(OnceOutcome::Written(_)));
+            let won = matches!(outcome, Ok(WriteOnceOutcome::Written(_)));
             assert_eq!(won, value == own, "{lost} lost: {own} got {outcome:?}");
         }
     }
@@ -100,7 +100,7 @@
     let when = vec![Comparison::ModifiedAt("k".into(), revision)];
     let delete = batch(when, vec![Write::Delete("k".into())]);
     let outcome = write_once(&bed.store, delete, quick_retries()).await;
-    assert_matches!(outcome, Ok(OnceOutcome::Written(_)));
+    assert_matches!(outcome, Ok(WriteOnceOutcome::Written(_)));
     assert_eq!(value_of(&bed.store, "k").await, None);
 }
 
@@ -117,7 +117,7 @@
     assert_matches!(first, Err(StoreError::AnswerLost(_)));
     bed.platform.change_faults(slow(Duration::ZERO));
     let outcome = write_once(&bed.store, create("k", "mine"), quick_retries()).await;
-    let written = assert_matches!(outcome, Ok(OnceOutcome::Written(revision)) => revision);
+    let written = assert_matches!(outcome, Ok(WriteOnceOutcome::Written(revision)) => revision);
     let when = vec![Comparison::ModifiedAt("k".into(), written)];
     let next = batch(when, vec![put("k", "next")]);
     write_once(&bed.store, next, quick_retries()).await.unwrap();
@@ -149,7 +149,7 @@
     let unreachable = || Err(StoreError::Unreachable(String::new()));
     assert_matches!(state.on_result(unreachable()), WriteOnceStep::Again);
     let step = state.on_result(refused(vec![pair("mine", 4)]));
-    assert_matches!(step, WriteOnceStep::Done(Ok(OnceOutcome::Written(4))));
+    assert_matches!(step, WriteOnceStep::Done(Ok(WriteOnceOutcome::Written(4))));
 
     let mut state = WriteOnceState::new(&mut create("k", "mine")).unwrap();
     let step = state.on_result(unreachable());
@@ -166,7 +166,7 @@
     let step = state.on_result(refused(vec![pair("theirs", 5)]));
     let found = assert_matches!(
         step,
-        WriteOnceStep::Done(Ok(OnceOutcome::Overtaken { found, .. })) => found
+        WriteOnceStep::Done(Ok(WriteOnceOutcome::Superseded { found, .. })) => found
     );
     assert_eq!(found[0].value, "theirs");
 }
@@ -181,7 +181,10 @@
     let lost = Err(StoreError::AnswerLost(String::new()));
     assert_matches!(state.on_result(lost), WriteOnceStep::Again);
     let step = state.on_result(refused(Vec::new()));
-    assert_matches!(step, WriteOnceStep::Done(Ok(OnceOutcome::Overtaken { .. })));
+    assert_matches!(
+        step,
+        WriteOnceStep::Done(Ok(WriteOnceOutcome::Superseded { .. }))
+    );
 }
 
 /// A batch could take effect twice, and its repetition would undo a change that another
@@ -201,10 +204,10 @@
 
 #[test]
 fn waits_double_up_to_a_bound_and_differ_by_seed() {
-    let pace = RetryPace::new(1)
+    let pace = RetryPolicy::new(1)
         .attempts(8)
         .first_delay(Duration::from_millis(100))
-        .longest_wait(Duration::from_millis(800));
+        .max_delay(Duration::from_millis(800));
     let delays: Vec<Duration> = pace.delays().collect();
     assert_eq!(delays.len(), 7);
     for (repetition, delay) in delays.iter().enumerate() {
@@ -213,6 +216,6 @@
     }
     let same: Vec<Duration> = pace.delays().collect();
     assert_eq!(delays, same);
-    let other = RetryPace { seed: 2, ..pace };
+    let other = RetryPolicy { seed: 2, ..pace };
     assert_ne!(delays, other.delays().collect::<Vec<_>>());
 }
--- a/crates/tool/src/commands/customers.rs
+++ b/crates/tool/src/commands/customers.rs
@@ -1,6 +1,6 @@
 //! Customers: list, add, set, remove.
 
-use comfreyramp_settings::{CustomerSettings, CutPolicy, TeamSettings};
+use comfreyramp_settings::{CustomerSettings, CutOffPolicy, TeamSettings};
 use serde_json::json;
 
 use super::{CommandContext, print_json};
@@ -20,7 +20,7 @@
                 burst: it.burst,
                 weight: it.weight,
                 keys: Vec::new(),
-                when_cut: CutPolicy::default(),
+                when_cut: CutOffPolicy::default(),
                 lots_may_delay_live: false,
             };
             door.change(&it.team, |team| {
