--- a/crates/policy/src/bulk/mod.rs
+++ b/crates/policy/src/bulk/mod.rs
@@ -7,9 +7,9 @@
 //! are slowed down all the same. See `docs/DESIGN.md`.
 
 mod arrival_rate;
-mod bulk_limiter;
+mod bulk_gate;
 mod slot_limit;
 
 pub use arrival_rate::ArrivalRate;
-pub use bulk_limiter::{BulkLimiter, BulkLimiterTiming};
+pub use bulk_gate::{BulkLimiter, BulkLimiterTiming};
 pub use slot_limit::{AdditiveLimit, ChokeCreepLimit, FixedLimit, SlotLimit};
--- a/crates/serving/src/fleet/mod.rs
+++ b/crates/serving/src/fleet/mod.rs
@@ -3,7 +3,6 @@
 
 mod announcer;
 mod arrival_clock;
-mod contact_desk;
 mod fleet_view;
 mod follow;
 mod known_member;
@@ -13,14 +12,14 @@
 mod peer_door;
 mod peer_message;
 mod peer_views;
+mod store_monitor;
 mod store_probe;
 mod store_relay;
 mod store_view;
-mod view_desk;
+mod view_server;
 
 pub use announcer::{receive_reports, run_announcer, send_urgent_reports};
 pub use arrival_clock::{ArrivalClock, MAX_QUEUE_CHECK_INTERVAL};
-pub use contact_desk::StoreMonitor;
 pub use fleet_view::{FleetView, KnownCustomer, choose_service};
 pub use follow::{FollowUpdate, FollowedStore, INITIAL_WATCH_DELAY, follow_store};
 pub use member_list::{MemberList, PeerAddresses};
@@ -31,7 +30,8 @@
     MESSAGE_PADDING, MemberRecord, PeerMessage, SuspectCount, UsageTimes, ViewLags, ViewRevisions,
 };
 pub use peer_views::follow_peers;
+pub use store_monitor::StoreMonitor;
 pub use store_probe::probe_store;
 pub use store_relay::RelayedStore;
 pub use store_view::{PrefixSnapshot, StoreView};
-pub use view_desk::ViewServer;
+pub use view_server::ViewServer;
--- a/crates/serving/src/fleet/peer_views.rs
+++ b/crates/serving/src/fleet/peer_views.rs
@@ -12,7 +12,7 @@
 
 use super::{
     ViewRevisions,
-    view_desk::{PackedView, SentView, SentViews},
+    view_server::{PackedView, SentView, SentViews},
 };
 use crate::{dialect::Dialect, node::Node};
 
--- a/crates/serving/src/fleet/store_probe.rs
+++ b/crates/serving/src/fleet/store_probe.rs
@@ -6,7 +6,7 @@
 use comfreyramp_store::{LeaseId, PlatformStore};
 use tokio_util::sync::CancellationToken;
 
-use super::contact_desk::is_answered;
+use super::store_monitor::is_answered;
 use crate::{dialect::Dialect, node::Node};
 
 /// How often a daemon that doesn't follow the store checks whether it has to.
--- a/crates/serving/src/node/mod.rs
+++ b/crates/serving/src/node/mod.rs
@@ -7,7 +7,7 @@
 
 mod admission;
 mod directory;
-mod lot_reports;
+mod lot_news;
 mod peers;
 mod store_health;
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -8,7 +8,7 @@
 //! that its caller can read back and repeat, as [`write_once`] does. [`FencedLease`] is
 //! for work that only one process at a time may do.
 
-mod call_counts;
+mod call_metrics;
 mod convert;
 mod fenced_lease;
 mod gateway_store;
@@ -16,20 +16,20 @@
 mod gateway_watch;
 mod lease_term;
 mod line_reader;
-mod renewed_watch;
+mod reopening_watch;
 mod retry_pace;
 mod store;
 mod vms;
 pub mod wire;
 mod write_once;
 
-pub use call_counts::{CallEnd, CallMetrics, NoMetrics, StoreCall};
+pub use call_metrics::{CallEnd, CallMetrics, NoMetrics, StoreCall};
 pub use fenced_lease::{AcquireOutcome, FencedLease, LeaseRequest};
 pub use gateway_store::{GatewaySettings, GatewayStore};
 pub use gateway_vm_list::GatewayVmList;
 pub use gateway_watch::GatewayWatch;
 pub use lease_term::LeaseTerm;
-pub use renewed_watch::ReopeningWatch;
+pub use reopening_watch::ReopeningWatch;
 pub use retry_pace::RetryPolicy;
 pub use store::{
     Comparison, KeyRange, KeyValue, LeaseId, MAX_TRANSACTION_STEPS, MAX_VALUE_BYTES, PlatformStore,
