--- a/crates/daemon/src/claims/claim_grant.rs
+++ b/crates/daemon/src/claims/claim_grant.rs
@@ -62,7 +62,9 @@
     fn drop(&mut self) {
         if self.is_started.load(Ordering::Relaxed) {
             // Has no effect if the call has finished.
-            self.manager.tracker().lose(self.key, self.ticket);
+            self.manager
+                .tracker()
+                .record_lost_answer(self.key, self.ticket);
         } else {
             self.manager.tracker().forget(self.key, self.ticket);
         }
--- a/crates/daemon/src/claims/claim_manager.rs
+++ b/crates/daemon/src/claims/claim_manager.rs
@@ -6,7 +6,7 @@
 };
 
 use comfreyramp_policy::{
-    AnswerRef, ClaimBook, ClaimCause, ClaimKey, ClaimRefusal, ClaimTicket, ClaimVerdict,
+    AnswerRef, ClaimCause, ClaimKey, ClaimRefusal, ClaimTicket, ClaimTracker, ClaimVerdict,
     Fingerprint, Incarnation, RunState, Timestamp,
 };
 use tokio::sync::{Notify, watch};
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct ClaimKeeper {
     clock: ProcessClock,
-    tracker: Mutex<ClaimBook>,
+    tracker: Mutex<ClaimTracker>,
     /// Answers that are not yet written to the platform, sorted by key.
     answers: Mutex<Vec<(ClaimKey, StoredAnswer)>>,
     /// Incremented when the verdict on any claim may have changed.
@@ -62,7 +62,7 @@
     pub fn new(incarnation: Incarnation, clock: ProcessClock) -> Self {
         ClaimKeeper {
             clock,
-            tracker: Mutex::new(ClaimBook::new(incarnation)),
+            tracker: Mutex::new(ClaimTracker::new(incarnation)),
             answers: Mutex::default(),
             progress: watch::Sender::new(0),
             claim_added: Notify::new(),
@@ -147,7 +147,7 @@
         self.clock
     }
 
-    pub(super) fn tracker(&self) -> MutexGuard<'_, ClaimBook> {
+    pub(super) fn tracker(&self) -> MutexGuard<'_, ClaimTracker> {
         // The tracker's methods keep it consistent at each step. What a panic
         // left out for one claim must not fail all others.
         self.tracker.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/daemon/src/claims/claim_writer.rs
+++ b/crates/daemon/src/claims/claim_writer.rs
@@ -78,7 +78,7 @@
         let losses = {
             let mut tracker = self.manager.tracker();
             tracker.group_answer(group.number, &answer, now);
-            tracker.losses()
+            tracker.consecutive_losses()
         };
         self.manager.notify_progress();
         self.manager.notify_change();
--- a/crates/daemon/src/claims/mod.rs
+++ b/crates/daemon/src/claims/mod.rs
@@ -1,7 +1,7 @@
 //! At-most-once execution: claims stored in the platform for calls that must
 //! not run twice.
 //!
-//! The decisions are made by [`comfreyramp_policy::ClaimBook`]; this module
+//! The decisions are made by [`comfreyramp_policy::ClaimTracker`]; this module
 //! carries them out. [`ClaimKeeper`] hands out claims, and [`run_claims`]
 //! writes them and the ends of their calls. See docs/LIVE.md.
 
--- a/crates/daemon/src/live_queue/start_queues.rs
+++ b/crates/daemon/src/live_queue/start_queues.rs
@@ -122,10 +122,10 @@
     /// whose deadline has passed or that can no longer start in time.
     fn start_ready(&self, group: &mut GroupQueue) {
         let now = self.clock.now();
-        for late in group.queue.take_late(now) {
+        for late in group.queue.take_expired(now) {
             group.reject(late.number);
         }
-        for hopeless in group.queue.take_hopeless(now) {
+        for hopeless in group.queue.take_infeasible(now) {
             group.reject(hopeless.number);
         }
         let any_server = PoolQuery {
--- a/crates/daemon/src/lot_work/bulk_limiter.rs
+++ b/crates/daemon/src/lot_work/bulk_limiter.rs
@@ -8,7 +8,7 @@
 
 use comfreyramp_policy::{
     LoadReport, ServerId, Timestamp,
-    bulk::{BulkGate, FixedLimit, GateTiming},
+    bulk::{BulkLimiter, BulkLimiterTiming, FixedLimit},
 };
 use serde::Serialize;
 use tokio::sync::Notify;
@@ -47,7 +47,7 @@
 struct LimitedServer {
     server: ServerInfo,
     /// `None` until the server has reported the size of its batch.
-    limiter: Option<BulkGate<FixedLimit>>,
+    limiter: Option<BulkLimiter<FixedLimit>>,
     /// The number of this daemon's live requests that the limiter knows of.
     live: u32,
     open: Vec<OpenSlot>,
@@ -72,7 +72,7 @@
 }
 
 /// Grants bulk slots on the servers whose home this daemon is, and revokes them
-/// at once when live work needs the capacity. A [`BulkGate`] for each server
+/// at once when live work needs the capacity. A [`BulkLimiter`] for each server
 /// decides how many there are.
 #[derive(Clone, Debug, Default)]
 pub struct ServerGates {
@@ -277,7 +277,7 @@
         self.server.in_flight += 1;
         self.open.push(OpenSlot { number, stop });
         if let Some(limiter) = &mut self.limiter {
-            limiter.bulk_begins(now);
+            limiter.record_bulk_start(now);
         }
     }
 
@@ -289,7 +289,7 @@
         }
         self.server.in_flight = self.server.in_flight.saturating_sub(1);
         if let Some(limiter) = &mut self.limiter {
-            limiter.bulk_ends(now);
+            limiter.record_bulk_end(now);
         }
     }
 
@@ -311,10 +311,10 @@
             // See docs/DESIGN.md.
             let slots = f64::from(report.batch);
             let limit = FixedLimit { slots };
-            let mut limiter = BulkGate::new(GateTiming::default(), limit);
+            let mut limiter = BulkLimiter::new(BulkLimiterTiming::default(), limit);
             // The requests already on the server are entered as begun earlier,
             // so that they don't count as a burst.
-            (0..self.live).for_each(|_| limiter.live_begins(now - DEMAND_WINDOW));
+            (0..self.live).for_each(|_| limiter.record_live_start(now - DEMAND_WINDOW));
             limiter.tick(now);
             self.limiter = Some(limiter);
         }
@@ -329,8 +329,8 @@
         let bulk = u32::try_from(self.open.len()).unwrap_or(u32::MAX);
         let live = self.server.in_flight.saturating_sub(bulk);
         if let Some(limiter) = &mut self.limiter {
-            (self.live..live).for_each(|_| limiter.live_begins(now));
-            (live..self.live).for_each(|_| limiter.live_ends(now));
+            (self.live..live).for_each(|_| limiter.record_live_start(now));
+            (live..self.live).for_each(|_| limiter.record_live_end(now));
         }
         self.live = live;
     }
--- a/crates/daemon/src/rates/limiter_state.rs
+++ b/crates/daemon/src/rates/limiter_state.rs
@@ -5,8 +5,8 @@
 use comfreyramp_policy::{
     DaemonId, Timestamp,
     rates::{
-        CustomerRate, ExpulsionWatch, LedgerTiming, MemberState, RosterChange, RosterMember, SLOTS,
-        ShareLedger,
+        CustomerRate, ExpulsionTracker, LedgerTiming, MemberState, RosterChange, RosterMember,
+        SLOTS, ShareLedger,
     },
 };
 
@@ -50,7 +50,7 @@
     pub(super) rates: Vec<CustomerRate>,
     /// The daemons that the VM list names as live; empty if it couldn't be read.
     pub(super) listed: Vec<String>,
-    pub(super) watch: ExpulsionWatch,
+    pub(super) watch: ExpulsionTracker,
     pub(super) leaving: bool,
 }
 
@@ -120,7 +120,7 @@
             incarnation: self.incarnation,
             state: MemberState::Active,
         };
-        let expulsion = LedgerTiming::default().expulsion;
+        let expulsion = LedgerTiming::default().expulsion_delay;
         let delisted = |name: &str| self.is_delisted(name);
         let silent = |name: &str| self.is_silent(name, now);
         roster.next_change(&me, &self.watch, expulsion, delisted, silent, now)
@@ -140,7 +140,7 @@
             false => 0,
         };
         let batch = self.view.put_roster(zone, &change.roster)?;
-        let given = self.give_slots(&change.given, now);
+        let given = self.give_slots(&change.handed_over, now);
         Ok(Some(PlannedChange {
             zone,
             change,
@@ -159,7 +159,7 @@
         for (slot, taker) in given {
             let taker = self.id_of(taker);
             let ledger = self.ledger.as_mut();
-            if ledger.is_some_and(|ledger| ledger.give_slot(*slot, taker, revision, now)) {
+            if ledger.is_some_and(|ledger| ledger.hand_over(*slot, taker, revision, now)) {
                 fresh.push(*slot);
             }
         }
@@ -171,7 +171,7 @@
     pub(super) fn take_slots_back(&mut self, slots: &[u8], now: Timestamp) {
         if let Some(ledger) = &mut self.ledger {
             for slot in slots {
-                ledger.take_slot_back(*slot, now);
+                ledger.cancel_handover(*slot, now);
             }
         }
     }
@@ -204,7 +204,7 @@
         };
         let holders = self.holders(own);
         if let Some(ledger) = &mut self.ledger {
-            ledger.end_giving();
+            ledger.end_all_handovers();
             ledger.set_holders(own, &holders, 0, now);
         }
     }
--- a/crates/daemon/src/rates/peer_request_handler.rs
+++ b/crates/daemon/src/rates/peer_request_handler.rs
@@ -7,7 +7,7 @@
 };
 use comfreyramp_policy::{
     NoticeAck, SuspectNotice,
-    rates::{RateAnswer, RateAsk},
+    rates::{RateAnswer, RateRequest},
 };
 use comfreyramp_store::PlatformStore;
 
@@ -39,7 +39,7 @@
         self.state.rates.record_heartbeat(beat);
     }
 
-    fn rates(&self, from: &PeerBeat, query: &RateAsk) -> RateAnswer {
+    fn rates(&self, from: &PeerBeat, query: &RateRequest) -> RateAnswer {
         self.state.rates.handle(&from.member.name, query)
     }
 
--- a/crates/daemon/src/rates/rate_limiter.rs
+++ b/crates/daemon/src/rates/rate_limiter.rs
@@ -11,8 +11,8 @@
 use comfreyramp_policy::{
     DaemonId, Heartbeat, Incarnation, Timestamp, ZoneId,
     rates::{
-        Attempt, CustomerKey, CustomerRate, Decision, LedgerTiming, Outgoing, RateAnswer, RateAsk,
-        ShareLedger, ShareLevel, TokenAsk,
+        CustomerKey, CustomerRate, Decision, LedgerTiming, Outgoing, RateAnswer, RateRequest,
+        ShareLedger, ShareLevel, TokenAttempt, TokenRequest,
     },
 };
 use comfreyramp_settings::DaemonSettings;
@@ -95,7 +95,7 @@
         settings: impl FnOnce() -> Arc<SettingsSnapshot>,
     ) -> Result<(), Duration> {
         let customer = CustomerKey::of_name(customer);
-        let known = |ledger: &ShareLedger| ledger.knows(customer);
+        let known = |ledger: &ShareLedger| ledger.has_rate(customer);
         if !self.lock().ledger.as_ref().is_some_and(known) {
             self.set_rates(&settings());
         }
@@ -104,8 +104,12 @@
             match decision {
                 Decision::Admitted => return Ok(()),
                 Decision::Refused { retry_after } => return Err(retry_after),
-                Decision::Borrow { to, ask, attempt } => {
-                    decision = self.borrow(to, ask, attempt).await;
+                Decision::RequestToken {
+                    to,
+                    request,
+                    attempt,
+                } => {
+                    decision = self.borrow(to, request, attempt).await;
                 }
             }
         }
@@ -116,19 +120,19 @@
         let state = self.lock();
         let ledger = state.ledger.as_ref();
         ledger.map_or_else(ShareLevel::default, |ledger| {
-            ledger.level(CustomerKey::of_name(customer))
+            ledger.share_level(CustomerKey::of_name(customer))
         })
     }
 
     /// Answers a rate request of the daemon called `from`.
-    pub fn handle(&self, from: &str, request: &RateAsk) -> RateAnswer {
+    pub fn handle(&self, from: &str, request: &RateRequest) -> RateAnswer {
         let now = self.clock.now();
         let mut state = self.lock();
         let from = state.id_of(from);
         let Some(ledger) = &mut state.ledger else {
             return answer_without_ledger(request);
         };
-        let answer = ledger.handle(from, request, now);
+        let answer = ledger.handle_request(from, request, now);
         drop(state);
         self.wake.notify_one();
         answer
@@ -224,23 +228,25 @@
                 .then(|| now - settings_age);
             ledger.tick(now);
             if let (Some(rosters), Some(settings)) = (verified, settings) {
-                ledger.confirm(rosters.min(settings));
+                ledger.confirm_view(rosters.min(settings));
             }
         }
         drop(state);
         self.wake.notify_one();
     }
 
-    async fn borrow(&self, to: DaemonId, request: TokenAsk, attempt: Attempt) -> Decision {
+    async fn borrow(&self, to: DaemonId, request: TokenRequest, attempt: TokenAttempt) -> Decision {
         let Some((link, address)) = self.link_to(to) else {
-            return self.decide(|ledger, now| ledger.unreachable(attempt, now));
+            return self.decide(|ledger, now| ledger.on_unreachable(attempt, now));
         };
-        let timeout = LedgerTiming::default().answer;
-        let answer = link.rates(address, RateAsk::Tokens(request), timeout).await;
+        let timeout = LedgerTiming::default().request_timeout;
+        let answer = link
+            .rates(address, RateRequest::Tokens(request), timeout)
+            .await;
         self.decide(|ledger, now| match answer {
-            Ok(RateAnswer::Tokens(answer)) => ledger.take(attempt, answer, now),
-            Err(PeerError::Unreachable(_)) => ledger.unreachable(attempt, now),
-            _ => ledger.fail(attempt, now),
+            Ok(RateAnswer::Tokens(answer)) => ledger.on_answer(attempt, answer, now),
+            Err(PeerError::Unreachable(_)) => ledger.on_unreachable(attempt, now),
+            _ => ledger.on_timeout(attempt, now),
         })
     }
 
@@ -260,32 +266,33 @@
     fn outgoing(&self) -> Vec<Outgoing> {
         let mut state = self.lock();
         let ledger = state.ledger.as_mut();
-        ledger.map(ShareLedger::outgoing).unwrap_or_default()
+        ledger.map(ShareLedger::take_outgoing).unwrap_or_default()
     }
 
     async fn send(&self, message: Outgoing) {
         let Some((link, address)) = self.link_to(message.to) else {
             return;
         };
-        let timeout = LedgerTiming::default().answer;
+        let timeout = LedgerTiming::default().request_timeout;
         // A lost message makes tokens unavailable for a moment, which the ledger
         // allows for.
-        let Ok(RateAnswer::Slices(offers)) = link.rates(address, message.ask, timeout).await else {
+        let Ok(RateAnswer::Slices(offers)) = link.rates(address, message.request, timeout).await
+        else {
             return;
         };
         let now = self.clock.now();
         if let Some(ledger) = &mut self.lock().ledger {
-            ledger.take_offers(message.to, &offers, now);
+            ledger.accept_offers(message.to, &offers, now);
         }
     }
 }
 
 /// Returns the answer to a request that arrives before this daemon has a ledger.
-fn answer_without_ledger(request: &RateAsk) -> RateAnswer {
+fn answer_without_ledger(request: &RateRequest) -> RateAnswer {
     match request {
-        RateAsk::Tokens(_) => RateAnswer::Tokens(comfreyramp_policy::rates::TokenAnswer::Stale),
-        RateAsk::Slices(_) => RateAnswer::Slices(Vec::new()),
-        RateAsk::Return(_) | RateAsk::Settle(_) => RateAnswer::Done,
+        RateRequest::Tokens(_) => RateAnswer::Tokens(comfreyramp_policy::rates::TokenAnswer::Stale),
+        RateRequest::Slices(_) => RateAnswer::Slices(Vec::new()),
+        RateRequest::Return(_) | RateRequest::Settle(_) => RateAnswer::Done,
     }
 }
 
--- a/crates/daemon/src/rates/roster_sync.rs
+++ b/crates/daemon/src/rates/roster_sync.rs
@@ -170,8 +170,8 @@
 
 /// Logs how many slots were given to other daemons, and the first receiver.
 fn log_change(change: &RosterChange, revision: Revision) {
-    if let Some((_, taker)) = change.given.first() {
-        let slots = change.given.len();
+    if let Some((_, taker)) = change.handed_over.first() {
+        let slots = change.handed_over.len();
         log::info!(slots, revision, first_taker = taker; "rates: slots were given to other daemons");
     }
 }
@@ -234,7 +234,7 @@
         Ok(beat) if beat.member.name == known.name => {
             known.silent_since = None;
             if let Some(ledger) = &mut limiter.ledger {
-                ledger.note_view(peer, beat.roster_revision, sent);
+                ledger.note_peer_revision(peer, beat.roster_revision, sent);
             }
             Some(beat)
         }
@@ -263,7 +263,7 @@
         let now = self.clock.now();
         let state = self.lock();
         let ledger = state.ledger.as_ref();
-        ledger.is_some_and(|ledger| ledger.is_giving(now))
+        ledger.is_some_and(|ledger| ledger.has_open_handovers(now))
     }
 
     /// Returns whether the rosters have to be read: they never were, or a peer has
--- a/crates/daemon/src/server_pool.rs
+++ b/crates/daemon/src/server_pool.rs
@@ -130,9 +130,9 @@
         let Some(entry) = self.servers.entry(id) else {
             return;
         };
-        let mut preemptible = entry.load.yielding;
+        let mut preemptible = entry.load.preemptible;
         preemptible.own = change(preemptible.own);
-        self.servers.set_yielding(id, preemptible);
+        self.servers.set_preemptible(id, preemptible);
     }
 
     /// Returns the daemons of the zone. This daemon is included even if the
@@ -166,9 +166,9 @@
         let Some(entry) = self.servers.entry(id) else {
             return;
         };
-        let mut preemptible = entry.load.yielding;
+        let mut preemptible = entry.load.preemptible;
         preemptible.others = bulk;
-        self.servers.set_yielding(id, preemptible);
+        self.servers.set_preemptible(id, preemptible);
     }
 
     fn route<'a>(&mut self, query: PoolQuery<'a>) -> RouteQuery<'a> {
@@ -258,7 +258,7 @@
         let now = clock.now();
         let chosen = tables
             .servers
-            .choose_with_room(&route, now, &mut rand::rng());
+            .choose_with_capacity(&route, now, &mut rand::rng());
         chosen.is_some()
     }
 
@@ -317,7 +317,7 @@
         let has_capacity = {
             let tables = self.lock();
             let load = &tables.servers.entry(id)?.load;
-            load.in_flight.saturating_sub(load.yielding.own) < load.batch()
+            load.in_flight.saturating_sub(load.preemptible.own) < load.batch()
         };
         has_capacity
             .then(|| self.take_key(key, exclude, clock))
--- a/crates/daemon/src/settings_link/link.rs
+++ b/crates/daemon/src/settings_link/link.rs
@@ -157,7 +157,7 @@
     pub(super) fn apply_read(&self, changes: ViewChanges, sent: Timestamp) {
         let now = self.clock.now();
         let mut state = self.lock();
-        if state.plan.take_read(changes.revision, sent, now) {
+        if state.plan.apply_read(changes.revision, sent, now) {
             self.apply(&mut state, changes);
         }
     }
@@ -165,7 +165,7 @@
     /// Applies a message of the platform's watch, unless the plan rejects it.
     pub(super) fn apply_watched(&self, changes: ViewChanges) {
         let mut state = self.lock();
-        if state.plan.take_watched(changes.revision) {
+        if state.plan.apply_watch_event(changes.revision) {
             self.apply(&mut state, changes);
         }
     }
--- a/crates/daemon/src/suspects/run_start.rs
+++ b/crates/daemon/src/suspects/run_start.rs
@@ -55,10 +55,10 @@
             match step {
                 TrialStep::Run => {}
                 TrialStep::Wait => self.suspects.wait_for_progress(RECHECK_INTERVAL).await,
-                TrialStep::Ask if !self.suspects.is_known_to_others(request.fingerprint) => {
+                TrialStep::Request if !self.suspects.is_known_to_others(request.fingerprint) => {
                     tokio::time::sleep(RECHECK_INTERVAL).await;
                 }
-                TrialStep::Ask => self.request_trial(request, &mut taken).await,
+                TrialStep::Request => self.request_trial(request, &mut taken).await,
                 TrialStep::Start => {
                     if let Some(server) = self.begin_trial(request.fingerprint) {
                         return Ok(server);
@@ -105,7 +105,7 @@
         let trial = self
             .suspects
             .table()
-            .ask_trial(request.fingerprint, key, now);
+            .request_trial(request.fingerprint, key, now);
         let Some(trial) = trial else {
             return;
         };
--- a/crates/daemon/src/suspects/suspect_records.rs
+++ b/crates/daemon/src/suspects/suspect_records.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use comfreyramp_policy::{
-    Fingerprint, Incarnation, ServerKey, SuspectFact, Timestamp, TrialAnswer, TrialAsk, TrialEnd,
-    TrialRecord, TrialSettlement,
+    Fingerprint, Incarnation, ServerKey, SuspectFact, Timestamp, TrialAnswer, TrialEnd,
+    TrialRecord, TrialRequest, TrialSettlement,
 };
 use comfreyramp_store::{
     Comparison, KeyRange, KeyValue, LeaseId, PlatformStore, Revision, StoreError,
@@ -81,7 +81,11 @@
     }
 
     /// Requests a trial. A repeated request gets the same answer.
-    pub(super) async fn request_trial(&self, request: &TrialAsk, now: Timestamp) -> TrialAnswer {
+    pub(super) async fn request_trial(
+        &self,
+        request: &TrialRequest,
+        now: Timestamp,
+    ) -> TrialAnswer {
         for _ in 0..MAX_ATTEMPTS {
             match self.request_trial_once(request, now).await {
                 Ok(Some(answer)) => return answer,
@@ -96,7 +100,7 @@
 
     async fn request_trial_once(
         &self,
-        request: &TrialAsk,
+        request: &TrialRequest,
         now: Timestamp,
     ) -> Result<Option<TrialAnswer>, StoreError> {
         let lease = self.lease.get(&self.store, now).await?;
@@ -134,7 +138,7 @@
     /// none if the record was outdated and has been removed.
     async fn resolve_conflict(
         &self,
-        request: &TrialAsk,
+        request: &TrialRequest,
         pair: &KeyValue,
     ) -> Result<Option<TrialAnswer>, StoreError> {
         let Ok(held) = serde_json::from_slice::<StoredTrial>(&pair.value) else {
@@ -190,7 +194,7 @@
         self.store.transact(batch).await.map(|_| ())
     }
 
-    async fn release(&self, trial: &TrialAsk, modified: Revision) -> Result<(), StoreError> {
+    async fn release(&self, trial: &TrialRequest, modified: Revision) -> Result<(), StoreError> {
         let key = trial_key(trial.fingerprint);
         let batch = WriteBatch {
             when: vec![Comparison::ModifiedAt(key.clone(), modified)],
--- a/crates/lots/src/worker/events.rs
+++ b/crates/lots/src/worker/events.rs
@@ -4,7 +4,7 @@
 
 use comfreyramp_policy::{
     CustomerId, Timestamp,
-    lots::{GiveUpReason, TryVerdict},
+    lots::{GiveUpReason, ItemRetryVerdict},
 };
 use comfreyramp_store::PlatformStore;
 
@@ -249,8 +249,8 @@
             .attempts
             .fault(attempts, others, now, &mut self.random);
         match verdict {
-            TryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
-            TryVerdict::GiveUp(reason) => {
+            ItemRetryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
+            ItemRetryVerdict::GiveUp(reason) => {
                 held.fail_item(run.item, give_up_error(reason, message), now);
             }
         }
@@ -279,8 +279,8 @@
             .attempts
             .probe(attempts, succeeded, now, &mut self.random);
         match verdict {
-            TryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
-            TryVerdict::GiveUp(reason) => {
+            ItemRetryVerdict::Retry(at) => held.items[run.item].state = ItemState::Waiting(at),
+            ItemRetryVerdict::GiveUp(reason) => {
                 let error = give_up_error(reason, "a probe succeeded meanwhile");
                 held.fail_item(run.item, error, now);
             }
@@ -294,8 +294,8 @@
         let held = &mut self.held[index];
         let attempts = &mut held.items[run.item].attempts;
         match self.config.attempts.crash(attempts, now, &mut self.random) {
-            TryVerdict::Retry(at) => held.mark_crashed(run.item, at),
-            TryVerdict::GiveUp(reason) => {
+            ItemRetryVerdict::Retry(at) => held.mark_crashed(run.item, at),
+            ItemRetryVerdict::GiveUp(reason) => {
                 held.fail_item(run.item, give_up_error(reason, message), now);
             }
         }
--- a/crates/lots/src/worker/mod.rs
+++ b/crates/lots/src/worker/mod.rs
@@ -8,7 +8,7 @@
 
 use comfreyramp_policy::{
     CustomerId, Timestamp,
-    lots::{LotRanking, ResultGrouping, TryPolicy},
+    lots::{ItemRetryPolicy, LotRanking, ResultGrouping},
 };
 use comfreyramp_store::PlatformStore;
 use rand::{SeedableRng, rngs::StdRng};
@@ -56,7 +56,7 @@
     /// When groups of results are written.
     pub grouping: ResultGrouping,
     /// When items are retried or given up.
-    pub attempts: TryPolicy,
+    pub attempts: ItemRetryPolicy,
     /// The order in which lots are run.
     pub ranking: LotRanking,
 }
@@ -76,7 +76,7 @@
             slots,
             owner: owner.to_owned(),
             grouping: ResultGrouping::default(),
-            attempts: TryPolicy::default(),
+            attempts: ItemRetryPolicy::default(),
             ranking: LotRanking::default(),
         }
     }
--- a/crates/serving/tests/arrival_clock.rs
+++ b/crates/serving/tests/arrival_clock.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreyramp_policy::Timestamp;
-use comfreyramp_serving::fleet::{ArrivalClock, QUIET_LOOK};
+use comfreyramp_serving::fleet::{ArrivalClock, MAX_QUEUE_CHECK_INTERVAL};
 
 /// After a VM was paused for five seconds, the datagrams queued in that time may have
 /// arrived at any moment of it, so none of them proves the present state. They must be dated
@@ -20,13 +20,13 @@
     );
     let resumed = start + Duration::from_secs(5);
     let arrival = clock.arrival(resumed);
-    assert_eq!(arrival, start + QUIET_LOOK);
+    assert_eq!(arrival, start + MAX_QUEUE_CHECK_INTERVAL);
     assert_eq!(
         clock.arrival(resumed),
         arrival,
         "also the next queued datagram"
     );
-    clock.note_quiet(resumed);
+    clock.note_empty_queue(resumed);
     let fresh = resumed + Duration::from_millis(20);
     assert_eq!(clock.arrival(fresh), fresh);
 }
--- a/crates/serving/tests/follow_store.rs
+++ b/crates/serving/tests/follow_store.rs
@@ -17,7 +17,7 @@
 
 use comfreyramp_serving::{
     clock::BootClock,
-    fleet::{ContactDesk, FollowNews, FollowedStore, follow_store},
+    fleet::{FollowUpdate, FollowedStore, StoreMonitor, follow_store},
 };
 use comfreyramp_store::{
     KeyRange, LeaseId, PlatformStore, RangeAnswer, Revision, StoreError, TransactionAnswer,
@@ -86,10 +86,10 @@
     let is_watcher = Rc::new(Cell::new(false));
     let update_count = Rc::new(Cell::new(0));
     let (watcher_flag, update_counter) = (is_watcher.clone(), update_count.clone());
-    let sink = move |_: FollowNews| update_counter.set(update_counter.get() + 1);
+    let sink = move |_: FollowUpdate| update_counter.set(update_counter.get() + 1);
     let followed = FollowedStore {
         store: store.clone(),
-        contact: ContactDesk::new(BootClock::default()),
+        contact: StoreMonitor::new(BootClock::default()),
     };
     let follower = follow_store(
         followed,
--- a/crates/serving/tests/lot_cache.rs
+++ b/crates/serving/tests/lot_cache.rs
@@ -56,7 +56,7 @@
     let pairs = [head(LOT), group(0, &[result("a"), result("b")])];
     let mut cache = LotCache::default();
     let now = Timestamp::ZERO;
-    cache.take(LOT, &pairs, now, now).unwrap();
+    cache.add_stored(LOT, &pairs, now, now).unwrap();
     cache
 }
 
@@ -69,7 +69,9 @@
     let mut cache = with_one_group();
     let now = Timestamp::ZERO;
     let second = vec![result("c"), result("d")];
-    cache.take(LOT, &[group(1, &second)], now, now).unwrap();
+    cache
+        .add_stored(LOT, &[group(1, &second)], now, now)
+        .unwrap();
     cache.add_results(LOT, 1, second, now);
     assert_eq!(ids(&cache), ["a", "b", "c", "d"]);
 }
@@ -96,7 +98,7 @@
 fn a_partial_answer_after_an_eviction_does_not_say_that_the_lot_is_missing() {
     let mut cache = LotCache::default();
     let now = Timestamp::ZERO;
-    let is_complete = cache.take("lot-0", &[head("lot-0")], now, now);
+    let is_complete = cache.add_stored("lot-0", &[head("lot-0")], now, now);
     assert!(is_complete.unwrap());
     assert!(
         cache.last_key("lot-0").is_some(),
@@ -105,12 +107,16 @@
     for number in 1..=64 {
         let lot = format!("lot-{number}");
         let later = now + std::time::Duration::from_millis(number);
-        cache.take(&lot, &[head(&lot)], later, later).unwrap();
+        cache.add_stored(&lot, &[head(&lot)], later, later).unwrap();
     }
-    let is_complete = cache.take("lot-0", &[], now, now).unwrap();
+    let is_complete = cache.add_stored("lot-0", &[], now, now).unwrap();
     assert!(!is_complete, "the lot has to be read again");
     assert!(cache.last_key("lot-0").is_none(), "from its first key");
-    assert!(cache.take("lot-0", &[head("lot-0")], now, now).unwrap());
+    assert!(
+        cache
+            .add_stored("lot-0", &[head("lot-0")], now, now)
+            .unwrap()
+    );
 }
 
 /// As above, but a third reader with an older request has restored the copy by then, from
@@ -120,7 +126,7 @@
 fn results_after_a_gap_are_not_added_to_a_copy() {
     let mut cache = with_one_group();
     let now = Timestamp::ZERO;
-    let continues_copy = cache.take(LOT, &[group(2, &[result("d")])], now, now);
+    let continues_copy = cache.add_stored(LOT, &[group(2, &[result("d")])], now, now);
     assert!(!continues_copy.unwrap(), "the lot has to be read again");
     assert_eq!(ids(&cache), ["a", "b"]);
     let whole = [
@@ -128,6 +134,6 @@
         group(1, &[result("c")]),
         group(2, &[result("d")]),
     ];
-    assert!(cache.take(LOT, &whole, now, now).unwrap());
+    assert!(cache.add_stored(LOT, &whole, now, now).unwrap());
     assert_eq!(ids(&cache), ["a", "b", "c", "d"]);
 }
--- a/crates/serving/tests/lot_candidates.rs
+++ b/crates/serving/tests/lot_candidates.rs
@@ -38,8 +38,8 @@
     }
     candidates.add("lot-1", START, START + RETRY_DELAY);
     assert_eq!(claimable(&mut candidates, START + RETRY_DELAY), 0);
-    candidates.put_back("lot-1", START + RETRY_DELAY);
+    candidates.postpone("lot-1", START + RETRY_DELAY);
     assert_eq!(claimable(&mut candidates, START + RETRY_DELAY), 1);
     candidates.remove("lot-1");
-    assert!(!candidates.holds("lot-1"));
+    assert!(!candidates.contains("lot-1"));
 }
--- a/crates/serving/tests/lot_notices.rs
+++ b/crates/serving/tests/lot_notices.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use comfreyramp_policy::Timestamp;
-use comfreyramp_serving::lots::{ClaimBasis, LotNotice, LotNotices, LotProgress, LotStage};
+use comfreyramp_serving::lots::{LotNotice, LotNotices, LotProgress, LotStage, ReportBasis};
 use comfreyramp_store::LeaseId;
 
 fn ended() -> LotNotice {
@@ -18,7 +18,7 @@
 fn the_end_of_a_lot_is_repeated_for_longer_than_a_claim_survives_a_cut() {
     let start = Timestamp::from_micros(1_000_000);
     let mut notices = LotNotices::default();
-    notices.tell(ended(), start);
+    notices.add_notice(ended(), start);
     let (reported, _) = notices.current(None, start + Duration::from_secs(10));
     assert_eq!(reported, vec![ended()]);
     let (reported, _) = notices.current(None, start + Duration::from_secs(20));
@@ -32,7 +32,7 @@
 fn an_accepted_lot_is_repeated_for_a_moment() {
     let start = Timestamp::from_micros(1_000_000);
     let mut notices = LotNotices::default();
-    notices.tell(LotNotice::Accepted("lot-1".to_owned()), start);
+    notices.add_notice(LotNotice::Accepted("lot-1".to_owned()), start);
     let (reported, _) = notices.current(None, start + Duration::from_secs(2));
     assert_eq!(reported.len(), 1);
     let (reported, _) = notices.current(None, start + Duration::from_secs(4));
@@ -42,17 +42,17 @@
 const LEASE: LeaseId = LeaseId(7);
 
 /// Returns the stage that a daemon running a lot reports at `now` while it holds `lease`.
-fn reported_stage(basis: ClaimBasis, lease: Option<LeaseId>, now: Timestamp) -> LotStage {
+fn reported_stage(basis: ReportBasis, lease: Option<LeaseId>, now: Timestamp) -> LotStage {
     let mut notices = LotNotices::default();
     let progress = LotProgress {
         lot: "lot-1".to_owned(),
         results: 3,
         stage: LotStage::Held,
     };
-    notices.tell_progress(progress, basis, Timestamp::ZERO);
+    notices.report_progress(progress, basis, Timestamp::ZERO);
     let (_, reported) = notices.current(lease, now);
     assert_eq!(
-        notices.vouched_results("lot-1", lease, now),
+        notices.confirmed_results("lot-1", lease, now),
         (reported[0].stage == LotStage::Held).then_some(3),
         "the report and the confirmed results agree"
     );
@@ -65,9 +65,9 @@
 #[test]
 fn a_daemon_whose_claim_may_be_gone_confirms_no_results() {
     let now = Timestamp::from_micros(9_000_000);
-    let basis = ClaimBasis {
+    let basis = ReportBasis {
         lease: Some(LEASE),
-        undecided_since: None,
+        unanswered_since: None,
     };
     assert_eq!(reported_stage(basis, Some(LEASE), now), LotStage::Held);
     assert_eq!(
@@ -82,7 +82,7 @@
         "not claimed under the new lease"
     );
     assert_eq!(
-        reported_stage(ClaimBasis::default(), Some(LEASE), now),
+        reported_stage(ReportBasis::default(), Some(LEASE), now),
         LotStage::Unsure
     );
 }
@@ -93,9 +93,9 @@
 #[test]
 fn a_daemon_with_an_unanswered_write_confirms_no_results() {
     let write_sent_at = Timestamp::from_micros(9_000_000);
-    let basis = ClaimBasis {
+    let basis = ReportBasis {
         lease: Some(LEASE),
-        undecided_since: Some(write_sent_at),
+        unanswered_since: Some(write_sent_at),
     };
     let shortly_after = write_sent_at + Duration::from_millis(100);
     assert_eq!(
--- a/crates/serving/tests/member_list.rs
+++ b/crates/serving/tests/member_list.rs
@@ -48,14 +48,14 @@
 fn lots_that_others_run_are_known_until_they_are_done_or_silent() {
     let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
-    members.hear(&message(1, progress(LotStage::Held)), start);
+    members.receive(&message(1, progress(LotStage::Held)), start);
     assert_eq!(members.held_lots(start), ["lot-1"]);
     let silent = start + Duration::from_secs(4);
     assert!(
         members.held_lots(silent).is_empty(),
         "its lease has expired"
     );
-    members.hear(&message(2, progress(LotStage::Finished)), start);
+    members.receive(&message(2, progress(LotStage::Finished)), start);
     assert!(members.held_lots(start).is_empty(), "the lot is finished");
 }
 
@@ -75,13 +75,17 @@
             _ => LotStage::Finished,
         },
     });
-    members.hear(&message(1, reported.collect()), start);
+    members.receive(&message(1, reported.collect()), start);
     for number in 0..200 {
         let is_held = number % 2 == 0;
         assert_eq!(members.is_held(&lot(number), start), is_held, "{number}");
-        assert_eq!(members.told_finished(&lot(number)), !is_held, "{number}");
+        assert_eq!(
+            members.is_reported_finished(&lot(number)),
+            !is_held,
+            "{number}"
+        );
     }
-    assert!(!members.is_held("lot-x", start) && !members.told_finished("lot-x"));
+    assert!(!members.is_held("lot-x", start) && !members.is_reported_finished("lot-x"));
 }
 
 /// A daemon that runs a lot is restarted and heard again before its peers noticed. The
@@ -91,12 +95,15 @@
 fn reports_of_a_former_incarnation_are_forgotten() {
     let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("entry-1");
-    members.hear(&message(9, progress(LotStage::Held)), start);
-    assert_eq!(members.runner_vouch("lot-1").map(|it| it.results), Some(3));
+    members.receive(&message(9, progress(LotStage::Held)), start);
+    assert_eq!(
+        members.runner_confirmation("lot-1").map(|it| it.results),
+        Some(3)
+    );
     let mut next_incarnation = message(1, Vec::new());
     next_incarnation.from.incarnation = 2;
-    members.hear(&next_incarnation, start + Duration::from_millis(500));
-    assert_eq!(members.runner_vouch("lot-1"), None);
+    members.receive(&next_incarnation, start + Duration::from_millis(500));
+    assert_eq!(members.runner_confirmation("lot-1"), None);
     assert_eq!(
         members.lot_runner("lot-1", start + Duration::from_millis(500)),
         None
@@ -109,14 +116,14 @@
 fn only_a_daemon_that_knows_all_results_is_asked_for_them() {
     let now = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
-    members.hear(&message(1, progress(LotStage::Left)), now);
+    members.receive(&message(1, progress(LotStage::Left)), now);
     let mut other = message(1, progress(LotStage::Unsure));
     other.from.name = "lots-3".to_owned();
-    members.hear(&other, now);
-    assert_eq!(members.runner_vouch("lot-1"), None);
+    members.receive(&other, now);
+    assert_eq!(members.runner_confirmation("lot-1"), None);
     assert_eq!(members.lot_runner("lot-1", now), None);
     assert!(members.is_held("lot-1", now), "lots-3 may still run it");
-    members.hear(&message(2, progress(LotStage::Finished)), now);
+    members.receive(&message(2, progress(LotStage::Finished)), now);
     assert!(members.lot_runner("lot-1", now).is_some());
 }
 
@@ -132,10 +139,14 @@
         for (name, at) in names.into_iter().zip([start, later]) {
             let mut report = message(1, progress(LotStage::Held));
             report.from.name = name.to_owned();
-            members.hear(&report, at);
+            members.receive(&report, at);
         }
-        let confirmed = members.runner_vouch("lot-1");
-        assert_eq!(confirmed.map(|it| it.heard_at), Some(later), "{names:?}");
+        let confirmed = members.runner_confirmation("lot-1");
+        assert_eq!(
+            confirmed.map(|it| it.last_received_at),
+            Some(later),
+            "{names:?}"
+        );
     }
 }
 
@@ -161,8 +172,8 @@
     let later = start + Duration::from_millis(300);
     let mut members = MemberList::new("lots-1");
     members.set_listed(&[message_of_incarnation(1, 0, Vec::new()).from], start);
-    members.hear(&message_of_incarnation(1, 9, Vec::new()), start);
-    members.hear(
+    members.receive(&message_of_incarnation(1, 9, Vec::new()), start);
+    members.receive(
         &message_of_incarnation(2, 1, progress(LotStage::Held)),
         later,
     );
@@ -172,12 +183,12 @@
         "the running incarnation holds the lot"
     );
     assert!(
-        !members.is_former_life("lots-2", 2, later),
+        !members.is_former_incarnation("lots-2", 2, later),
         "this incarnation is running"
     );
-    assert!(members.is_former_life("lots-2", 1, later));
+    assert!(members.is_former_incarnation("lots-2", 1, later));
     assert_eq!(
-        members.hear(&message_of_incarnation(2, 1, Vec::new()), later),
+        members.receive(&message_of_incarnation(2, 1, Vec::new()), later),
         None
     );
 }
@@ -188,7 +199,7 @@
 fn an_outdated_list_does_not_restore_an_incarnation_that_was_never_heard() {
     let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-1");
-    members.hear(
+    members.receive(
         &message_of_incarnation(2, 1, progress(LotStage::Held)),
         start,
     );
@@ -198,7 +209,7 @@
         "the running incarnation holds the lot"
     );
     assert!(
-        !members.is_former_life("lots-2", 2, start),
+        !members.is_former_incarnation("lots-2", 2, start),
         "this incarnation is running"
     );
 }
@@ -211,14 +222,14 @@
     let start = Timestamp::from_micros(1_000_000);
     let later = start + Duration::from_millis(300);
     let mut members = MemberList::new("entry-1");
-    members.hear(&message_of_incarnation(1, 8, Vec::new()), start);
-    members.hear(&message_of_incarnation(2, 1, Vec::new()), later);
+    members.receive(&message_of_incarnation(1, 8, Vec::new()), start);
+    members.receive(&message_of_incarnation(2, 1, Vec::new()), later);
     let late = message_of_incarnation(1, 9, progress(LotStage::Held));
-    assert_eq!(members.hear(&late, later), None);
-    assert_eq!(members.runner_vouch("lot-1"), None);
+    assert_eq!(members.receive(&late, later), None);
+    assert_eq!(members.runner_confirmation("lot-1"), None);
     assert!(!members.is_held("lot-1", later));
     assert!(
-        !members.is_former_life("lots-2", 2, later),
+        !members.is_former_incarnation("lots-2", 2, later),
         "this incarnation is running"
     );
 }
@@ -230,10 +241,10 @@
 fn an_incarnation_that_keeps_sending_is_accepted_again() {
     let start = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("entry-1");
-    members.hear(&message_of_incarnation(2, 1, Vec::new()), start);
-    members.hear(&message_of_incarnation(1, 9, Vec::new()), start);
+    members.receive(&message_of_incarnation(2, 1, Vec::new()), start);
+    members.receive(&message_of_incarnation(1, 9, Vec::new()), start);
     let later = start + Duration::from_millis(1_200);
-    let received = members.hear(
+    let received = members.receive(
         &message_of_incarnation(2, 6, progress(LotStage::Held)),
         later,
     );
@@ -251,12 +262,12 @@
     let mut members = MemberList::new("lots-1");
     members.set_listed(&[message_of_incarnation(1, 0, Vec::new()).from], now);
     assert!(
-        !members.is_former_life("lots-2", 2, now),
+        !members.is_former_incarnation("lots-2", 2, now),
         "the other incarnation was only listed"
     );
-    members.hear(&message_of_incarnation(1, 9, Vec::new()), now);
+    members.receive(&message_of_incarnation(1, 9, Vec::new()), now);
     assert!(
-        !members.is_former_life("lots-2", 2, now),
+        !members.is_former_incarnation("lots-2", 2, now),
         "the incarnation that wasn't heard may be the later one"
     );
 }
@@ -269,11 +280,11 @@
     let now = Timestamp::from_micros(1_000_000);
     let mut members = MemberList::new("lots-3");
     let mut received = message(1, Vec::new());
-    members.hear(&received, now);
+    members.receive(&received, now);
     assert!(!members.is_lister("lots-3", now), "lots-2 lists for others");
     received.number = 2;
     received.reaches_store = false;
-    members.hear(&received, now);
+    members.receive(&received, now);
     assert!(members.is_lister("lots-3", now));
 }
 
@@ -284,13 +295,17 @@
     let start = Timestamp::from_micros(1_000_000);
     let at = |millis: u64| start + Duration::from_millis(millis);
     let mut members = MemberList::new("lots-1");
-    members.hear(&message(1, Vec::new()), start);
-    members.hear(&message(3, Vec::new()), at(2_000));
-    assert_eq!(members.regained_at(), None);
-    members.hear(&message(4, Vec::new()), at(6_000));
-    assert_eq!(members.regained_at(), Some(at(6_000)));
-    members.hear(&message(5, Vec::new()), at(6_250));
-    assert_eq!(members.regained_at(), Some(at(6_000)), "no further gap");
+    members.receive(&message(1, Vec::new()), start);
+    members.receive(&message(3, Vec::new()), at(2_000));
+    assert_eq!(members.last_reconnected_at(), None);
+    members.receive(&message(4, Vec::new()), at(6_000));
+    assert_eq!(members.last_reconnected_at(), Some(at(6_000)));
+    members.receive(&message(5, Vec::new()), at(6_250));
+    assert_eq!(
+        members.last_reconnected_at(),
+        Some(at(6_000)),
+        "no further gap"
+    );
 }
 
 /// A daemon learns of new settings first, reports them and is lost. Daemons that are behind
@@ -303,9 +318,9 @@
     members.set_listed(&[message(1, Vec::new()).from], now);
     let mut received = message(1, Vec::new());
     received.revisions.operators = 7;
-    members.hear(&received, now);
+    members.receive(&received, now);
     let known = ViewRevisions::default();
-    let ahead = |now| members.ahead_of(known, "zone-1", |_| false, &mut rand::rng(), now);
+    let ahead = |now| members.choose_peer_ahead(known, "zone-1", |_| false, &mut rand::rng(), now);
     assert_eq!(ahead(now), Some(received.from.address));
     assert_eq!(ahead(now + Duration::from_secs(3)), None);
 }
@@ -320,7 +335,7 @@
         report.from.name = format!("entry-{index}");
         report.from.zone = format!("zone-{}", index / 30);
         report.reaches_store = reaches_store(index);
-        members.hear(&report, start);
+        members.receive(&report, start);
     }
     members
 }
--- a/crates/serving/tests/usage_times.rs
+++ b/crates/serving/tests/usage_times.rs
@@ -4,7 +4,7 @@
 
 use comfreyramp_policy::{
     Timestamp,
-    usage::{CustomerLimit, PeerId, UsageBook, UsageCount},
+    usage::{CustomerLimit, PeerId, UsageCount, UsageTracker},
 };
 use comfreyramp_serving::fleet::UsageTimes;
 
@@ -15,8 +15,8 @@
     Timestamp::from_micros((1_000_000_000 + millis) * 1_000)
 }
 
-fn tracker_with_peer(peer: u64) -> UsageBook {
-    let mut tracker = UsageBook::new(at(0));
+fn tracker_with_peer(peer: u64) -> UsageTracker {
+    let mut tracker = UsageTracker::new(at(0));
     let limit = CustomerLimit {
         customer: CUSTOMER,
         rate: BURST,
@@ -36,7 +36,7 @@
     for millis in [4_000, 4_700] {
         local.tick(at(millis));
         let report = alter(remote.own_counts(at(millis)));
-        local.hear(PeerId(2), 1, &report, at(millis));
+        local.receive(PeerId(2), 1, &report, at(millis));
         if millis == 4_000 {
             for _ in 0..3 {
                 assert!(remote.admit(CUSTOMER, at(4_100)).is_ok());
