--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! The one body type of both sides, without dynamic dispatch.
+//! The body type that the client and the server share, without dynamic dispatch.
 
 use std::{
     pin::Pin,
@@ -11,17 +11,17 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-/// How many frames a streamed body holds before its writer has to wait.
+/// Frames that a streamed body buffers before its writer has to wait.
 const STREAM_FRAMES: usize = 16;
 
-/// Why a body ended early.
+/// The reason why a body ended early.
 #[derive(Debug, thiserror::Error)]
 pub enum BodyError {
-    /// The other side's connection broke.
+    /// The connection to the sender broke.
     #[error("the connection broke: {0}")]
     Connection(#[from] hyper::Error),
-    /// The writer gave up; the reader must not take what came for the whole.
-    #[error("the answer was cut short: {0}")]
+    /// The writer aborted the body; what was received so far is incomplete.
+    #[error("the body was cut short: {0}")]
     CutShort(String),
     /// The body is longer than allowed.
     #[error("the body is longer than {limit} bytes")]
@@ -31,24 +31,25 @@
     },
 }
 
-/// A body to send: whole, streamed by a writer, or passed on from a peer.
+/// A body to send: complete, streamed by a writer, or forwarded from another
+/// connection.
 #[derive(Debug)]
 pub enum MessageBody {
-    /// All of it is here.
+    /// The complete body, in memory; `None` if it is empty.
     Whole(Option<Bytes>),
-    /// A writer sends it through a [`BodySender`].
+    /// A writer sends the body through a [`BodySender`].
     Streamed(mpsc::Receiver<Result<Bytes, BodyError>>),
-    /// It is passed on from another connection.
+    /// The body is forwarded from another connection.
     Passed(Incoming),
 }
 
 impl MessageBody {
-    /// A body without a byte.
+    /// Returns an empty body.
     pub fn empty() -> Self {
         MessageBody::Whole(None)
     }
 
-    /// A streamed body with its writer.
+    /// Returns a streamed body and the sender that writes it.
     pub fn stream() -> (BodySender, Self) {
         let (sender, receiver) = mpsc::channel(STREAM_FRAMES);
         (BodySender { sender }, MessageBody::Streamed(receiver))
@@ -120,25 +121,29 @@
 }
 
 impl BodySender {
-    /// Sends a piece. Returns false once the reader is gone.
+    /// Sends a chunk. Returns false if the reader was dropped.
     pub async fn send(&self, bytes: impl Into<Bytes>) -> bool {
         self.sender.send(Ok(bytes.into())).await.is_ok()
     }
 
-    /// Breaks the body off, so that the reader sees an error and not an end.
+    /// Aborts the body, so that the reader sees an error instead of a normal end.
     pub async fn cut_short(self, reason: impl Into<String>) {
         let error = BodyError::CutShort(reason.into());
-        // A reader that is gone needs no news.
+        // If the reader was dropped, nobody needs the error.
         let _ = self.sender.send(Err(error)).await;
     }
 
-    /// Waits until the reader is gone.
+    /// Waits until the reader is dropped.
     pub async fn closed(&self) {
         self.sender.closed().await;
     }
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a body to its end.
+///
+/// # Errors
+///
+/// Returns [`BodyError::TooLong`] if the body has more than `limit` bytes.
 pub async fn collect_limited<B>(mut body: B, limit: usize) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes> + Unpin,
@@ -160,8 +165,9 @@
     Ok(whole.into())
 }
 
-/// A value as a JSON body.
+/// Serializes a value as a JSON body.
 pub fn json_body(value: &impl Serialize) -> MessageBody {
-    // Our own types have string keys only, so that serializing can't fail.
+    // Serializing can't fail, since the types of this project have string keys
+    // only.
     serde_json::to_vec(value).unwrap_or_default().into()
 }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other servers.
+//! An HTTP client for calls to other servers.
 
 use std::time::{Duration, Instant};
 
@@ -12,42 +12,44 @@
 
 use crate::{MessageBody, collect_limited};
 
-/// How long a connection may take to open, unless the caller says otherwise.
+/// The default limit on the time that a connection takes to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an unused connection is kept.
+/// How long an unused connection stays in the pool.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A connection without a byte is probed after so long, then at this interval.
-/// A peer behind a cut sends neither answer nor reset; without probes a watch on
-/// such a connection looks like one without news.
+/// The TCP keepalive probes of a connection start after it was idle for this
+/// long, and repeat at this interval. A peer behind a network partition sends
+/// neither an answer nor a reset; without probes, a watch on such a connection
+/// can't be told from one that has no changes to deliver.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// After so many unanswered probes a connection counts as broken.
-const PROBES: u32 = 2;
-/// Bytes that aren't acknowledged within this span break their connection.
+/// The number of unanswered probes after which a connection counts as broken.
+const MAX_UNANSWERED_PROBES: u32 = 2;
+/// A connection breaks if sent bytes stay unacknowledged for this long.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a call got no answer.
+/// The reason why a call got no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The connection never stood: no byte of the request left.
-    #[error("no connection: {0}")]
+    /// The connection wasn't established: no byte of the request was sent.
+    #[error("could not connect: {0}")]
     NotSent(String),
-    /// The request may have arrived, in part or whole.
+    /// The connection broke after the request may have arrived, partly or
+    /// completely.
     #[error("the connection broke: {0}")]
     Broken(String),
-    /// No answer began in time.
+    /// No answer arrived within the time limit.
     #[error("no answer within {0:?}")]
     TimedOut(Duration),
 }
 
 impl CallError {
-    /// Whether the server can't have seen any of the request.
+    /// Returns whether the server can't have received any part of the request.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, CallError::NotSent(_))
     }
 }
 
-/// A client with a pool of connections.
+/// An HTTP client with a connection pool.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, MessageBody>,
@@ -60,14 +62,14 @@
 }
 
 impl HttpClient {
-    /// A client whose connections must open within `connect_timeout`.
+    /// Creates a client whose connections must open within `connect_timeout`.
     pub fn new(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(connect_timeout));
         connector.set_nodelay(true);
         connector.set_keepalive(Some(PROBE_INTERVAL));
         connector.set_keepalive_interval(Some(PROBE_INTERVAL));
-        connector.set_keepalive_retries(Some(PROBES));
+        connector.set_keepalive_retries(Some(MAX_UNANSWERED_PROBES));
         connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
@@ -76,7 +78,7 @@
         HttpClient { client }
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the status and headers of its answer.
     pub async fn send(
         &self,
         request: Request<MessageBody>,
@@ -88,12 +90,13 @@
         }
     }
 
-    /// Sends a request and reads its whole answer, within a limit of time and
-    /// with a body of at most `body_limit` bytes.
+    /// Sends a request and reads its complete answer, within `limit` and with a
+    /// body of at most `body_limit` bytes.
     ///
     /// # Errors
     ///
-    /// An answer that breaks off tells nothing of what was done.
+    /// An answer that ends early is [`CallError::Broken`]: it doesn't say whether
+    /// the server processed the request.
     pub async fn exchange(
         &self,
         request: Request<MessageBody>,
@@ -112,8 +115,8 @@
         }
     }
 
-    /// Like [`HttpClient::exchange`], and tells how long it took, for whoever counts
-    /// calls.
+    /// Like [`HttpClient::exchange`], and also returns how long the call took, for
+    /// callers that record metrics.
     pub async fn timed_exchange(
         &self,
         request: Request<MessageBody>,
@@ -125,7 +128,8 @@
         (answer, begin.elapsed())
     }
 
-    /// Like [`HttpClient::send`], with a limit on the wait for the head.
+    /// Like [`HttpClient::send`], with a limit on the wait for the status and
+    /// headers.
     pub async fn send_within(
         &self,
         limit: Duration,
@@ -138,7 +142,8 @@
     }
 }
 
-/// An error with its causes, since hyper's own text names only the outermost.
+/// Formats an error with its causes, since hyper's own text names only the
+/// outermost error.
 fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/http/src/error_answer.rs
+++ b/crates/http/src/error_answer.rs
@@ -1,4 +1,4 @@
-//! Errors in the shape that OpenAI client libraries read.
+//! Error answers in the format that OpenAI client libraries parse.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 
 use crate::{MessageBody, json_body};
 
-/// The header that says whether a refused request ran.
+/// The header of error answers that says whether the request ran.
 const RAN_HEADER: &str = "x-comfreyramp-ran";
 
-/// Whether a request that got no proper answer ran on a backend server.
+/// Whether a request that was answered with an error ran on a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// No byte of it reached a backend server.
+    /// No byte of the request reached a backend server.
     No,
-    /// It may have run: an answer was lost.
+    /// The request may have run: its answer was lost.
     Unknown,
-    /// It began, and part of its answer was delivered.
+    /// The request started, and part of its answer was delivered.
     Partly,
-    /// It ran to its end, earlier; its answer isn't at hand.
+    /// The request completed earlier, but its answer isn't available.
     Yes,
 }
 
 impl RunState {
-    /// The word used in headers and bodies.
+    /// Returns the value used in headers and bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             RunState::No => "no",
@@ -36,7 +36,7 @@
     }
 }
 
-/// A refusal or error as a caller sees it.
+/// An error answer to a caller.
 ///
 /// ```
 /// use std::time::Duration;
@@ -50,33 +50,33 @@
 pub struct ErrorAnswer {
     /// The HTTP status.
     pub status: StatusCode,
-    /// A stable word for programs.
+    /// A stable error code for programs.
     pub code: &'static str,
-    /// What is wrong, where, and what would be right.
+    /// A message for people: what is wrong, where, and what would be valid.
     pub message: String,
-    /// The field at fault, if one is.
+    /// The request field that caused the error, if any.
     pub param: Option<String>,
     /// Whether the request ran.
     pub ran: RunState,
-    /// When to come back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Option<Duration>,
-    /// The methods that the path has, if the request's is none of them.
+    /// The methods that the path supports, if the request used another one.
     pub allow: Option<&'static str>,
-    /// More for programs.
+    /// An additional field for programs.
     pub detail: Option<Box<ErrorDetail>>,
 }
 
-/// A further field of the error object.
+/// An additional field of the error object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ErrorDetail {
     /// The field's name.
     pub field: &'static str,
-    /// Its value.
+    /// The field's value.
     pub value: serde_json::Value,
 }
 
 impl ErrorAnswer {
-    /// An answer to a request that didn't run.
+    /// Creates an answer to a request that didn't run.
     pub fn new(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         let message = message.into();
         ErrorAnswer {
@@ -91,37 +91,37 @@
         }
     }
 
-    /// Names the field at fault.
+    /// Sets the request field that caused the error.
     pub fn param(mut self, param: impl Into<String>) -> Self {
         self.param = Some(param.into());
         self
     }
 
-    /// Says whether the request ran.
+    /// Sets whether the request ran.
     pub fn ran(mut self, ran: RunState) -> Self {
         self.ran = ran;
         self
     }
 
-    /// Says when to come back.
+    /// Sets how long the caller should wait before it retries.
     pub fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// Names the methods that the path has.
+    /// Sets the methods that the path supports.
     pub fn allow(mut self, methods: &'static str) -> Self {
         self.allow = Some(methods);
         self
     }
 
-    /// Adds a field to the error object.
+    /// Sets the additional field of the error object.
     pub fn detail(mut self, field: &'static str, value: serde_json::Value) -> Self {
         self.detail = Some(Box::new(ErrorDetail { field, value }));
         self
     }
 
-    /// The answer's JSON body, as sent alone or as an event of a stream.
+    /// Returns the JSON body, which is sent on its own or as an event of a stream.
     pub fn to_json(&self) -> serde_json::Value {
         let kind = if self.status.is_server_error() {
             "server_error"
@@ -144,7 +144,7 @@
         body
     }
 
-    /// The whole HTTP answer.
+    /// Returns the complete HTTP response.
     pub fn into_response(self) -> Response<MessageBody> {
         let mut response = Response::new(json_body(&self.to_json()));
         *response.status_mut() = self.status;
@@ -164,8 +164,8 @@
     }
 }
 
-/// `Retry-After` counts whole seconds; rounding down would invite a caller back
-/// too early, and zero would invite it at once.
+/// Rounds up to whole seconds, the unit of `Retry-After`. Rounded down, callers
+/// would retry too early; with zero, they would retry immediately.
 fn whole_seconds(wait: Duration) -> u64 {
     (wait.as_millis().div_ceil(1000) as u64).max(1)
 }
--- a/crates/http/src/event_splitter.rs
+++ b/crates/http/src/event_splitter.rs
@@ -2,40 +2,41 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// An event longer than this is no token; the engine's stream is broken.
-const LONGEST_EVENT: usize = 1024 * 1024;
+/// The maximum length of an event in bytes. A token is far shorter, so a longer
+/// event means that the engine's stream is broken.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Cuts a byte stream into whole events.
+/// Splits a byte stream into complete events.
 ///
-/// Only whole events are passed on to a caller. A stream that breaks within an
-/// event can then go on from another engine without a repeated or lost token.
+/// Callers receive only complete events. If a stream breaks within an event,
+/// another engine can then continue it without a repeated or lost token.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
     scanned: usize,
 }
 
-/// The stream held an event beyond the limit.
+/// The stream has an event that exceeds the length limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event of the stream is longer than {LONGEST_EVENT} bytes")]
+#[error("an event of the stream is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
 impl EventSplitter {
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         self.buffer.extend_from_slice(bytes);
-        if self.buffer.len() - self.scanned > LONGEST_EVENT {
+        if self.buffer.len() - self.scanned > MAX_EVENT_BYTES {
             return Err(EventTooLong);
         }
         Ok(())
     }
 
-    /// Whether no part of an event is left.
+    /// Returns whether no incomplete event is buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// The next whole event with its blank line, if one has arrived.
+    /// Returns the next complete event with its blank line, if one has arrived.
     pub fn next_event(&mut self) -> Option<Bytes> {
         let from = self.scanned.saturating_sub(3);
         let Some(end) = event_end(&self.buffer[from..]) else {
@@ -47,13 +48,13 @@
     }
 }
 
-/// Where the first event ends: after the first blank line.
+/// Returns the end of the first event, which is after the first blank line.
 fn event_end(bytes: &[u8]) -> Option<usize> {
-    let plain = find(bytes, b"\n\n").map(|it| it + 2);
-    let windows = find(bytes, b"\r\n\r\n").map(|it| it + 4);
-    match (plain, windows) {
-        (Some(plain), Some(windows)) => Some(plain.min(windows)),
-        (plain, windows) => plain.or(windows),
+    let lf = find(bytes, b"\n\n").map(|it| it + 2);
+    let crlf = find(bytes, b"\r\n\r\n").map(|it| it + 4);
+    match (lf, crlf) {
+        (Some(lf), Some(crlf)) => Some(lf.min(crlf)),
+        (lf, crlf) => lf.or(crlf),
     }
 }
 
@@ -61,7 +62,7 @@
     bytes.windows(wanted.len()).position(|it| it == wanted)
 }
 
-/// The data of an event's first data line.
+/// Returns the data of an event's first `data` line.
 pub fn event_data(event: &[u8]) -> Option<&[u8]> {
     let line = event
         .split(|&it| it == b'\n')
@@ -69,7 +70,7 @@
     Some(line[b"data:".len()..].trim_ascii())
 }
 
-/// The number in an event's id line, if it has one.
+/// Returns the number in an event's `id` line, if it has one.
 pub fn event_id(event: &[u8]) -> Option<u64> {
     let line = event
         .split(|&it| it == b'\n')
@@ -78,8 +79,8 @@
     text.parse().ok()
 }
 
-/// The data of all of an event's data lines, a line feed between two; nothing if
-/// it has none. One space after the colon belongs to the format.
+/// Returns the data of all `data` lines of an event, joined by line feeds, or
+/// `None` if there are none. One space after the colon is part of the format.
 pub fn event_text(event: &[u8]) -> Option<Vec<u8>> {
     let mut text: Option<Vec<u8>> = None;
     for line in event.split(|&it| it == b'\n') {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,10 +1,12 @@
-//! What every process shares of HTTP: server loop, client, bodies, error shape.
+//! The HTTP code that all processes share: server loop, client, bodies and
+//! error format.
 //!
 //! - [`serve`] accepts connections until its token is cancelled, then lets the
 //!   open ones finish.
-//! - [`HttpClient`] calls other servers and tells whether a byte was sent.
-//! - [`MessageBody`] is the one body type of both sides.
-//! - [`ErrorAnswer`] is the error shape of the callers' door.
+//! - [`HttpClient`] calls other servers and reports whether a failed request may
+//!   have been sent.
+//! - [`MessageBody`] is the body type that the client and the server share.
+//! - [`ErrorAnswer`] is the error format of the API for callers.
 
 mod body;
 mod client;
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -1,4 +1,4 @@
-//! The server loop.
+//! The HTTP server loop.
 
 use std::{convert::Infallible, future::Future, net::SocketAddr, time::Duration};
 
@@ -14,15 +14,16 @@
 
 use crate::MessageBody;
 
-/// Bounds on what one connection may cost.
+/// Limits on the resources that a connection may use.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeLimits {
-    /// How long a request's head may take to arrive. A client that sends it
-    /// byte by byte would otherwise hold a connection for ever.
+    /// How long the head of a request may take to arrive. Without a limit, a
+    /// client that sends it byte by byte would hold its connection forever.
     pub head_timeout: Duration,
-    /// The most bytes buffered of a connection, which bounds the head.
+    /// The maximum number of bytes buffered per connection, which also limits
+    /// the head of a request.
     pub buffer_bytes: usize,
-    /// How long open connections may take to finish after the stop.
+    /// How long open connections may take to finish after the server stops.
     pub drain_timeout: Duration,
 }
 
@@ -40,7 +41,7 @@
 pub async fn bind(address: SocketAddr) -> anyhow::Result<TcpListener> {
     TcpListener::bind(address)
         .await
-        .with_context(|| format!("can't listen on {address}"))
+        .with_context(|| format!("failed to listen on {address}"))
 }
 
 /// Serves connections until `stop` is cancelled, then lets the open ones finish
@@ -55,8 +56,9 @@
     F: Future<Output = Response<MessageBody>> + Send + 'static,
 {
     let graceful = GracefulShutdown::new();
-    // Whatever is still open when this function ends is cut. Otherwise a
-    // connection would outlive its server and wait for an answer for ever.
+    // Closes all connections that are still open when this function returns.
+    // Otherwise a connection would outlive its server, and its client would wait
+    // for an answer forever.
     let cut = CancellationToken::new();
     let _cut_at_end = cut.clone().drop_guard();
     loop {
@@ -65,12 +67,13 @@
             () = stop.cancelled() => break,
         };
         let Ok((stream, _)) = accepted else {
-            // Out of file descriptors, most likely: accepting again at once
-            // would spin a core while nothing can change.
+            // The process is most likely out of file descriptors. Accepting
+            // again immediately would only keep a core busy.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        // Tokens are small packets; waiting to fill them would delay each one.
+        // Tokens are small packets, and Nagle's algorithm would delay each of
+        // them.
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
         let service = service_fn(move |request| {
@@ -85,7 +88,7 @@
         let connection = graceful.watch(connection);
         let cut = cut.clone();
         tokio::spawn(async move {
-            // A client that vanishes is no event of ours.
+            // A client that disconnects isn't an error of this server.
             let _ = cut.run_until_cancelled_owned(connection).await;
         });
     }
