--- a/crates/peers/examples/peer_cost.rs
+++ b/crates/peers/examples/peer_cost.rs
@@ -1,4 +1,4 @@
-//! Measures bytes and processor time of messages between two daemons.
+//! Measures the bytes and the processor time of messages between two daemons.
 //!
 //! `cargo run --release -p comfreyramp-peers --example peer_cost`
 
@@ -9,7 +9,8 @@
 
 use anyhow::Context;
 use comfreyramp_peers::{
-    LinkTiming, LiveNotice, PeerAsk, PeerBeat, PeerHandler, PeerLink, SettingsAnswer, SettingsAsk,
+    LinkTiming, LiveNotice, PeerBeat, PeerHandler, PeerLink, PeerRequest, SettingsAnswer,
+    SettingsAsk,
 };
 use comfreyramp_policy::{
     Heartbeat, Incarnation, NoticeAck, ServerKey, SuspectNotice, ZoneId,
@@ -20,10 +21,10 @@
 };
 use tokio_util::sync::CancellationToken;
 
-const WITHIN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const ROUNDS: u32 = 20_000;
 
-/// Answers at once, so that only the way there and back is measured.
+/// Answers immediately, so that only the round trip is measured.
 #[derive(Clone)]
 struct Echo;
 
@@ -87,7 +88,7 @@
     }
 }
 
-/// Processor time of this process, all threads.
+/// Returns the processor time of all threads of this process.
 fn processor_time() -> anyhow::Result<Duration> {
     let mut total = 0;
     for task in std::fs::read_dir("/proc/self/task")? {
@@ -135,20 +136,26 @@
         unspent: 0,
     };
     let asks = [
-        ("heartbeat", PeerAsk::Beat(beat())),
-        ("tokens", PeerAsk::Rates(RateAsk::Tokens(token))),
+        ("heartbeat", PeerRequest::Beat(beat())),
+        ("tokens", PeerRequest::Rates(RateAsk::Tokens(token))),
         (
             "1 announcement",
-            PeerAsk::Announce(vec![LiveNotice {
+            PeerRequest::Announce(vec![LiveNotice {
                 server: ServerKey(u64::MAX / 3),
                 count: 1,
             }]),
         ),
-        ("1 slice", PeerAsk::Rates(RateAsk::Slices(vec![want; 1]))),
-        ("16 slices", PeerAsk::Rates(RateAsk::Slices(vec![want; 16]))),
+        (
+            "1 slice",
+            PeerRequest::Rates(RateAsk::Slices(vec![want; 1])),
+        ),
+        (
+            "16 slices",
+            PeerRequest::Rates(RateAsk::Slices(vec![want; 16])),
+        ),
         (
             "1 settlement",
-            PeerAsk::Rates(RateAsk::Settle(vec![settlement])),
+            PeerRequest::Rates(RateAsk::Settle(vec![settlement])),
         ),
     ];
     println!(
@@ -156,11 +163,11 @@
     );
     println!("|---|---|---|---|---|");
     for (name, ask) in asks {
-        asker.ask(address, ask.clone(), WITHIN).await?;
+        asker.ask(address, ask.clone(), TIMEOUT).await?;
         let (sent, received) = asker.traffic().totals();
         let (began, processor) = (Instant::now(), processor_time()?);
         for _ in 0..ROUNDS {
-            asker.ask(address, ask.clone(), WITHIN).await?;
+            asker.ask(address, ask.clone(), TIMEOUT).await?;
         }
         let rounds = f64::from(ROUNDS);
         let processor = processor_time()? - processor;
--- a/crates/peers/src/codec/announce.rs
+++ b/crates/peers/src/codec/announce.rs
@@ -1,4 +1,4 @@
-//! Announcements of live requests.
+//! Encodes and decodes announcements of live requests.
 
 use capnp::{primitive_list, struct_list};
 use comfreyramp_policy::ServerKey;
@@ -24,7 +24,7 @@
     notices.collect()
 }
 
-pub(crate) fn write_bulk(mut list: primitive_list::Builder<'_, u32>, bulk: &[u32]) {
+pub(crate) fn write_bulk_counts(mut list: primitive_list::Builder<'_, u32>, bulk: &[u32]) {
     for (index, count) in bulk.iter().enumerate() {
         list.set(index as u32, *count);
     }
--- a/crates/peers/src/codec/beat.rs
+++ b/crates/peers/src/codec/beat.rs
@@ -1,4 +1,4 @@
-//! What a daemon says of itself.
+//! Encodes and decodes heartbeats.
 
 use std::time::Duration;
 
--- a/crates/peers/src/codec/mod.rs
+++ b/crates/peers/src/codec/mod.rs
@@ -1,4 +1,4 @@
-//! Between the messages and their form on the wire.
+//! Converts messages to and from their Cap'n Proto form.
 
 mod announce;
 mod beat;
@@ -14,11 +14,11 @@
 };
 
 use crate::{
-    LiveNotice, PeerAnswer, PeerAsk, PeerBeat, PeerError, SettingsAsk,
+    LiveNotice, PeerAnswer, PeerBeat, PeerError, PeerRequest, SettingsAsk,
     generated::peers_capnp::session,
 };
 
-pub(crate) use announce::{read_notices, write_bulk};
+pub(crate) use announce::{read_notices, write_bulk_counts};
 pub(crate) use beat::{read_beat, write_beat};
 pub(crate) use rates::{
     read_returns, read_settlements, read_token_ask, read_wants, write_offers, write_token_answer,
@@ -26,24 +26,24 @@
 pub(crate) use settings::write_settings;
 pub(crate) use suspects::{read_notice, write_ack};
 
-/// Sends an ask over a session and waits for the answer.
+/// Sends a request over a session and waits for the answer.
 pub(crate) async fn call(
     session: &session::Client,
-    ask: &PeerAsk,
+    ask: &PeerRequest,
 ) -> Result<PeerAnswer, PeerError> {
     match ask {
-        PeerAsk::Beat(beat) => call_beat(session, beat).await.map(PeerAnswer::Beat),
-        PeerAsk::Rates(ask) => call_rates(session, ask).await.map(PeerAnswer::Rates),
-        PeerAsk::Settings(ask) => call_settings(session, ask).await,
-        PeerAsk::Suspects(notice) => call_suspects(session, notice).await,
-        PeerAsk::Announce(notices) => call_announce(session, notices).await,
+        PeerRequest::Beat(beat) => call_beat(session, beat).await.map(PeerAnswer::Beat),
+        PeerRequest::Rates(ask) => call_rates(session, ask).await.map(PeerAnswer::Rates),
+        PeerRequest::Settings(ask) => call_settings(session, ask).await,
+        PeerRequest::Suspects(notice) => call_suspects(session, notice).await,
+        PeerRequest::Announce(notices) => call_announce(session, notices).await,
     }
 }
 
 async fn call_beat(session: &session::Client, beat: &PeerBeat) -> Result<PeerBeat, PeerError> {
     let mut request = session.beat_request();
     write_beat(request.get().init_beat(), beat);
-    let answer = request.send().promise.await.map_err(lost)?;
+    let answer = request.send().promise.await.map_err(call_error)?;
     read_beat(
         answer
             .get()
@@ -58,7 +58,7 @@
         RateAsk::Tokens(ask) => {
             let mut request = session.tokens_request();
             rates::write_token_ask(request.get().init_ask(), ask);
-            let answer = request.send().promise.await.map_err(lost)?;
+            let answer = request.send().promise.await.map_err(call_error)?;
             let answer = answer.get().and_then(|it| it.get_answer());
             let answer = answer
                 .and_then(rates::read_token_answer)
@@ -68,7 +68,7 @@
         RateAsk::Slices(wants) => {
             let mut request = session.slices_request();
             rates::write_wants(request.get().init_wants(wants.len() as u32), wants);
-            let answer = request.send().promise.await.map_err(lost)?;
+            let answer = request.send().promise.await.map_err(call_error)?;
             let offers = answer
                 .get()
                 .and_then(|it| it.get_offers())
@@ -78,14 +78,14 @@
         RateAsk::Return(returns) => {
             let mut request = session.give_back_request();
             rates::write_returns(request.get().init_returns(returns.len() as u32), returns);
-            request.send().promise.await.map_err(lost)?;
+            request.send().promise.await.map_err(call_error)?;
             Ok(RateAnswer::Done)
         }
         RateAsk::Settle(settlements) => {
             let mut request = session.settle_request();
             let list = request.get().init_settlements(settlements.len() as u32);
             rates::write_settlements(list, settlements);
-            request.send().promise.await.map_err(lost)?;
+            request.send().promise.await.map_err(call_error)?;
             Ok(RateAnswer::Done)
         }
     }
@@ -99,7 +99,7 @@
     request.get().set_known(ask.known);
     let hold = u32::try_from(ask.hold.as_millis()).unwrap_or(u32::MAX);
     request.get().set_hold_millis(hold);
-    let answer = request.send().promise.await.map_err(lost)?;
+    let answer = request.send().promise.await.map_err(call_error)?;
     let view = answer
         .get()
         .and_then(|it| it.get_view())
@@ -115,7 +115,7 @@
     let mut request = session.suspects_request();
     let list = request.get().init_facts(notice.facts.len() as u32);
     suspects::write_facts(list, &notice.facts);
-    let answer = request.send().promise.await.map_err(lost)?;
+    let answer = request.send().promise.await.map_err(call_error)?;
     let ack = answer
         .get()
         .and_then(|it| it.get_ack())
@@ -132,7 +132,7 @@
     let mut request = session.announce_request();
     let list = request.get().init_notices(notices.len() as u32);
     announce::write_notices(list, notices);
-    let answer = request.send().promise.await.map_err(lost)?;
+    let answer = request.send().promise.await.map_err(call_error)?;
     let bulk = answer
         .get()
         .and_then(|it| it.get_bulk())
@@ -140,21 +140,21 @@
     Ok(PeerAnswer::Announced(bulk.iter().collect()))
 }
 
-#[expect(clippy::needless_pass_by_value, reason = "it maps errors")]
-fn lost(error: capnp::Error) -> PeerError {
+#[expect(clippy::needless_pass_by_value, reason = "used with map_err")]
+fn call_error(error: capnp::Error) -> PeerError {
     match error.kind {
         capnp::ErrorKind::Disconnected => PeerError::AnswerLost(error.to_string()),
         _ => PeerError::Malformed(error.to_string()),
     }
 }
 
-#[expect(clippy::needless_pass_by_value, reason = "it maps errors")]
+#[expect(clippy::needless_pass_by_value, reason = "used with map_err")]
 fn malformed(error: capnp::Error) -> PeerError {
     PeerError::Malformed(error.to_string())
 }
 
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
 fn text(reader: capnp::text::Reader<'_>) -> Result<String, capnp::Error> {
--- a/crates/peers/src/codec/rates.rs
+++ b/crates/peers/src/codec/rates.rs
@@ -1,4 +1,4 @@
-//! Tokens and slices.
+//! Encodes and decodes requests for tokens and slices, and their answers.
 
 use std::time::Duration;
 
@@ -33,7 +33,8 @@
     }
 }
 
-/// Writes the answer to an ask for tokens; another kind is the handler's fault.
+/// Writes the answer to a request for tokens. Returns an error if the handler
+/// returned an answer of another kind.
 pub(crate) fn write_token_answer(
     mut builder: token_answer::Builder<'_>,
     answer: &RateAnswer,
@@ -107,7 +108,8 @@
     wants.collect()
 }
 
-/// Writes the answer to an ask for slices; another kind is the handler's fault.
+/// Writes the answer to a request for slices. Returns an error if the handler
+/// returned an answer of another kind.
 pub(crate) fn write_offers(
     results: session::slices_results::Builder<'_>,
     answer: &RateAnswer,
@@ -193,5 +195,5 @@
 }
 
 fn wrong_kind() -> capnp::Error {
-    capnp::Error::failed("the handler gave an answer of another kind".to_owned())
+    capnp::Error::failed("the handler returned an answer of the wrong kind".to_owned())
 }
--- a/crates/peers/src/codec/settings.rs
+++ b/crates/peers/src/codec/settings.rs
@@ -1,4 +1,4 @@
-//! The settings, as they are passed on.
+//! Encodes and decodes the settings that daemons forward to each other.
 
 use std::time::Duration;
 
--- a/crates/peers/src/codec/suspects.rs
+++ b/crates/peers/src/codec/suspects.rs
@@ -1,4 +1,4 @@
-//! Suspects and blocked fingerprints.
+//! Encodes and decodes suspects and blocked fingerprints.
 
 use std::time::Duration;
 
--- a/crates/peers/src/connection_pool.rs
+++ b/crates/peers/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections that this daemon opened.
+//! The pool of connections that this daemon opened to its peers.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,31 +15,32 @@
 use tokio_util::{compat::TokioAsyncReadCompatExt, sync::CancellationToken};
 
 use crate::{
-    PeerAnswer, PeerAsk, PeerError, PeerHandler, codec,
+    PeerAnswer, PeerError, PeerHandler, PeerRequest, codec,
     generated::peers_capnp::{door, session},
     link_thread::LinkContext,
     metered_stream::MeteredStream,
 };
 
-/// Asks in a row without an answer in time after which a connection is given up.
-const MAX_LATE: u8 = 4;
+/// The number of consecutive timed-out requests after which a connection is
+/// closed.
+const MAX_CONSECUTIVE_TIMEOUTS: u8 = 4;
 
 type OpenSession = Shared<LocalBoxFuture<'static, Result<session::Client, PeerError>>>;
 
-/// A connection to one daemon, open or being opened.
+/// A connection to a daemon that is open or being opened.
 struct PeerConnection {
     address: SocketAddr,
     session: OpenSession,
-    used: Cell<Instant>,
-    /// Asks that wait for an answer.
-    waiting: Cell<u32>,
-    /// Asks in a row without an answer in time.
-    late: Cell<u8>,
-    /// Closes the connection; cancelled as well once it is found broken.
+    last_used: Cell<Instant>,
+    /// The number of requests that wait for an answer.
+    pending: Cell<u32>,
+    /// The number of consecutive requests that timed out.
+    timeouts: Cell<u8>,
+    /// Cancelled to close the connection, and also when the connection breaks.
     close: CancellationToken,
 }
 
-/// The connections that this daemon opened, by address.
+/// The connections that this daemon opened, sorted by address.
 pub(crate) struct ConnectionPool<H> {
     context: Rc<LinkContext<H>>,
     connections: RefCell<Vec<Rc<PeerConnection>>>,
@@ -53,13 +54,17 @@
         }
     }
 
-    /// Asks a daemon, over a connection that is there or a new one.
-    pub(crate) async fn ask(&self, to: SocketAddr, ask: &PeerAsk) -> Result<PeerAnswer, PeerError> {
+    /// Sends a request to a daemon over an existing or a new connection.
+    pub(crate) async fn send(
+        &self,
+        to: SocketAddr,
+        request: &PeerRequest,
+    ) -> Result<PeerAnswer, PeerError> {
         let connection = self.connection(to);
-        let _waiting = WaitingAsk::new(&connection);
+        let _pending = PendingRequest::new(&connection);
         let session = connection.session.clone().await?;
-        let answer = codec::call(&session, ask).await;
-        connection.late.set(0);
+        let answer = codec::call(&session, request).await;
+        connection.timeouts.set(0);
         if let Err(PeerError::AnswerLost(_)) = &answer {
             connection.close.cancel();
         }
@@ -69,30 +74,35 @@
         answer
     }
 
-    /// Notes that an ask got no answer in time.
+    /// Records that a request timed out, and closes its connection after
+    /// [`MAX_CONSECUTIVE_TIMEOUTS`] such requests in a row.
     ///
-    /// A VM that was lost doesn't close its connections, and asks would vanish
-    /// in this one long after the daemon runs again at the same address.
-    pub(crate) fn note_late(&self, to: SocketAddr) {
+    /// A VM that was lost doesn't close its connections. Requests sent over
+    /// such a connection would be lost even long after the daemon runs again
+    /// at the same address.
+    pub(crate) fn record_timeout(&self, to: SocketAddr) {
         let connections = self.connections.borrow();
         let found = connections.binary_search_by_key(&to, |connection| connection.address);
         let Ok(position) = found else {
             return;
         };
         let connection = &connections[position];
-        connection.late.set(connection.late.get().saturating_add(1));
-        if connection.late.get() >= MAX_LATE {
+        connection
+            .timeouts
+            .set(connection.timeouts.get().saturating_add(1));
+        if connection.timeouts.get() >= MAX_CONSECUTIVE_TIMEOUTS {
             connection.close.cancel();
         }
     }
 
-    /// Closes the connections that weren't used for long.
+    /// Closes connections that have been idle for too long.
     pub(crate) fn close_idle(&self) {
         let idle = self.context.timing.idle;
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| {
-            let used = connection.waiting.get() > 0 || connection.used.get().elapsed() < idle;
-            let keep = used && !connection.close.is_cancelled();
+            let in_use =
+                connection.pending.get() > 0 || connection.last_used.get().elapsed() < idle;
+            let keep = in_use && !connection.close.is_cancelled();
             if !keep {
                 connection.close.cancel();
             }
@@ -100,7 +110,7 @@
         });
     }
 
-    /// The connection to a daemon. One that broke is replaced.
+    /// Returns the connection to a daemon, after replacing it if it broke.
     fn connection(&self, to: SocketAddr) -> Rc<PeerConnection> {
         let mut connections = self.connections.borrow_mut();
         match connections.binary_search_by_key(&to, |connection| connection.address) {
@@ -123,13 +133,13 @@
         let connection = Rc::new(PeerConnection {
             address: to,
             session: opening.boxed_local().shared(),
-            used: Cell::new(Instant::now()),
-            waiting: Cell::new(0),
-            late: Cell::new(0),
+            last_used: Cell::new(Instant::now()),
+            pending: Cell::new(0),
+            timeouts: Cell::new(0),
             close,
         });
-        // Opening goes on when the ask that wanted it has given up, so that its
-        // end, good or bad, is known to the next one.
+        // Opening continues even if the request that started it has timed out,
+        // so that the next request finds the outcome, success or failure.
         let (session, close) = (connection.session.clone(), connection.close.clone());
         spawn_local(async move {
             if session.await.is_err() {
@@ -140,20 +150,20 @@
     }
 }
 
-/// Counts an ask for as long as it waits.
-struct WaitingAsk<'a>(&'a PeerConnection);
+/// Counts a request in its connection's `pending` until dropped.
+struct PendingRequest<'a>(&'a PeerConnection);
 
-impl<'a> WaitingAsk<'a> {
+impl<'a> PendingRequest<'a> {
     fn new(connection: &'a PeerConnection) -> Self {
-        connection.waiting.set(connection.waiting.get() + 1);
-        WaitingAsk(connection)
+        connection.pending.set(connection.pending.get() + 1);
+        PendingRequest(connection)
     }
 }
 
-impl Drop for WaitingAsk<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.0.waiting.set(self.0.waiting.get() - 1);
-        self.0.used.set(Instant::now());
+        self.0.pending.set(self.0.pending.get() - 1);
+        self.0.last_used.set(Instant::now());
     }
 }
 
@@ -167,7 +177,7 @@
     match tokio::time::timeout(limit, opening).await {
         Ok(opened) => opened,
         Err(_) => Err(PeerError::Unreachable(format!(
-            "no connection in {limit:?}"
+            "no connection within {limit:?}"
         ))),
     }
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,10 +1,10 @@
-//! What daemons say to each other, over Cap'n Proto RPC.
+//! Messages between daemons over Cap'n Proto RPC.
 //!
-//! [`PeerLink`] asks other daemons and may be used from any thread. The RPC
-//! system isn't `Send`, so it lives on one thread of its own, together with the
-//! door through which other daemons call; what comes in goes to a
-//! [`PeerHandler`]. Connections open when they are first needed and close when
-//! they have been idle. See `docs/PEERS.md`.
+//! [`PeerLink`] sends requests to other daemons and can be used from any thread.
+//! The RPC system isn't `Send`, so it runs on a thread of its own, together with
+//! the server for incoming connections, which passes each request to a
+//! [`PeerHandler`]. Connections are opened on first use and closed when idle. See
+//! `docs/PEERS.md`.
 
 mod codec;
 mod connection_pool;
@@ -12,13 +12,13 @@
 mod link_thread;
 mod messages;
 mod metered_stream;
-mod peer_door;
 mod peer_error;
 mod peer_handler;
 mod peer_link;
+mod peer_server;
 
 pub use messages::{
-    LiveNotice, PeerAnswer, PeerAsk, PeerBeat, SettingsAnswer, SettingsAsk, SettingsPair,
+    LiveNotice, PeerAnswer, PeerBeat, PeerRequest, SettingsAnswer, SettingsAsk, SettingsPair,
 };
 pub use metered_stream::PeerTraffic;
 pub use peer_error::PeerError;
--- a/crates/peers/src/link_thread.rs
+++ b/crates/peers/src/link_thread.rs
@@ -1,4 +1,4 @@
-//! The thread on which the RPC system lives.
+//! The thread that runs the RPC system.
 
 use std::{net::TcpListener, rc::Rc, sync::Arc, time::Duration};
 
@@ -10,14 +10,14 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    LinkTiming, PeerError, PeerHandler, PeerTraffic, connection_pool::ConnectionPool, peer_door,
-    peer_link::LinkJob,
+    LinkTiming, PeerError, PeerHandler, PeerTraffic, connection_pool::ConnectionPool,
+    peer_link::QueuedRequest, peer_server,
 };
 
-/// How often idle connections are looked for.
-const SWEEP: Duration = Duration::from_secs(5);
+/// How often idle connections are closed.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What all parts of the link's thread need.
+/// The state that all tasks of the link's thread share.
 pub(crate) struct LinkContext<H> {
     pub(crate) handler: H,
     pub(crate) timing: LinkTiming,
@@ -25,53 +25,54 @@
     pub(crate) stop: CancellationToken,
 }
 
-/// Runs the link until it is told to stop, or nobody holds it any more.
+/// Runs the link until it is stopped or every [`PeerLink`](crate::PeerLink) is
+/// dropped.
 pub(crate) fn run<H: PeerHandler>(
     runtime: &Runtime,
     listener: TcpListener,
-    jobs: mpsc::Receiver<LinkJob>,
+    requests: mpsc::Receiver<QueuedRequest>,
     context: LinkContext<H>,
 ) {
     let local = LocalSet::new();
     let context = Rc::new(context);
-    runtime.block_on(local.run_until(serve(listener, jobs, context)));
+    runtime.block_on(local.run_until(serve(listener, requests, context)));
 }
 
 async fn serve<H: PeerHandler>(
     listener: TcpListener,
-    mut jobs: mpsc::Receiver<LinkJob>,
+    mut requests: mpsc::Receiver<QueuedRequest>,
     context: Rc<LinkContext<H>>,
 ) {
     match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => {
-            spawn_local(peer_door::accept(listener, context.clone()));
+            spawn_local(peer_server::accept(listener, context.clone()));
         }
-        Err(error) => log::error!("peers: can't listen: {error}"),
+        Err(error) => log::error!("peers: failed to listen: {error}"),
     }
     let pool = Rc::new(ConnectionPool::new(context.clone()));
-    let mut sweep = tokio::time::interval(SWEEP.min(context.timing.idle));
+    let mut idle_check = tokio::time::interval(IDLE_CHECK_INTERVAL.min(context.timing.idle));
     loop {
         tokio::select! {
             () = context.stop.cancelled() => return,
-            _ = sweep.tick() => pool.close_idle(),
-            job = jobs.recv() => match job {
-                Some(job) => drop(spawn_local(ask(pool.clone(), job))),
+            _ = idle_check.tick() => pool.close_idle(),
+            queued = requests.recv() => match queued {
+                Some(queued) => drop(spawn_local(process(pool.clone(), queued))),
                 None => return,
             },
         }
     }
 }
 
-async fn ask<H: PeerHandler>(pool: Rc<ConnectionPool<H>>, mut job: LinkJob) {
-    let call = pool.ask(job.to, &job.ask);
+async fn process<H: PeerHandler>(pool: Rc<ConnectionPool<H>>, mut queued: QueuedRequest) {
+    let call = pool.send(queued.to, &queued.request);
     let answer = tokio::select! {
-        () = job.reply.closed() => return,
-        answer = tokio::time::timeout(job.within, call) => answer,
+        () = queued.reply.closed() => return,
+        answer = tokio::time::timeout(queued.timeout, call) => answer,
     };
     let answer = answer.unwrap_or_else(|_| {
-        pool.note_late(job.to);
+        pool.record_timeout(queued.to);
         Err(PeerError::Late)
     });
-    // Whoever asked may have gone meanwhile; then nobody wants the answer.
-    let _ = job.reply.send(answer);
+    // Sending fails if the caller no longer waits for the answer.
+    let _ = queued.reply.send(answer);
 }
--- a/crates/peers/src/messages.rs
+++ b/crates/peers/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages as the rest of the daemon sees them.
+//! The messages between daemons, independent of their encoding.
 
 use std::time::Duration;
 
@@ -7,90 +7,91 @@
     rates::{RateAnswer, RateAsk},
 };
 
-/// What a daemon says of itself, when it connects, now and then, and when it
-/// leaves. The answer says the same of the other side.
+/// A heartbeat: the state that a daemon reports when it connects, at intervals,
+/// and when it stops. The answer is the heartbeat of the other daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerBeat {
-    /// Who it is, and whether it is about to stop.
+    /// The daemon's identity, and whether it is about to stop.
     pub member: Heartbeat,
-    /// The revision of the settings that it has in force.
+    /// The revision of the settings that the daemon has in force.
     pub settings_revision: i64,
-    /// The revision of its zone's roster that it acts by.
+    /// The revision of the zone's roster that the daemon uses.
     pub roster_revision: i64,
-    /// How long ago both were last known to be current.
+    /// The time since both revisions were last known to be current.
     pub view_age: Duration,
 }
 
-/// Asks a daemon for its view of the settings.
+/// A request for a daemon's view of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SettingsAsk {
-    /// The revision that the asker has; 0 for none.
+    /// The revision that the requesting daemon has; 0 if it has none.
     pub known: i64,
-    /// How long the answer may be held back while there is nothing newer.
+    /// How long the peer may delay the answer while it has nothing newer.
     pub hold: Duration,
 }
 
 /// A daemon's view of the settings, or the changes that lead to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsAnswer {
-    /// What it says of the view.
+    /// The revisions and the age of the view.
     pub offer: ViewOffer,
-    /// The pairs written since.
+    /// The pairs written since the base revision of `offer`.
     pub written: Vec<SettingsPair>,
-    /// The keys deleted since.
+    /// The keys deleted since the base revision of `offer`.
     pub deleted: Vec<String>,
 }
 
-/// A pair of the platform's store, as it is passed on.
+/// A key-value pair of the platform's store, as daemons forward it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettingsPair {
     /// The key.
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The revision at which it was last written.
+    /// The revision at which the pair was last written.
     pub modified: i64,
-    /// The revision at which it was created.
+    /// The revision at which the pair was created.
     pub created: i64,
-    /// How often it was written since.
+    /// The number of times the pair was written since it was created.
     pub version: i64,
 }
 
-/// Live requests on their way to a server.
+/// Announces live requests that are about to reach a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LiveNotice {
-    /// The server.
+    /// The backend server.
     pub server: ServerKey,
-    /// How many.
+    /// The number of live requests.
     pub count: u32,
 }
 
-/// A message to another daemon.
+/// A request to another daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PeerAsk {
-    /// How things are. With `leaving` set, a notice that the sender stops.
+pub enum PeerRequest {
+    /// A heartbeat. If `leaving` is set, the sender is about to stop.
     Beat(PeerBeat),
-    /// Tokens and slices.
+    /// A message about tokens and slices of customers' rates.
     Rates(RateAsk),
     /// The settings.
     Settings(SettingsAsk),
-    /// Suspects, and fingerprints that are blocked.
+    /// Suspects and blocked fingerprints.
     Suspects(SuspectNotice),
-    /// Live requests on their way to servers whose home the other side is.
+    /// Live requests that are about to reach servers whose home is the peer.
     Announce(Vec<LiveNotice>),
 }
 
-/// The answer to a [`PeerAsk`], of the same kind.
+/// The answer to a [`PeerRequest`], of the same kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerAnswer {
-    /// How things are with the other side.
+    /// The heartbeat of the peer.
     Beat(PeerBeat),
-    /// Tokens and slices.
+    /// A message about tokens and slices of customers' rates.
     Rates(RateAnswer),
-    /// The settings; nothing if the other side has none yet.
+    /// The settings, or `None` if the peer has none yet.
     Settings(Option<SettingsAnswer>),
-    /// What the other side makes of the suspects.
+    /// The acknowledgement of a notice of suspects.
     Suspects(NoticeAck),
-    /// The bulk requests on each of the announced servers, in their order.
+    /// The number of bulk requests on each announced server, in the order of the
+    /// announcement.
     Announced(Vec<u32>),
 }
--- a/crates/peers/src/metered_stream.rs
+++ b/crates/peers/src/metered_stream.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of peer connections.
+//! A stream wrapper that counts the bytes of peer connections.
 
 use std::{
     io,
@@ -9,10 +9,10 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that went over all peer connections, without TCP's own headers.
+/// The bytes of all peer connections, without TCP headers.
 ///
-/// The budget of a daemon's control traffic is a few kilobytes a second, so it
-/// has to be seen.
+/// They are counted because the control traffic of a daemon has a budget of only
+/// a few kilobytes per second.
 #[derive(Debug, Default)]
 pub struct PeerTraffic {
     /// Bytes sent.
@@ -22,14 +22,14 @@
 }
 
 impl PeerTraffic {
-    /// Bytes sent and received so far.
+    /// Returns the bytes sent and received so far.
     pub fn totals(&self) -> (u64, u64) {
         let sent = self.sent.load(Ordering::Relaxed);
         (sent, self.received.load(Ordering::Relaxed))
     }
 }
 
-/// A stream whose bytes are counted.
+/// A stream that counts its bytes in `traffic`.
 pub(crate) struct MeteredStream<S> {
     pub(crate) stream: S,
     pub(crate) traffic: std::sync::Arc<PeerTraffic>,
--- a/crates/peers/src/peer_error.rs
+++ b/crates/peers/src/peer_error.rs
@@ -1,22 +1,23 @@
-//! Why a peer gave no answer.
+//! The errors of requests to peers.
 
-/// Why a peer gave no answer.
+/// The reason why a request to a peer got no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
-    /// No connection could be opened: the peer has certainly not heard.
+    /// No connection could be opened, so the peer didn't receive the request.
     #[error("the peer can't be reached: {0}")]
     Unreachable(String),
-    /// The ask was sent, and the connection broke: the peer may have heard.
-    #[error("the peer's answer is lost: {0}")]
+    /// The connection broke after the request was sent; the peer may have
+    /// received it.
+    #[error("the peer's answer was lost: {0}")]
     AnswerLost(String),
-    /// Nothing came in time; the peer may have heard.
-    #[error("the peer gave no answer in time")]
+    /// No answer arrived in time; the peer may have received the request.
+    #[error("the peer did not answer in time")]
     Late,
-    /// The peer's answer can't be read.
+    /// The peer's answer can't be decoded.
     #[error("the peer's answer is malformed: {0}")]
     Malformed(String),
-    /// This daemon has too many asks under way. Nothing was sent.
-    #[error("too many asks are under way")]
+    /// This daemon has too many pending requests. Nothing was sent.
+    #[error("too many pending requests")]
     Busy,
     /// The link has stopped. Nothing was sent.
     #[error("the link has stopped")]
--- a/crates/peers/src/peer_handler.rs
+++ b/crates/peers/src/peer_handler.rs
@@ -1,4 +1,4 @@
-//! What happens with messages from other daemons.
+//! The handler of requests from other daemons.
 
 use std::future::Future;
 
@@ -9,27 +9,28 @@
 
 use crate::{LiveNotice, PeerBeat, SettingsAnswer, SettingsAsk};
 
-/// Answers messages from other daemons.
+/// Answers requests from other daemons.
 ///
-/// All calls come on the link's thread, so none may block. `from` is what the
-/// peer last said of itself on the connection.
+/// All methods are called on the link's thread, so none may block. `from` is the
+/// last heartbeat that the peer sent on the connection.
 pub trait PeerHandler: Clone + Send + 'static {
-    /// What this daemon says of itself.
+    /// Returns the heartbeat of this daemon.
     fn own_beat(&self) -> PeerBeat;
 
-    /// Takes in what a peer said of itself, in an ask or an answer.
+    /// Processes a peer's heartbeat, which came in a request or an answer.
     fn take_beat(&self, beat: &PeerBeat);
 
-    /// Answers an ask about rates.
+    /// Answers a request about rates.
     fn rates(&self, from: &PeerBeat, ask: &RateAsk) -> RateAnswer;
 
-    /// Answers an ask for the settings, with nothing while there are none.
+    /// Answers a request for the settings, with `None` while there are none.
     fn settings(&self, ask: SettingsAsk) -> impl Future<Output = Option<SettingsAnswer>> + Send;
 
-    /// Takes in a notice of suspects.
+    /// Processes a notice of suspects.
     fn suspects(&self, from: &PeerBeat, notice: SuspectNotice) -> NoticeAck;
 
-    /// Makes room for live requests that a peer sends to servers whose home
-    /// this daemon is, and tells the bulk requests left on each.
+    /// Preempts bulk requests in favour of live requests that a peer sends to
+    /// servers whose home is this daemon. Returns the number of bulk requests
+    /// left on each server, in the order of `notices`.
     fn announce(&self, notices: &[LiveNotice]) -> Vec<u32>;
 }
--- a/crates/peers/src/peer_link.rs
+++ b/crates/peers/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! The way to the other daemons, from any thread.
+//! The client for requests to other daemons.
 
 use std::{
     io,
@@ -16,23 +16,26 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    LiveNotice, PeerAnswer, PeerAsk, PeerBeat, PeerError, PeerHandler, PeerTraffic, SettingsAnswer,
-    SettingsAsk,
+    LiveNotice, PeerAnswer, PeerBeat, PeerError, PeerHandler, PeerRequest, PeerTraffic,
+    SettingsAnswer, SettingsAsk,
     link_thread::{self, LinkContext},
 };
 
-/// Asks that may wait for the link's thread before new ones are turned away.
-const WAITING_ASKS: usize = 4_096;
+/// The number of requests that may wait for the link's thread before new ones
+/// are rejected.
+const MAX_QUEUED_REQUESTS: usize = 4_096;
 
-/// How long connections may take to open and stay without use.
+/// How long connections may take to open and may stay idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkTiming {
-    /// How long opening a connection may take.
+    /// The time limit for opening a connection.
     pub connect: Duration,
-    /// After so long without an ask, this daemon closes a connection it opened.
+    /// This daemon closes a connection that it opened after this long without a
+    /// request.
     pub idle: Duration,
-    /// After so long without an ask, this daemon closes a connection that
-    /// another opened: that one is gone or it would have closed it.
+    /// This daemon closes a connection that a peer opened after this long
+    /// without a request. The peer would have closed it earlier, so the peer is
+    /// gone.
     pub silent: Duration,
 }
 
@@ -46,24 +49,24 @@
     }
 }
 
-/// An ask on its way to the link's thread.
-pub(crate) struct LinkJob {
+/// A request that was queued for the link's thread.
+pub(crate) struct QueuedRequest {
     pub(crate) to: SocketAddr,
-    pub(crate) ask: PeerAsk,
-    pub(crate) within: Duration,
+    pub(crate) request: PeerRequest,
+    pub(crate) timeout: Duration,
     pub(crate) reply: oneshot::Sender<Result<PeerAnswer, PeerError>>,
 }
 
-/// The way to the other daemons, from any thread.
+/// A handle for requests to other daemons, which can be used from any thread.
 #[derive(Clone, Debug)]
 pub struct PeerLink {
-    jobs: mpsc::Sender<LinkJob>,
+    requests: mpsc::Sender<QueuedRequest>,
     traffic: Arc<PeerTraffic>,
 }
 
 impl PeerLink {
-    /// Starts the link's thread, which answers at `listener` and ends once
-    /// `stop` is cancelled.
+    /// Starts the link's thread, which accepts connections at `listener` and
+    /// ends when `stop` is cancelled.
     pub fn start<H: PeerHandler>(
         listener: TcpListener,
         handler: H,
@@ -74,7 +77,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        let (jobs, waiting) = mpsc::channel(WAITING_ASKS);
+        let (requests, queue) = mpsc::channel(MAX_QUEUED_REQUESTS);
         let traffic = Arc::new(PeerTraffic::default());
         let context = LinkContext {
             handler,
@@ -84,97 +87,103 @@
         };
         let thread = std::thread::Builder::new()
             .name("peers".to_owned())
-            .spawn(move || link_thread::run(&runtime, listener, waiting, context))?;
-        Ok((PeerLink { jobs, traffic }, thread))
+            .spawn(move || link_thread::run(&runtime, listener, queue, context))?;
+        Ok((PeerLink { requests, traffic }, thread))
     }
 
-    /// The bytes that went over all connections.
+    /// Returns the byte counters of all connections.
     pub fn traffic(&self) -> &PeerTraffic {
         &self.traffic
     }
 
-    /// Asks a daemon and waits for its answer, no longer than `within`.
+    /// Sends a request to a daemon and waits for its answer for at most
+    /// `timeout`.
     pub async fn ask(
         &self,
         to: SocketAddr,
-        ask: PeerAsk,
-        within: Duration,
+        request: PeerRequest,
+        timeout: Duration,
     ) -> Result<PeerAnswer, PeerError> {
         let (reply, answer) = oneshot::channel();
-        let job = LinkJob {
+        let queued = QueuedRequest {
             to,
-            ask,
-            within,
+            request,
+            timeout,
             reply,
         };
-        self.jobs.try_send(job).map_err(|error| match error {
-            mpsc::error::TrySendError::Full(_) => PeerError::Busy,
-            mpsc::error::TrySendError::Closed(_) => PeerError::Stopped,
-        })?;
+        self.requests
+            .try_send(queued)
+            .map_err(|error| match error {
+                mpsc::error::TrySendError::Full(_) => PeerError::Busy,
+                mpsc::error::TrySendError::Closed(_) => PeerError::Stopped,
+            })?;
         answer.await.unwrap_or(Err(PeerError::Stopped))
     }
 
-    /// Tells a daemon how things are and hears the same of it.
+    /// Sends a heartbeat to a daemon and returns the daemon's own.
     pub async fn beat(
         &self,
         to: SocketAddr,
         beat: PeerBeat,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<PeerBeat, PeerError> {
-        match self.ask(to, PeerAsk::Beat(beat), within).await? {
+        match self.ask(to, PeerRequest::Beat(beat), timeout).await? {
             PeerAnswer::Beat(beat) => Ok(beat),
             _ => Err(wrong_kind()),
         }
     }
 
-    /// Asks a daemon about rates.
+    /// Sends a message about rates to a daemon.
     pub async fn rates(
         &self,
         to: SocketAddr,
         ask: RateAsk,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<RateAnswer, PeerError> {
-        match self.ask(to, PeerAsk::Rates(ask), within).await? {
+        match self.ask(to, PeerRequest::Rates(ask), timeout).await? {
             PeerAnswer::Rates(answer) => Ok(answer),
             _ => Err(wrong_kind()),
         }
     }
 
-    /// Asks a daemon for its settings.
+    /// Requests a daemon's settings; returns `None` if it has none yet.
     pub async fn settings(
         &self,
         to: SocketAddr,
         ask: SettingsAsk,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Option<SettingsAnswer>, PeerError> {
-        match self.ask(to, PeerAsk::Settings(ask), within).await? {
+        match self.ask(to, PeerRequest::Settings(ask), timeout).await? {
             PeerAnswer::Settings(answer) => Ok(answer),
             _ => Err(wrong_kind()),
         }
     }
 
-    /// Tells a daemon of suspects.
+    /// Sends a notice of suspects to a daemon.
     pub async fn suspects(
         &self,
         to: SocketAddr,
         notice: SuspectNotice,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<NoticeAck, PeerError> {
-        match self.ask(to, PeerAsk::Suspects(notice), within).await? {
+        match self.ask(to, PeerRequest::Suspects(notice), timeout).await? {
             PeerAnswer::Suspects(ack) => Ok(ack),
             _ => Err(wrong_kind()),
         }
     }
 
-    /// Announces live requests to the home of their servers, and hears how many
-    /// bulk requests each of these servers has.
+    /// Announces live requests to the home of their servers. Returns the number
+    /// of bulk requests on each of these servers, in the order of `notices`.
     pub async fn announce(
         &self,
         to: SocketAddr,
         notices: Vec<LiveNotice>,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Vec<u32>, PeerError> {
-        match self.ask(to, PeerAsk::Announce(notices), within).await? {
+        match self
+            .ask(to, PeerRequest::Announce(notices), timeout)
+            .await?
+        {
             PeerAnswer::Announced(bulk) => Ok(bulk),
             _ => Err(wrong_kind()),
         }
@@ -182,5 +191,5 @@
 }
 
 fn wrong_kind() -> PeerError {
-    PeerError::Malformed("an answer of another kind".to_owned())
+    PeerError::Malformed("an answer of the wrong kind".to_owned())
 }
--- a/crates/peers/src/peer_door.rs
+++ b/crates/peers/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! The door through which other daemons call.
+//! The RPC server for connections that other daemons open.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,9 +23,9 @@
     metered_stream::MeteredStream,
 };
 
-/// The pause after an error of the listener, which is mostly a lack of file
-/// descriptors that passes.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// The delay after the listener failed to accept a connection. The usual cause
+/// is a temporary shortage of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Accepts connections until the link stops.
 pub(crate) async fn accept<H: PeerHandler>(listener: TcpListener, context: Rc<LinkContext<H>>) {
@@ -37,8 +37,8 @@
         match accepted {
             Ok((stream, _)) => drop(spawn_local(serve(stream, context.clone()))),
             Err(error) => {
-                log::warn!("peers: can't accept: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!("peers: failed to accept a connection: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -46,7 +46,7 @@
 
 async fn serve<H: PeerHandler>(stream: TcpStream, context: Rc<LinkContext<H>>) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("peers: a connection broke at once: {error}");
+        log::debug!("peers: a new connection broke: {error}");
         return;
     }
     let traffic = context.traffic.clone();
@@ -57,16 +57,16 @@
         Side::Server,
         Default::default(),
     );
-    let used = Rc::new(Cell::new(Instant::now()));
-    let door = PeerDoor {
+    let last_used = Rc::new(Cell::new(Instant::now()));
+    let server = PeerServer {
         context: context.clone(),
-        used: used.clone(),
+        last_used: last_used.clone(),
     };
-    let client: door::Client = capnp_rpc::new_client(door);
+    let client: door::Client = capnp_rpc::new_client(server);
     let rpc = RpcSystem::new(Box::new(network), Some(client.client));
     tokio::select! {
         () = context.stop.cancelled() => {}
-        () = silent(&used, context.timing.silent) => {}
+        () = until_silent(&last_used, context.timing.silent) => {}
         ended = rpc => {
             if let Err(error) = ended {
                 log::debug!("peers: a connection broke: {error}");
@@ -75,21 +75,21 @@
     }
 }
 
-/// Waits until nothing has been asked for so long. A peer whose VM was lost
-/// never closes its connection, and it would stay here for ever.
-async fn silent(used: &Cell<Instant>, limit: Duration) {
-    while used.get().elapsed() < limit {
-        tokio::time::sleep_until(used.get() + limit).await;
+/// Waits until no request has arrived for `limit`. A peer whose VM was lost never
+/// closes its connection, which would otherwise stay open forever.
+async fn until_silent(last_used: &Cell<Instant>, limit: Duration) {
+    while last_used.get().elapsed() < limit {
+        tokio::time::sleep_until(last_used.get() + limit).await;
     }
 }
 
-/// One connection, before its caller has said who it is.
-struct PeerDoor<H> {
+/// A connection whose peer hasn't identified itself yet.
+struct PeerServer<H> {
     context: Rc<LinkContext<H>>,
-    used: Rc<Cell<Instant>>,
+    last_used: Rc<Cell<Instant>>,
 }
 
-impl<H: PeerHandler> door::Server for PeerDoor<H> {
+impl<H: PeerHandler> door::Server for PeerServer<H> {
     async fn hello(
         self: capnp::capability::Rc<Self>,
         params: door::HelloParams,
@@ -100,7 +100,7 @@
         handler.take_beat(&beat);
         let session = PeerSession {
             handler: handler.clone(),
-            used: self.used.clone(),
+            last_used: self.last_used.clone(),
             from: RefCell::new(beat),
         };
         let mut results = results.get();
@@ -110,20 +110,20 @@
     }
 }
 
-/// What one other daemon may ask.
+/// The requests of one peer that has identified itself.
 struct PeerSession<H> {
     handler: H,
-    used: Rc<Cell<Instant>>,
+    last_used: Rc<Cell<Instant>>,
     from: RefCell<PeerBeat>,
 }
 
 impl<H: PeerHandler> PeerSession<H> {
-    fn note_use(&self) {
-        self.used.set(Instant::now());
+    fn record_use(&self) {
+        self.last_used.set(Instant::now());
     }
 
     fn rates(&self, ask: &RateAsk) -> RateAnswer {
-        self.note_use();
+        self.record_use();
         self.handler.rates(&self.from.borrow(), ask)
     }
 }
@@ -134,7 +134,7 @@
         params: session::BeatParams,
         mut results: session::BeatResults,
     ) -> Result<(), capnp::Error> {
-        self.note_use();
+        self.record_use();
         let beat = codec::read_beat(params.get()?.get_beat()?)?;
         self.handler.take_beat(&beat);
         self.from.replace(beat);
@@ -187,7 +187,7 @@
         params: session::SettingsParams,
         mut results: session::SettingsResults,
     ) -> Result<(), capnp::Error> {
-        self.note_use();
+        self.record_use();
         let params = params.get()?;
         let ask = SettingsAsk {
             known: params.get_known(),
@@ -196,7 +196,7 @@
         if let Some(answer) = self.handler.settings(ask).await {
             codec::write_settings(results.get().init_view(), &answer);
         }
-        self.note_use();
+        self.record_use();
         Ok(())
     }
 
@@ -205,7 +205,7 @@
         params: session::SuspectsParams,
         mut results: session::SuspectsResults,
     ) -> Result<(), capnp::Error> {
-        self.note_use();
+        self.record_use();
         let notice = codec::read_notice(params.get()?.get_facts()?)?;
         let ack = self.handler.suspects(&self.from.borrow(), notice);
         codec::write_ack(results.get().init_ack(), &ack);
@@ -217,10 +217,10 @@
         params: session::AnnounceParams,
         mut results: session::AnnounceResults,
     ) -> Result<(), capnp::Error> {
-        self.note_use();
+        self.record_use();
         let notices = codec::read_notices(params.get()?.get_notices()?);
         let bulk = self.handler.announce(&notices);
-        codec::write_bulk(results.get().init_bulk(bulk.len() as u32), &bulk);
+        codec::write_bulk_counts(results.get().init_bulk(bulk.len() as u32), &bulk);
         Ok(())
     }
 }
--- a/crates/peers/tests/peer_link.rs
+++ b/crates/peers/tests/peer_link.rs
@@ -1,4 +1,4 @@
-//! Two daemons on loopback.
+//! Tests of the peer link between two daemons on loopback.
 #![allow(clippy::unwrap_used, reason = "a step that fails fails its test")]
 
 use std::{
@@ -22,13 +22,13 @@
 };
 use tokio_util::sync::CancellationToken;
 
-const WITHIN: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Remembers what it was asked and answers with what it was given.
+/// Records the requests it receives and returns preset answers.
 #[derive(Clone)]
 struct Recorder {
     name: &'static str,
-    asked: Arc<Mutex<Vec<RateAsk>>>,
+    requests: Arc<Mutex<Vec<RateAsk>>>,
     beats: Arc<Mutex<Vec<PeerBeat>>>,
     answer: Arc<Mutex<RateAnswer>>,
     view: Option<SettingsAnswer>,
@@ -37,7 +37,7 @@
 fn recorder(name: &'static str) -> Recorder {
     Recorder {
         name,
-        asked: Arc::default(),
+        requests: Arc::default(),
         beats: Arc::default(),
         answer: Arc::new(Mutex::new(RateAnswer::Done)),
         view: None,
@@ -70,7 +70,7 @@
 
     fn rates(&self, from: &PeerBeat, ask: &RateAsk) -> RateAnswer {
         assert_eq!(from.member.name, "asker");
-        self.asked.lock().unwrap().push(ask.clone());
+        self.requests.lock().unwrap().push(ask.clone());
         self.answer.lock().unwrap().clone()
     }
 
@@ -82,10 +82,10 @@
     }
 
     fn suspects(&self, _from: &PeerBeat, notice: SuspectNotice) -> NoticeAck {
-        let noted: Vec<_> = notice.facts.iter().map(|fact| fact.fingerprint).collect();
+        let fingerprints: Vec<_> = notice.facts.iter().map(|fact| fact.fingerprint).collect();
         NoticeAck {
-            running: noted.clone(),
-            noted,
+            running: fingerprints.clone(),
+            noted: fingerprints,
             facts: notice.facts,
         }
     }
@@ -200,9 +200,9 @@
     exchanges.push((RateAsk::Settle(vec![settlement]), RateAnswer::Done));
     for (ask, answer) in exchanges {
         *answerer.answer.lock().unwrap() = answer.clone();
-        let got = asker.link.rates(other.address, ask.clone(), WITHIN).await;
+        let got = asker.link.rates(other.address, ask.clone(), TIMEOUT).await;
         assert_eq!(got.unwrap(), answer);
-        assert_eq!(answerer.asked.lock().unwrap().pop(), Some(ask));
+        assert_eq!(answerer.requests.lock().unwrap().pop(), Some(ask));
     }
     asker.stop();
     other.stop();
@@ -212,13 +212,13 @@
 async fn beats_go_both_ways_and_come_with_each_connection() {
     let answerer = recorder("answerer");
     let (asker, other) = pair(answerer.clone());
-    let told = PeerBeat {
+    let sent = PeerBeat {
         settings_revision: 8,
         ..beat_of("asker")
     };
-    let heard = asker.link.beat(other.address, told.clone(), WITHIN).await;
-    assert_eq!(heard.unwrap(), beat_of("answerer"));
-    assert_eq!(*answerer.beats.lock().unwrap(), [beat_of("asker"), told]);
+    let received = asker.link.beat(other.address, sent.clone(), TIMEOUT).await;
+    assert_eq!(received.unwrap(), beat_of("answerer"));
+    assert_eq!(*answerer.beats.lock().unwrap(), [beat_of("asker"), sent]);
     asker.stop();
     other.stop();
 }
@@ -246,10 +246,10 @@
     let (asker, other) = pair(answerer);
     let hold = Duration::ZERO;
     let known = SettingsAsk { known: 4, hold };
-    let got = asker.link.settings(other.address, known, WITHIN).await;
+    let got = asker.link.settings(other.address, known, TIMEOUT).await;
     assert_eq!(got.unwrap(), Some(view));
     let unknown = SettingsAsk { known: 9, hold };
-    let got = asker.link.settings(other.address, unknown, WITHIN).await;
+    let got = asker.link.settings(other.address, unknown, TIMEOUT).await;
     assert_eq!(got.unwrap(), None);
 
     let stages = [
@@ -276,7 +276,7 @@
     };
     let ack = asker
         .link
-        .suspects(other.address, notice.clone(), WITHIN)
+        .suspects(other.address, notice.clone(), TIMEOUT)
         .await;
     let ack = ack.unwrap();
     assert_eq!(ack.facts, notice.facts);
@@ -288,24 +288,25 @@
 
 #[tokio::test]
 async fn a_peer_that_is_gone_is_told_from_one_that_is_late() {
-    // A daemon stops, and its successor starts at the same address. Asks in
-    // between have certainly not been heard, so they may go elsewhere; afterwards
-    // the broken connection must not swallow any.
+    // A daemon stops, and its successor starts at the same address. Requests in
+    // between must fail as unreachable, since callers may then send them to
+    // another daemon. Requests after the restart must not be lost on the broken
+    // connection.
     let (asker, other) = pair(recorder("answerer"));
     let ask = RateAsk::Settle(Vec::new());
-    let got = asker.link.rates(other.address, ask.clone(), WITHIN).await;
+    let got = asker.link.rates(other.address, ask.clone(), TIMEOUT).await;
     assert_eq!(got, Ok(RateAnswer::Done));
     let address = other.address;
     other.stop();
     loop {
-        // The broken connection is noticed, then none can be opened.
-        match asker.link.rates(address, ask.clone(), WITHIN).await {
+        // First the broken connection is detected, then none can be opened.
+        match asker.link.rates(address, ask.clone(), TIMEOUT).await {
             Err(PeerError::Unreachable(_)) => break,
             answer => assert_matches!(answer, Err(PeerError::AnswerLost(_))),
         }
     }
     let successor = Daemon::start(recorder("successor"), address, LinkTiming::default());
-    let got = asker.link.rates(address, ask, WITHIN).await;
+    let got = asker.link.rates(address, ask, TIMEOUT).await;
     assert_eq!(got, Ok(RateAnswer::Done));
     asker.stop();
     successor.stop();
@@ -313,15 +314,15 @@
 
 #[tokio::test]
 async fn an_answer_that_is_held_back_holds_up_nothing_else() {
-    // A daemon waits at its peer for news of the settings, which may take long.
-    // Tokens for requests that wait go over the same connection meanwhile.
+    // A request for changes of the settings may wait at the peer for long.
+    // Requests for tokens use the same connection and must not be delayed by it.
     let (asker, other) = pair(recorder("answerer"));
     let hold = Duration::from_secs(3_600);
     let waiting = SettingsAsk { known: 0, hold };
-    let within = Duration::from_millis(200);
-    let held = asker.link.settings(other.address, waiting, within);
+    let timeout = Duration::from_millis(200);
+    let held = asker.link.settings(other.address, waiting, timeout);
     let settle = RateAsk::Settle(Vec::new());
-    let quick = asker.link.rates(other.address, settle, WITHIN);
+    let quick = asker.link.rates(other.address, settle, TIMEOUT);
     let (held, quick) = tokio::join!(held, quick);
     assert_eq!(held, Err(PeerError::Late));
     assert_eq!(quick, Ok(RateAnswer::Done));
@@ -331,20 +332,20 @@
 
 #[tokio::test]
 async fn a_peer_that_never_answers_gets_a_new_connection() {
-    // A VM is lost without a word, so its connections stay open at this end. If
-    // they were kept, the daemon that replaces it would never be reached.
+    // When a VM is lost, its connections stay open at this end. If they were
+    // kept, the daemon that replaces it would never be reached.
     let silent = TcpListener::bind(any_port()).unwrap();
     let address = silent.local_addr().unwrap();
     let asker = Daemon::start(recorder("asker"), any_port(), LinkTiming::default());
-    let within = Duration::from_millis(30);
+    let timeout = Duration::from_millis(30);
     let ask = RateAsk::Settle(Vec::new());
     for _ in 0..4 {
-        let got = asker.link.rates(address, ask.clone(), within).await;
+        let got = asker.link.rates(address, ask.clone(), timeout).await;
         assert_eq!(got, Err(PeerError::Late));
     }
     drop(silent);
     let other = Daemon::start(recorder("answerer"), address, LinkTiming::default());
-    let got = asker.link.rates(address, ask, WITHIN).await;
+    let got = asker.link.rates(address, ask, TIMEOUT).await;
     assert_eq!(got, Ok(RateAnswer::Done));
     asker.stop();
     other.stop();
@@ -352,8 +353,8 @@
 
 #[tokio::test]
 async fn idle_connections_are_closed_and_opened_again() {
-    // Of hundreds of daemons only a few are asked often. Connections that stayed
-    // open for all of them would cost memory and keepalives at both ends.
+    // Of hundreds of daemons only a few get frequent requests. Connections kept
+    // open to all of them would cost memory and keepalives at both ends.
     let timing = LinkTiming {
         idle: Duration::from_millis(20),
         ..LinkTiming::default()
@@ -363,8 +364,8 @@
     let other = Daemon::start(answerer.clone(), any_port(), timing);
     let ask = RateAsk::Settle(Vec::new());
     while answerer.beats.lock().unwrap().len() < 2 {
-        // Each new connection says hello.
-        let got = asker.link.rates(other.address, ask.clone(), WITHIN).await;
+        // Each new connection starts with a heartbeat.
+        let got = asker.link.rates(other.address, ask.clone(), TIMEOUT).await;
         assert_eq!(got, Ok(RateAnswer::Done));
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
@@ -379,8 +380,10 @@
         server: ServerKey(server),
         count,
     });
-    let answer = asker.link.announce(other.address, notices.to_vec(), WITHIN);
+    let answer = asker
+        .link
+        .announce(other.address, notices.to_vec(), TIMEOUT);
     assert_eq!(answer.await.unwrap(), [2, 3, 41]);
-    let nothing = asker.link.announce(other.address, Vec::new(), WITHIN);
+    let nothing = asker.link.announce(other.address, Vec::new(), TIMEOUT);
     assert_eq!(nothing.await.unwrap(), Vec::<u32>::new());
 }
