--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! What the doors do with input that no honest client sends.
+//! Tests of both APIs with malformed and hostile input.
 
 mod support;
 
@@ -18,19 +18,23 @@
 
 /// The seed of all random input.
 const SEED: u64 = 0xbad_1234;
-/// How long a door may take to answer or to close, other than for a slow client.
+/// The time limit for the daemon to answer or to close a connection, except for
+/// slow clients.
 const SOON: Duration = Duration::from_secs(5);
 
-/// How long a whole request may take to be answered before the client ends it.
+/// How long the client waits for the answer to a complete request before it shuts
+/// down its side of the connection.
 const WHOLE: Duration = Duration::from_millis(500);
-/// The same for a request that may be cut off.
+/// The same time for a request that may be truncated.
 const MAYBE_CUT: Duration = Duration::from_millis(20);
 
-/// Sends bytes and reads until the door closes. After a while the client says
-/// that no more will come: the request may lack its end.
+/// Sends bytes and reads until the daemon closes the connection. After `timeout`,
+/// the client shuts down its side, since the request may be incomplete.
 async fn send(door: SocketAddr, bytes: &[u8], patience: Duration) -> String {
-    let mut stream = TcpStream::connect(door).await.expect("the door is open");
-    // The door may answer and close before it has read everything.
+    let mut stream = TcpStream::connect(door)
+        .await
+        .expect("the listener accepts connections");
+    // The daemon may answer and close before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
@@ -38,7 +42,11 @@
         let _ = stream.shutdown().await;
         let read = stream.read_to_end(&mut answer);
         let ended = tokio::time::timeout(SOON, read).await;
-        assert!(ended.is_ok(), "no end: {}", String::from_utf8_lossy(bytes));
+        assert!(
+            ended.is_ok(),
+            "the connection stays open: {}",
+            String::from_utf8_lossy(bytes)
+        );
     }
     String::from_utf8_lossy(&answer).into_owned()
 }
@@ -67,8 +75,8 @@
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
 }
 
-/// A caller of one service names a path that the server behind it may read as
-/// lying outside of the service's prefix, and reaches what was not meant for it.
+/// A caller of a service sends a path that the backend server may resolve to one
+/// outside of the service's prefix, to which the caller has no access.
 #[tokio::test]
 async fn no_path_leaves_a_services_prefix() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -110,8 +118,8 @@
     }
 }
 
-/// A target names another host. The daemon must neither go there nor let the
-/// name choose the service.
+/// A request target names another host. The daemon must neither connect to it nor
+/// select the service by it.
 #[tokio::test]
 async fn the_targets_form_doesnt_choose_the_server() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -132,7 +140,7 @@
     still_serves(&fleet).await;
 }
 
-/// A client uses a method that a path doesn't have, or asks for the head only.
+/// A client uses a method that a path doesn't support, or sends a HEAD request.
 #[tokio::test]
 async fn a_wrong_method_is_told_the_right_ones() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -164,7 +172,7 @@
     }
     let answer = raw(door, &request("HEAD", "/v1/models", "")).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
-    assert!(answer.ends_with("\r\n\r\n"), "a body came: {answer}");
+    assert!(answer.ends_with("\r\n\r\n"), "unexpected body: {answer}");
     let operators = fleet.daemons[0].addresses.operators;
     let token = format!("authorization: Bearer {TOKEN}\r\nconnection: close\r\n");
     for (method, path, allowed) in [
@@ -183,8 +191,8 @@
     }
 }
 
-/// A head is too long, has too many lines or isn't text. Reading on for ever
-/// would let one client take the daemon's memory.
+/// A request head is too long, has too many lines or isn't text. Without a limit,
+/// one client could use up the daemon's memory.
 #[tokio::test]
 async fn heads_are_bounded_and_may_hold_any_bytes() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -229,8 +237,8 @@
     still_serves(&fleet).await;
 }
 
-/// Clients send a head byte by byte or open connections and say nothing. Each
-/// would hold a connection for ever.
+/// Clients send a head only partly, or open connections and send nothing. Without
+/// a time limit, each would hold a connection forever.
 #[tokio::test]
 async fn a_slow_head_ends_its_connection() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -238,8 +246,13 @@
     let began = Instant::now();
     let mut silent = Vec::new();
     for start in ["", "GET /v1/models HT", "GET /v1/models HTTP/1.1\r\nhost:"] {
-        let mut stream = TcpStream::connect(door).await.expect("the door is open");
-        stream.write_all(start.as_bytes()).await.expect("written");
+        let mut stream = TcpStream::connect(door)
+            .await
+            .expect("the listener accepts connections");
+        stream
+            .write_all(start.as_bytes())
+            .await
+            .expect("the bytes are written");
         silent.push(stream);
     }
     still_serves(&fleet).await;
@@ -251,8 +264,7 @@
     }
 }
 
-/// A client vanishes in the middle of its body. Nothing of the request runs,
-/// and nothing is left behind.
+/// A client disconnects in the middle of its body. The request must not run.
 #[tokio::test]
 async fn a_client_that_vanishes_runs_nothing() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -260,33 +272,43 @@
     let before = fleet.engines[0].server.log().list().len();
     for _ in 0..50 {
         let head = request("POST", "/v1/chat/completions", "content-length: 5000\r\n");
-        let mut stream = TcpStream::connect(door).await.expect("the door is open");
-        stream.write_all(&head).await.expect("written");
+        let mut stream = TcpStream::connect(door)
+            .await
+            .expect("the listener accepts connections");
+        stream
+            .write_all(&head)
+            .await
+            .expect("the bytes are written");
         stream
             .write_all(b"{\"model\": \"demo")
             .await
-            .expect("written");
+            .expect("the bytes are written");
         drop(stream);
     }
     still_serves(&fleet).await;
     assert_eq!(fleet.engines[0].server.log().list().len(), before + 1);
 }
 
-/// Callers of a plain service vanish in the middle of their uploads, again and
-/// again. The server behind it did nothing wrong; were it blamed, one careless
-/// client would put it out of service for everybody.
+/// Callers of a plain service repeatedly disconnect in the middle of their uploads.
+/// If these counted as failures of the backend server, one faulty client could take
+/// the server out of service for all callers.
 #[tokio::test]
 async fn a_server_isnt_blamed_for_uploads_that_break_off() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let door = fleet.daemons[0].addresses.callers;
     for _ in 0..30 {
         let head = request("POST", "/proofs/x", "transfer-encoding: chunked\r\n");
-        let mut stream = TcpStream::connect(door).await.expect("the door is open");
-        stream.write_all(&head).await.expect("written");
+        let mut stream = TcpStream::connect(door)
+            .await
+            .expect("the listener accepts connections");
+        stream
+            .write_all(&head)
+            .await
+            .expect("the bytes are written");
         stream
             .write_all(b"64\r\nhalf of it")
             .await
-            .expect("written");
+            .expect("the bytes are written");
         tokio::time::sleep(Duration::from_millis(5)).await;
         drop(stream);
     }
@@ -296,8 +318,8 @@
     assert_eq!(status_of(&answer), 200, "{answer}");
 }
 
-/// A caller's upload comes to a halt with its connection open. The call must
-/// end at its time limit, and the server must not be blamed.
+/// A caller's upload stalls while its connection stays open. The call must end at
+/// its time limit, and must not count as a failure of the server.
 #[tokio::test]
 async fn a_server_isnt_blamed_for_an_upload_that_halts() {
     let mut settings = usual_settings();
@@ -346,10 +368,11 @@
     ]
 }
 
-/// Bytes that mean something to a parser.
+/// Bytes that are special to an HTTP parser.
 const ODD_BYTES: &[u8] = b"\r\n\0%/.;:, \xff";
 
-/// Makes one to four small changes: bytes replaced, dropped, doubled, cut off.
+/// Makes one to four small changes: replaces, removes, inserts or repeats bytes, or
+/// truncates the rest.
 fn damage(bytes: &mut Vec<u8>, rng: &mut StdRng) {
     for _ in 0..rng.random_range(1..5) {
         if bytes.is_empty() {
@@ -370,8 +393,8 @@
     }
 }
 
-/// Damaged requests of all kinds arrive at both doors. Each connection ends, no
-/// part of the daemon panics, and honest callers are served all the while.
+/// Both APIs receive randomly damaged requests. Each connection must end, the daemon
+/// must not panic, and valid requests must be served meanwhile.
 #[tokio::test]
 async fn damaged_requests_end_and_harm_nobody() {
     std::panic::set_hook(Box::new(|panic| {
--- a/crates/daemon/tests/bulk_gate.rs
+++ b/crates/daemon/tests/bulk_gate.rs
@@ -1,6 +1,6 @@
-//! How bulk work makes room for live work, at the gate itself.
+//! Tests of the limiter that preempts bulk work in favour of live work.
 
-#![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use comfreyramp_settings::{DaemonSettings, LogSettings, PlatformSettings};
 use comfreyramp_store::{ListedVm, VmState};
 
-/// The size of each engine's batch.
+/// The batch size of each engine.
 const BATCH: u32 = 8;
 
-/// A daemon's gate and pool on a clock of the test's own.
+/// A daemon's limiters and server pool with a clock that the test advances.
 struct TestGate {
     gate: ServerGates,
     pool: ServerPool,
@@ -64,7 +64,8 @@
             .open("engines", ProcessClock::default(), self.now, take)
     }
 
-    /// A report that comes from each server, with so many requests of others.
+    /// Delivers a load report from each server, with `others` requests of other
+    /// daemons.
     fn report(&self, slots: &[BulkSlot], others: u32) {
         for (server, _) in self.gate.to_ask(self.now) {
             let own = slots.iter().filter(|it| it.server.id == server).count();
@@ -77,11 +78,11 @@
         }
     }
 
-    /// Opens slots for some seconds, until the batches are full.
+    /// Opens slots for 15 s of simulated time, until the batches are full.
     fn fill(&mut self) -> Vec<BulkSlot> {
         let mut slots = Vec::new();
         for _ in 0..60 {
-            // Longer than a report's lag, so that it tells of all slots.
+            // Longer than the lag of a report, so that it includes all slots.
             self.pass(Duration::from_millis(250));
             self.report(&slots, 0);
             slots.extend(std::iter::from_fn(|| self.open()));
@@ -104,9 +105,9 @@
     slots.iter().filter(|it| it.stop.is_cancelled()).count()
 }
 
-// Live callers come all at once while bulk work fills the batch. Were its
-// streams stopped only at the next look at the load, the callers would already
-// stand behind them in the engine.
+// Many live requests arrive at once while bulk work fills the batch. If bulk
+// streams were stopped only after the next load report, the live requests would
+// already be queued behind them in the engine.
 #[test]
 fn bulk_work_makes_room_before_a_live_request_is_sent() {
     let mut gate = TestGate::new(&[vm("engine-1", "engines")]);
@@ -121,8 +122,8 @@
     assert!(gate.open().is_none());
 }
 
-// Another daemon sends live work to the same engine. This daemon hears of it
-// only from the engine's report, and must make room then.
+// Another daemon sends live work to the same engine. This daemon learns of it
+// only from the engine's report, and must then preempt bulk work.
 #[test]
 fn requests_of_other_daemons_take_room() {
     let mut gate = TestGate::new(&[vm("engine-1", "engines")]);
@@ -134,8 +135,8 @@
     assert_eq!(stopped(&slots), 4);
 }
 
-// An engine doesn't tell its load. Nothing is known of the live work on it, so
-// that bulk work must not begin there, and must not go on for long.
+// An engine doesn't report its load. Since the live work on it is unknown, bulk
+// work must not start there, and running bulk work must end soon.
 #[test]
 fn a_server_that_tells_nothing_gets_no_bulk_work() {
     let mut gate = TestGate::new(&[vm("engine-1", "engines")]);
@@ -148,8 +149,8 @@
     assert!(gate.open().is_none());
 }
 
-// A daemon comes into the zone and becomes the home of some servers. If the old
-// home went on, both would fill the same engine.
+// A daemon joins the zone and becomes the home of some servers. If the old home
+// kept its slots, both daemons would fill the same engine.
 #[test]
 fn a_server_that_moves_to_another_home_is_left() {
     let engines: Vec<ListedVm> = (0..8)
--- a/crates/daemon/tests/callers_door.rs
+++ b/crates/daemon/tests/callers_door.rs
@@ -1,4 +1,4 @@
-//! What callers see at the callers' door.
+//! Tests of the caller API as callers see it.
 
 mod support;
 
@@ -69,9 +69,9 @@
     assert_eq!(seen[0].tokens, 300_000);
 }
 
-/// A caller puts the key where a backend server would see it: in a header of
-/// its own, in the query, in a prompt, across two pieces of a streamed body.
-/// Without a check the key of a customer lies in some server's log.
+/// A caller puts its key where a backend server would receive it: in a custom
+/// header, in the query, in a prompt, or split across two chunks of a streamed
+/// body. Without a check the customer's key would end up in the server's log.
 #[tokio::test]
 async fn no_backend_server_sees_the_key() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -115,8 +115,8 @@
     assert!(fleet.engines[0].server.log().list().is_empty());
 }
 
-/// A key is withdrawn while its caller reads a long stream. Without a check on
-/// open streams the caller would read on to the end, minutes later.
+/// A key is withdrawn while its caller reads a long stream. Without a check of
+/// open streams, the stream would continue to its end, minutes later.
 #[tokio::test]
 async fn a_withdrawn_key_ends_open_streams_and_leaves_others_alone() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -160,8 +160,8 @@
     assert!(refused.headers.contains_key("retry-after"));
 }
 
-/// An engine dies in the middle of a stream. Without a resume the caller would
-/// read half an answer; with a plain retry, the first half twice.
+/// An engine dies in the middle of a stream. Without resuming on another engine,
+/// the caller would get half an answer; with a plain retry, the first half twice.
 #[tokio::test]
 async fn a_stream_whose_engine_dies_goes_on_elsewhere_without_a_repeat_or_a_gap() {
     let plan = FleetPlan {
@@ -196,7 +196,7 @@
         .engines
         .iter()
         .any(|it| it.server.log().list().iter().any(|it| it.resume_from > 0));
-    assert!(resumed, "the second engine was asked for the rest only");
+    assert!(resumed, "the second engine generated only the rest");
 }
 
 #[tokio::test]
@@ -248,8 +248,8 @@
     assert_eq!(answer.status, StatusCode::OK);
 }
 
-/// A caller goes away in the middle of a stream. If nobody told the engine, it
-/// would generate the rest for nobody, in place of somebody who waits.
+/// A caller disconnects in the middle of a stream. If the engine weren't
+/// cancelled, it would generate the rest for nobody while other requests wait.
 #[tokio::test]
 async fn an_engine_stops_when_the_caller_is_gone() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -275,8 +275,8 @@
     }
 }
 
-/// An operator rolls the fleet: SIGTERM reaches a daemon while it streams.
-/// Ending at once would cut off every answer on it.
+/// During a rolling restart, a daemon receives SIGTERM while it streams. Exiting
+/// immediately would cut off all its answers.
 #[tokio::test]
 async fn a_planned_stop_cuts_off_no_stream() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
--- a/crates/daemon/tests/link_fleet/mod.rs
+++ b/crates/daemon/tests/link_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Settings links of several daemons around one platform, in one process.
+//! The settings links of several daemons at one platform, in one process.
 
 #![allow(unreachable_pub, reason = "a module of a test")]
 
@@ -20,7 +20,7 @@
 use tokio::{sync::watch, time::Instant};
 use tokio_util::sync::CancellationToken;
 
-/// How long a wait may take before the test gives up.
+/// The time limit for each wait of a test.
 const PATIENCE: Duration = Duration::from_secs(60);
 
 type TestLink = SettingsLink<MemoryStore, TestPeers>;
@@ -38,7 +38,7 @@
 
 type Daemons = Arc<Mutex<Vec<LinkDaemon>>>;
 
-/// The way from one daemon to the others.
+/// The connections from one daemon to the others.
 #[derive(Clone)]
 pub struct TestPeers {
     own: usize,
@@ -92,7 +92,7 @@
 }
 
 impl LinkFleet {
-    /// Starts daemons in as many zones as there are numbers.
+    /// Starts a fleet; `zones` is the number of daemons in each zone.
     pub async fn start(zones: &[usize]) -> Self {
         let platform = SharedPlatform::default();
         let mut fleet = LinkFleet {
@@ -109,7 +109,7 @@
         fleet
     }
 
-    /// Starts one more daemon.
+    /// Starts another daemon and returns its index.
     pub fn add(&mut self, zone: usize) -> usize {
         let mut daemons = self.daemons.lock().unwrap();
         let own = daemons.len();
@@ -138,19 +138,19 @@
         own
     }
 
-    /// Ends a daemon.
+    /// Stops a daemon, which then no longer answers its peers.
     pub fn stop(&self, daemon: usize) {
         let mut daemons = self.daemons.lock().unwrap();
         daemons[daemon].stop.cancel();
         daemons[daemon].answers = false;
     }
 
-    /// Stops a daemon's own work; it goes on answering its peers.
+    /// Stops a daemon's own updates; it still answers its peers.
     pub fn freeze(&self, daemon: usize) {
         self.daemons.lock().unwrap()[daemon].stop.cancel();
     }
 
-    /// The daemons of the first zone with the highest scores.
+    /// Returns the daemons of the first zone with the highest scores.
     pub fn best_placed(&self, count: usize) -> Vec<usize> {
         let daemons = self.daemons.lock().unwrap();
         let mut order: Vec<usize> = (0..daemons.len()).collect();
@@ -181,7 +181,7 @@
         self.store.transact(batch).await.unwrap();
     }
 
-    /// What a daemon has in force for a team.
+    /// Returns the settings of a team that a daemon has in force.
     pub fn value(&self, daemon: usize, team: &str) -> Option<String> {
         let view = self.daemons.lock().unwrap()[daemon]
             .in_force
@@ -191,7 +191,8 @@
         Some(String::from_utf8(pair.value.to_vec()).unwrap())
     }
 
-    /// Waits until a daemon has anything in force and returns a team's part.
+    /// Waits until a daemon has any settings in force and returns those of a
+    /// team.
     pub async fn first_in_force(&self, daemon: usize, team: &str) -> Option<String> {
         let mut in_force = self.daemons.lock().unwrap()[daemon].in_force.clone();
         let any = in_force.wait_for(|it| it.revision > 0);
@@ -206,7 +207,8 @@
             .revision
     }
 
-    /// Waits until every running daemon has a value in force.
+    /// Waits until every running daemon has a value in force, and returns how
+    /// long that took.
     pub async fn wait_for(&self, team: &str, value: &str) -> Duration {
         self.wait(|it| it.value_is(team, Some(value))).await
     }
--- a/crates/daemon/tests/live_queue.rs
+++ b/crates/daemon/tests/live_queue.rs
@@ -1,4 +1,4 @@
-//! Live requests while the engines are full.
+//! Tests of live requests while the engines are full.
 
 mod support;
 
@@ -14,12 +14,13 @@
 
 /// A second key of the customer `press`.
 const OTHER_KEY: &str = "cfr-other-key-of-press-0123456789";
-/// How long requests are sent.
+/// How long each test sends requests.
 const LASTS: Duration = Duration::from_secs(5);
-/// The tokens of each answer.
+/// The number of tokens of each answer.
 const TOKENS: u32 = 10;
 
-/// An engine that answers some 40 requests of ten tokens a second.
+/// Returns the options of an engine that answers about 40 requests of ten tokens
+/// per second.
 fn small_engine() -> EngineOptions {
     EngineOptions {
         settings: EngineSettings {
@@ -44,7 +45,7 @@
     TestFleet::start(plan).await
 }
 
-/// What became of one request.
+/// The outcome of one request.
 #[derive(Debug)]
 struct Seen {
     status: StatusCode,
@@ -68,7 +69,7 @@
     }
 }
 
-/// Sends requests at even distances and waits for all of them.
+/// Sends requests at equal intervals and waits for all of them.
 async fn send_evenly(
     fleet: &TestFleet,
     daemon: usize,
@@ -97,8 +98,9 @@
     seen.iter().filter(|it| it.status == StatusCode::OK).count()
 }
 
-/// One customer sends ten times its rate, more than the engine can answer. In
-/// order of arrival everybody else would wait behind its backlog.
+/// One customer sends ten times as many requests as another, more than the engine
+/// can answer. In order of arrival, the other customer would wait behind its
+/// backlog.
 #[tokio::test]
 async fn a_flood_of_one_customer_does_not_move_the_tail_of_another() {
     let fleet = small_fleet(1).await;
@@ -115,15 +117,19 @@
         served(&person),
         person.len(),
     );
-    assert_eq!(served(&person), person.len(), "none of theirs is refused");
+    assert_eq!(
+        served(&person),
+        person.len(),
+        "none of the person's requests is refused"
+    );
     assert!(tail < Duration::from_millis(700), "{tail:?}");
     let refused = flood.iter().filter(|it| it.status != StatusCode::OK);
     assert!(refused.into_iter().all(|it| it.has_retry_after));
 }
 
-/// A program sends a lot through the live door with one key of a customer,
-/// while a person waits for streams with another. Without ranks the person
-/// would wait behind the program, as both are the same customer's.
+/// A program sends many requests to the live API with one key of a customer,
+/// while a person waits for streams with another key. Without ranks the person
+/// would wait behind the program, since both belong to the same customer.
 #[tokio::test]
 async fn bulk_through_the_live_door_waits_behind_a_person() {
     let fleet = small_fleet(1).await;
@@ -142,8 +148,9 @@
     assert!(tail < Duration::from_millis(700), "{tail:?}");
 }
 
-/// The servers are full for longer than a request may wait. It is refused at
-/// once with the time to come back, in place of waiting in vain.
+/// The servers are full for longer than a request may wait. The request must be
+/// refused immediately with a `Retry-After`, instead of waiting until it times
+/// out.
 #[tokio::test]
 async fn what_could_not_start_in_time_is_refused_at_once() {
     let mut settings = usual_settings();
@@ -168,8 +175,8 @@
     );
     assert!(!refused.is_empty());
     assert!(refused.iter().all(|it| it.has_retry_after));
-    // Those that time out had started, and were too slow for their time. Of the
-    // rest, some were overtaken by more urgent ones after they were taken in.
+    // The requests that timed out had started but took too long. Some of the
+    // others were overtaken by more urgent requests after they were admitted.
     let timed_out = StatusCode::GATEWAY_TIMEOUT;
     let started = refused.iter().filter(|it| it.status == timed_out).count();
     println!("{started} of the refused had started");
--- a/crates/daemon/tests/lot_calls/mod.rs
+++ b/crates/daemon/tests/lot_calls/mod.rs
@@ -1,6 +1,6 @@
-//! What a caller does with files and lots.
+//! A caller's requests for files and lots.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::time::Duration;
 
@@ -13,10 +13,11 @@
     chat,
 };
 
-/// What stands between the fields of a form.
+/// The boundary between the fields of a multipart form.
 pub(crate) const BOUNDARY: &str = "3b1f-between-fields";
 
-/// Items that ask for so many tokens.
+/// Returns an input file with `items` items, each of which requests `tokens`
+/// tokens.
 pub(crate) fn input(items: usize, tokens: u32) -> String {
     let line = |it| {
         let mut body = chat(&format!("verse {it}"), tokens, false);
@@ -31,7 +32,7 @@
     (0..items).map(|it| format!("{}\n", line(it))).collect()
 }
 
-/// The form as the published client libraries send it.
+/// Returns an upload form as the published client libraries send it.
 pub(crate) fn form(content: &str) -> String {
     format!(
         "--{BOUNDARY}\r\nContent-Disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n\
@@ -41,7 +42,7 @@
     )
 }
 
-/// A caller of one customer at one daemon.
+/// A caller that uses one customer's key at one daemon.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LotCaller<'a> {
     pub(crate) fleet: &'a TestFleet,
@@ -51,7 +52,7 @@
 }
 
 impl<'a> LotCaller<'a> {
-    /// A caller of `press` at a daemon.
+    /// Creates a caller that uses the key of `press`.
     pub(crate) fn new(fleet: &'a TestFleet, daemon: usize) -> Self {
         LotCaller {
             fleet,
@@ -61,12 +62,12 @@
         }
     }
 
-    /// The same caller with another key.
+    /// Returns the same caller with another key.
     pub(crate) fn key(self, key: &'static str) -> Self {
         LotCaller { key, ..self }
     }
 
-    /// The same caller with an idempotency key.
+    /// Returns the same caller with an idempotency key.
     pub(crate) fn job(self, job: &'static str) -> Self {
         let job = Some(job);
         LotCaller { job, ..self }
@@ -111,7 +112,7 @@
         file["id"].as_str().unwrap().to_owned()
     }
 
-    /// Asks for a lot.
+    /// Requests a new lot and returns the answer.
     pub(crate) async fn ask_lot(&self, file: &str) -> WholeAnswer {
         let body = json!({
             "input_file_id": file,
@@ -122,7 +123,7 @@
             .await
     }
 
-    /// Creates a lot.
+    /// Creates a lot and returns it.
     pub(crate) async fn create(&self, file: &str) -> Value {
         let answer = self.ask_lot(file).await;
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
@@ -143,7 +144,8 @@
         }
     }
 
-    /// Reads the results of a lot, sorted by item: its number and its answer.
+    /// Reads the results of a lot: the number and the answer of each item,
+    /// sorted by number.
     pub(crate) async fn results(&self, lot: &Value) -> Vec<(usize, Value)> {
         let output = lot["output_file_id"].as_str().unwrap();
         let path = format!("/v1/files/{output}/content");
@@ -155,7 +157,8 @@
         results
     }
 
-    /// Reads the results of a lot and checks that each item has its own, once.
+    /// Reads the results of a lot and checks that each item has its own answer
+    /// exactly once.
     pub(crate) async fn check_results(&self, lot: &Value, items: usize) {
         let results = self.results(lot).await;
         let numbers: Vec<usize> = results.iter().map(|it| it.0).collect();
--- a/crates/daemon/tests/lots.rs
+++ b/crates/daemon/tests/lots.rs
@@ -1,6 +1,7 @@
-//! Lots through the callers' door, run by real daemons on engine stand-ins.
+//! Tests of lots through the caller API, run by real daemons on engine
+//! stand-ins.
 
-#![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod lot_calls;
 mod support;
@@ -15,7 +16,7 @@
 use lot_calls::{LotCaller, input};
 use support::{FleetPlan, KEY, PATIENCE, SECOND_KEY, TestFleet, chat};
 
-/// A fleet of two daemons and two engines.
+/// Starts a fleet of two daemons and one engine.
 async fn fleet() -> TestFleet {
     let plan = FleetPlan {
         daemons: vec!["zone-1", "zone-1"],
@@ -24,7 +25,7 @@
     TestFleet::start(plan).await
 }
 
-/// How many requests an engine has, those of lots and others.
+/// Returns the number of open requests of an engine: those of lots, and others.
 fn running(fleet: &TestFleet, engine: usize) -> (usize, usize) {
     let entries = fleet.engines[engine].server.log().list();
     let open = |it: &&RequestRecord| matches!(it.end, RequestEnd::Running | RequestEnd::Queued);
@@ -35,7 +36,7 @@
     (bulk.len(), live.len())
 }
 
-/// The engine's whole answer to a prompt.
+/// Returns the complete answer of the engine to a prompt.
 fn whole_answer(prompt: &str, tokens: u32) -> String {
     (0..tokens).map(|it| answer_token(prompt, it)).collect()
 }
@@ -59,7 +60,7 @@
     }
     let output = lot["output_file_id"].as_str().unwrap();
     let path = format!("/v1/files/{output}/content");
-    // Another customer's key reaches neither the lot nor its files.
+    // With another customer's key, neither the lot nor its files can be read.
     for path in [path, format!("/v1/batches/{}", lot["id"].as_str().unwrap())] {
         let request = fleet.request(0, Method::GET, &path, SECOND_KEY, String::new());
         assert_eq!(fleet.whole(request).await.status, StatusCode::NOT_FOUND);
@@ -74,7 +75,7 @@
     let lot = first.create(&file).await;
     let id = lot["id"].as_str().unwrap();
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert!(running(&fleet, 0).0 > 0, "nothing ran");
+    assert!(running(&fleet, 0).0 > 0, "no item runs");
     let path = format!("/v1/batches/{id}/cancel");
     let answer = second.send(Method::POST, &path, String::new()).await;
     assert_eq!(answer.status, StatusCode::OK);
@@ -84,9 +85,9 @@
     assert_eq!(lot["request_counts"]["cancelled"], 200);
 }
 
-// A burst of live callers arrives while a lot fills the engine. An engine knows
-// no priorities: unless the lot's streams are stopped, the callers wait behind
-// them. What was stopped must go on later and be whole.
+// A burst of live requests arrives while a lot fills the engine. Engines have no
+// priorities: unless the streams of the lot are stopped, the live requests wait
+// behind them. The stopped items must resume later and be complete.
 #[tokio::test]
 async fn a_lot_steps_aside_for_a_live_burst_and_goes_on() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -95,7 +96,7 @@
     let lot = caller.create(&file).await;
     let until = tokio::time::Instant::now() + PATIENCE;
     while running(&fleet, 0).0 <= 4 {
-        assert!(tokio::time::Instant::now() < until, "the lot got no room");
+        assert!(tokio::time::Instant::now() < until, "the lot got no slots");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     // More than the engine's batch of 16 holds.
@@ -111,7 +112,7 @@
     };
     let (statuses, (bulk, live)) = tokio::join!(burst, watching);
     assert!(statuses.iter().all(|it| *it == StatusCode::OK));
-    assert!(live >= 16, "the burst was over too soon to see");
+    assert!(live >= 16, "the burst ended before it was observed");
     assert_eq!(bulk, 0);
     let lot = caller
         .wait_for(lot["id"].as_str().unwrap(), "completed")
@@ -124,7 +125,7 @@
     }
 }
 
-/// The daemon through which bulk work reaches the first engine.
+/// Waits for the daemon that runs bulk work on the first engine: its home daemon.
 async fn home_of_engine(fleet: &TestFleet) -> usize {
     let until = tokio::time::Instant::now() + PATIENCE;
     loop {
@@ -139,14 +140,15 @@
                 return daemon;
             }
         }
-        assert!(tokio::time::Instant::now() < until, "the lot got no room");
+        assert!(tokio::time::Instant::now() < until, "the lot got no slots");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-// The burst arrives at a daemon that isn't the engine's home. The home would learn
-// of it from the engine's report, which is 200 ms old and read four times a second.
-// For so long the callers would wait behind the lot's streams.
+// The burst arrives at a daemon that isn't the engine's home. Without an
+// announcement, the home would learn of it only from the engine's report, which is
+// 200 ms old and read four times a second; until then the live requests would wait
+// behind the streams of the lot.
 #[tokio::test]
 async fn a_lot_steps_aside_for_a_burst_at_another_daemon() {
     let fleet = fleet().await;
@@ -169,7 +171,7 @@
         statuses.iter().all(|it| *it == StatusCode::OK),
         "{statuses:?}"
     );
-    assert!(live >= 12, "the burst was over too soon to see");
+    assert!(live >= 12, "the burst ended before it was observed");
     assert!(
         bulk + live <= 16,
         "{bulk} bulk streams beside {live} live ones"
--- a/crates/daemon/tests/operators_explain.rs
+++ b/crates/daemon/tests/operators_explain.rs
@@ -1,4 +1,4 @@
-//! What operators are told when they ask what became of a request.
+//! Tests of the explanations of single requests that operators can read.
 
 mod support;
 
@@ -28,8 +28,8 @@
     steps.iter().filter_map(|it| it["step"].as_str()).collect()
 }
 
-/// A caller complains about one answer. The operator has its id and nothing
-/// else, and must see neither the caller's text nor its key.
+/// A caller complains about an answer, of which the operator has only the id. The
+/// explanation must contain neither the caller's text nor its key.
 #[tokio::test]
 async fn a_streamed_request_is_told_step_by_step() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -49,7 +49,7 @@
         "ended",
     ];
     let mut seen = steps(&told);
-    // The head and the first token leave by two tasks, in either order.
+    // Two tasks send the head and the first token, so their order varies.
     seen.sort_unstable();
     let mut expected = expected.to_vec();
     expected.sort_unstable();
@@ -63,8 +63,8 @@
     }
 }
 
-/// One of two servers is gone. The story must name it, say that nothing was
-/// sent to it, and name the one that answered.
+/// One of two servers is gone. The explanation must name it, say that nothing was
+/// sent to it, and name the server that answered.
 #[tokio::test]
 async fn a_retried_request_names_each_server() {
     let options = EngineOptions::default;
@@ -88,11 +88,11 @@
             return;
         }
     }
-    panic!("no request met the server that is gone");
+    panic!("no request was routed to the server that is gone");
 }
 
-/// A request is refused: with a wrong key, for an unknown model, and because no
-/// server can take it.
+/// Requests are refused for a wrong key, for an unknown model, and because no
+/// server is available. The explanation must give the reason.
 #[tokio::test]
 async fn a_refused_request_tells_the_reason() {
     let plan = FleetPlan {
@@ -130,8 +130,8 @@
     }
 }
 
-/// Requests come for weeks, each with long names and as many steps as can be.
-/// What is kept of them must not grow.
+/// Requests with long names and many steps arrive for weeks. The memory for their
+/// traces must stay bounded.
 #[test]
 fn traces_are_bounded_in_number_and_size() {
     let ring = TraceRing::default();
--- a/crates/daemon/tests/operators_settings.rs
+++ b/crates/daemon/tests/operators_settings.rs
@@ -1,5 +1,5 @@
-//! What operators are told when they change settings, also when several do so
-//! at once and when the platform fails.
+//! Tests of the operator API for settings, including concurrent changes and
+//! failures of the platform.
 
 mod support;
 
@@ -12,7 +12,7 @@
     FleetPlan, KEY, SECOND_KEY, TOKEN, TestFleet, answers::WholeAnswer, chat, usual_settings,
 };
 
-/// How many changes a history keeps.
+/// The number of changes that a history keeps.
 const KEPT_CHANGES: usize = 50;
 
 async fn read(fleet: &TestFleet, path: &str) -> WholeAnswer {
@@ -31,14 +31,14 @@
     changes.expect("a list of changes")
 }
 
-/// The usual settings with another rate for the first customer.
+/// Returns the default settings with another rate for the first customer.
 fn with_rate(rate: u32) -> Value {
     let mut settings = json!(usual_settings());
     settings["customers"][0]["rate"] = json!(rate);
     settings
 }
 
-/// Writes as a named operator, with an id of the change if one is given.
+/// Writes settings as a named operator, with the id of the change if given.
 async fn put(
     fleet: &TestFleet,
     by: &str,
@@ -63,8 +63,8 @@
     fleet.platform.change_faults(change);
 }
 
-/// A change has several mistakes. All are told at once, nothing is written, and
-/// what was in force stays so.
+/// A change has several errors. All of them must be reported at once, nothing may
+/// be written, and the settings in force must stay.
 #[tokio::test]
 async fn findings_come_together_and_nothing_is_written() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -97,7 +97,8 @@
     );
 }
 
-/// A second team claims the first one's customer, whose calls it would take.
+/// A second team defines a customer of the first team. If accepted, it would take
+/// over that customer's calls.
 #[tokio::test]
 async fn another_teams_names_are_findings() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -114,8 +115,8 @@
     );
 }
 
-/// A script sends a change in a wrong form, some with a key in it. A list would
-/// be read as the fields in their order.
+/// A script sends malformed changes, some of which contain a key. Among them are
+/// lists, which a derived deserializer would read as the fields in their order.
 #[tokio::test]
 async fn a_change_in_a_wrong_form_is_refused() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -147,9 +148,9 @@
     assert_eq!(refused.code(), "bad_team_name");
 }
 
-/// Two operators change one team from the same revision at the same time. One
-/// must win, and the other must learn who changed what, or he would write the
-/// other's change away on his second try.
+/// Two operators change a team from the same revision at the same time. One must
+/// succeed, and the other must learn who changed what, since a blind retry would
+/// overwrite the first change.
 #[tokio::test]
 async fn of_two_operators_one_wins_and_the_other_is_told_what_changed() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -184,7 +185,7 @@
 }
 
 /// The daemon's answer to an operator's tool is lost, and the tool sends the
-/// change to another daemon. Meanwhile somebody else changed the team again.
+/// change again. Meanwhile another operator changed the team.
 #[tokio::test]
 async fn a_change_that_is_sent_again_is_told_as_written() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -199,13 +200,13 @@
     let again = put(&fleet, "ada", Some("change-1"), seen, &mine).await;
     assert_eq!(again.json()["revision"], revision, "{}", again.text());
     assert_eq!(history_of(&fleet, "studio").await.len(), 3);
-    // The same id with other content is another change, and must not be told
-    // as written.
+    // The same id with other content is another change, and must not be
+    // reported as written.
     let reused = put(&fleet, "ada", Some("change-1"), seen, &theirs).await;
     assert_eq!(reused.status, StatusCode::CONFLICT, "{}", reused.text());
 }
 
-/// The platform writes the change, and each of its answers is lost.
+/// The platform writes the change, but its answers are lost.
 #[tokio::test]
 async fn a_change_whose_answers_are_lost_is_told_as_written() {
     for lost in [
@@ -237,8 +238,8 @@
     }
 }
 
-/// The platform is down. The operator must hear so soon, that nothing was
-/// written, and when to try again.
+/// During an outage of the platform, the operator must soon learn that nothing was
+/// written and when to retry.
 #[tokio::test]
 async fn in_an_outage_a_change_is_refused_as_not_run() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -264,7 +265,7 @@
     assert_eq!(written.status, StatusCode::OK, "{}", written.text());
 }
 
-/// The platform is slow, and then so slow that no call is answered in time.
+/// The platform is slow, and then so slow that every call times out.
 #[tokio::test]
 async fn a_slow_platform_delays_a_change_or_refuses_it_in_time() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -288,8 +289,8 @@
     );
 }
 
-/// A team changes its settings for years. The history must not outgrow what the
-/// platform takes as one value, and each daemon must not carry it.
+/// A team changes its settings for years. The history must not exceed the maximum
+/// size of a value of the platform, and daemons must not keep it in memory.
 #[tokio::test]
 async fn a_history_tells_who_changed_what_and_keeps_the_last_changes() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -319,7 +320,8 @@
     }
     let teams = read(&fleet, "/settings").await.json();
     assert_eq!(teams["teams"].as_array().map(Vec::len), Some(1), "{teams}");
-    // From before the history begins, only the present revision is told.
+    // For a revision older than the history, only the current revision is
+    // reported.
     let late = put(&fleet, "ada", None, first, &with_rate(1)).await;
     assert_eq!(late.status, StatusCode::CONFLICT);
     assert!(
@@ -331,7 +333,7 @@
     assert_eq!(unknown.status, StatusCode::NOT_FOUND);
 }
 
-/// Somebody on the operators' network has no token, or a wrong one.
+/// Requests to the operator API have no token or a wrong one.
 #[tokio::test]
 async fn without_the_token_nothing_is_told_or_changed() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -369,8 +371,8 @@
     assert!(!fleet.daemons[0].stop.is_cancelled());
 }
 
-/// A monitor reads the metrics without a token. They must hold the values that
-/// the page for operators names.
+/// Monitoring reads the metrics, which must include the values that the
+/// documentation for operators lists.
 #[tokio::test]
 async fn metrics_tell_the_present_values() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -387,7 +389,7 @@
         "comfreyramp_first_token_seconds_count{class=\"live\",customer=\"press\"} 1".to_owned(),
         "comfreyramp_between_tokens_seconds_count{class=\"live\",customer=\"press\"} 2".to_owned(),
         "comfreyramp_platform_calls_total{kind=".to_owned(),
-        // A daemon alone holds every slot, whose burst is 10,000 in all.
+        // A single daemon holds every slot, with a burst of 10,000 in total.
         "comfreyramp_share{customer=\"press\",part=\"capacity\"} 10000".to_owned(),
         "comfreyramp_share{customer=\"market\",part=\"tokens\"} 10000".to_owned(),
     ];
--- a/crates/daemon/tests/rates.rs
+++ b/crates/daemon/tests/rates.rs
@@ -1,4 +1,4 @@
-//! A customer's rate over several daemons, through their doors.
+//! Tests of a customer's rate across several daemons, through their caller APIs.
 
 mod support;
 
@@ -26,7 +26,8 @@
     }
 }
 
-/// Sends to one daemon for so long and returns how many were let in.
+/// Sends requests to one daemon for `duration` and returns how many were
+/// admitted.
 async fn send(fleet: &TestFleet, daemon: usize, span: Duration) -> u32 {
     send_as(fleet, KEY, daemon, span).await
 }
@@ -49,8 +50,8 @@
     admitted
 }
 
-/// A customer sends several times its rate to all daemons at once. Were each to
-/// count for itself, it would get its rate from every one of them.
+/// A customer sends several times its rate to all daemons at once. If each daemon
+/// counted on its own, the customer would get its full rate from each of them.
 #[tokio::test]
 async fn all_daemons_together_let_in_no_more_than_the_rate() {
     let fleet = TestFleet::start(plan(vec!["zone-1", "zone-1", "zone-2"])).await;
@@ -64,11 +65,11 @@
     let admitted = sent.0 + sent.1 + sent.2;
     let allowed = began.elapsed().as_secs_f64() * RATE + f64::from(BURST);
     assert!(f64::from(admitted) <= allowed, "{admitted} of {allowed}");
-    assert!(admitted > 0, "nobody was let in");
+    assert!(admitted > 0, "no request was admitted");
 }
 
-/// All of a customer's callers are connected to the daemon that started last. It
-/// holds no tokens, and would refuse them if it couldn't borrow.
+/// All callers of a customer are connected to the daemon that started last. It
+/// holds no tokens, and would refuse their requests if it couldn't borrow some.
 #[tokio::test]
 async fn a_daemon_without_tokens_borrows_them() {
     let fleet = TestFleet::start(plan(vec!["zone-1", "zone-1"])).await;
@@ -76,19 +77,19 @@
     while send(&fleet, 1, Duration::from_millis(50)).await == 0 {
         assert!(
             began.elapsed() < Duration::from_secs(5),
-            "nothing is borrowed"
+            "no token was borrowed"
         );
     }
     let other = fleet.chat(1, SECOND_KEY, &chat("a verse", 1, false)).await;
     assert_eq!(other.status, StatusCode::OK, "{}", other.text());
 }
 
-/// The platform is away. The daemons go on from what they hold, and still let in
-/// no more than the rate.
+/// During an outage of the platform, the daemons continue with the slots they
+/// hold, and together still admit no more than the rate.
 #[tokio::test]
 async fn an_outage_of_the_platform_neither_stops_nor_widens_the_rate() {
     let fleet = TestFleet::start(plan(vec!["zone-1", "zone-1"])).await;
-    // By then each daemon has seen the other on the roster.
+    // By then each daemon has found the other on the roster.
     tokio::time::sleep(Duration::from_secs(3)).await;
     fleet
         .platform
@@ -97,32 +98,33 @@
             ..Default::default()
         });
     let began = Instant::now();
-    // Longer than a daemon may spend on a view that nobody confirms.
+    // Longer than a daemon may spend tokens by a view that isn't confirmed.
     let span = Duration::from_secs(7);
     let sent = tokio::join!(send(&fleet, 0, span), send(&fleet, 1, span));
     let late = Instant::now();
     let second = Duration::from_secs(1);
     let last = tokio::join!(send(&fleet, 0, second), send(&fleet, 1, second));
     let last = last.0 + last.1;
-    assert!(last > 0, "nobody is let in after {:?}", late - began);
+    assert!(last > 0, "no request is admitted after {:?}", late - began);
     let allowed = began.elapsed().as_secs_f64() * RATE + f64::from(BURST);
     let admitted = sent.0 + sent.1 + last;
     assert!(f64::from(admitted) <= allowed, "{admitted} of {allowed}");
 }
 
-/// A second daemon starts and the platform is lost at some moment of its first seconds.
-/// Customers whose slots it hadn't taken yet were refused everything in the outage.
+/// A second daemon starts, and an outage of the platform begins within its first
+/// seconds. Customers whose slots it hadn't taken yet were refused every request
+/// during the outage.
 #[tokio::test]
 async fn an_outage_just_after_a_start_leaves_no_slot_without_a_holder() {
     let moments = (1..=12).map(|step| Duration::from_millis(200 * step));
     let admitted = futures::future::join_all(moments.map(admitted_in_outage)).await;
     let refused: Vec<_> = admitted.iter().filter(|it| it.1.contains(&0)).collect();
-    assert!(refused.is_empty(), "nobody is let in: {refused:?}");
+    assert!(refused.is_empty(), "no request is admitted: {refused:?}");
 }
 
-/// Starts a second daemon, and the platform's outage so long after it. Returns that span
-/// and how many requests of each customer the first daemon lets in once slots that were on
-/// their way count again.
+/// Starts a second daemon, and an outage of the platform `after` its start. Returns
+/// `after`, and how many requests of each customer the first daemon admits once
+/// the slots that were being transferred count again.
 async fn admitted_in_outage(after: Duration) -> (Duration, [u32; 2]) {
     let mut settings = tight_settings();
     settings.customers[1].rate = RATE;
--- a/crates/daemon/tests/run_once.rs
+++ b/crates/daemon/tests/run_once.rs
@@ -1,4 +1,4 @@
-//! Calls that must not run twice, on real daemons.
+//! Tests of calls that must not run twice, on real daemons.
 
 mod support;
 
@@ -36,7 +36,7 @@
     fleet
 }
 
-/// How often the plain service was called at a path.
+/// Returns how often the plain service was called at a path.
 fn runs(fleet: &TestFleet, path: &str) -> usize {
     let seen = fleet.service.log().list();
     seen.iter().filter(|it| it.path == path).count()
@@ -68,8 +68,8 @@
     assert!(answer.headers.contains_key("retry-after"));
 }
 
-/// Sends the call, again while the daemon waits for its part of the customer's
-/// rate.
+/// Sends the call, and repeats it while the daemon waits for its share of the
+/// customer's rate.
 async fn admitted(fleet: &TestFleet, call: impl Fn() -> Request<MessageBody>) -> WholeAnswer {
     let deadline = Instant::now() + PATIENCE;
     loop {
@@ -83,11 +83,11 @@
     }
 }
 
-/// Waits until the platform holds more claims than before.
+/// Waits until the platform holds more than `before` claims.
 async fn wait_for_claim(fleet: &TestFleet, before: usize) {
     let deadline = Instant::now() + PATIENCE;
     while claims(fleet).await <= before {
-        assert!(Instant::now() < deadline, "no claim is written");
+        assert!(Instant::now() < deadline, "no claim was written");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -99,7 +99,7 @@
     found.expect("the platform answers").pairs.len()
 }
 
-/// Sends the call again until its end is in the platform.
+/// Repeats the call until its outcome is stored in the platform.
 async fn resend_until_known(
     fleet: &TestFleet,
     send: impl Fn() -> Request<MessageBody>,
@@ -110,13 +110,13 @@
         if answer.status != StatusCode::CONFLICT || answer.code() != "already_claimed" {
             return answer;
         }
-        assert!(Instant::now() < deadline, "its end is never known");
+        assert!(Instant::now() < deadline, "the outcome is never stored");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Waits until a daemon that has just started has its part of the customer's
-/// rate: until then it refuses now and then.
+/// Waits until a recently started daemon has its share of the customer's rate.
+/// Until then, it refuses some requests.
 async fn wait_for_tokens(fleet: &TestFleet, call: impl Fn() -> Request<MessageBody>) {
     let deadline = Instant::now() + PATIENCE;
     let mut in_a_row = 0;
@@ -131,9 +131,9 @@
     }
 }
 
-/// Has a daemon ask for the lease of its records, which it does with its first
-/// claim, and waits until the end of that call is written. A daemon that has
-/// just started may have no tokens of the customer's rate yet.
+/// Makes a daemon request the lease of its records, which it does with its first
+/// claim, and waits until the outcome of that call is written. Before that, it
+/// waits for tokens, since a recently started daemon may have none.
 async fn warm(fleet: &TestFleet, first: impl Fn() -> Request<MessageBody>) {
     let number = WARM_CALLS.fetch_add(1, Ordering::Relaxed);
     wait_for_tokens(fleet, &first).await;
@@ -142,8 +142,8 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
 }
 
-/// Sends the call, again while the daemon waits for its part of the customer's
-/// rate.
+/// Sends the call, and repeats it while the daemon waits for its share of the
+/// customer's rate.
 async fn send(
     client: HttpClient,
     tries: Vec<Request<MessageBody>>,
@@ -159,7 +159,7 @@
     last
 }
 
-/// The same call to a process, as often as it may have to be sent.
+/// Returns copies of a call to a daemon process, one for each attempt.
 fn tries(daemon: &DaemonProcess, path: &str, key: &str) -> Vec<Request<MessageBody>> {
     let request = || daemon.request(Method::POST, path, KEY, "a proof to print".to_owned());
     (0..200).map(|_| keyed(request(), key)).collect()
@@ -172,9 +172,8 @@
     }
 }
 
-/// A caller hears nothing for a while and sends its call again, and the
-/// balancer takes it to another daemon. Without a claim the printer gets the
-/// proof twice.
+/// A caller gets no answer for a while and sends its call again, which the load
+/// balancer routes to another daemon. Without a claim, the call would run twice.
 #[tokio::test]
 async fn a_resend_to_another_daemon_finds_the_claim_and_later_the_answer() {
     let fleet = two_daemons().await;
@@ -215,7 +214,8 @@
     assert!(!theirs.headers.contains_key("idempotent-replayed"));
 }
 
-/// The same for answers of models, whole and streamed.
+/// Answers of models must be stored for resent calls too, both complete and
+/// streamed ones.
 #[tokio::test]
 async fn an_answer_of_a_model_is_kept_for_resends() {
     let fleet = two_daemons().await;
@@ -238,8 +238,8 @@
     assert_eq!(fleet.engines[0].server.log().list().len(), 2);
 }
 
-/// An answer is too long for the platform. A resend can't be given it, and
-/// must not be told that the call has not run.
+/// An answer is too long to be stored in the platform. A resent call can't get it,
+/// but must not be answered as if the call hadn't run.
 #[tokio::test]
 async fn a_resend_is_told_that_its_call_ran_if_the_answer_was_too_long_to_keep() {
     let fleet = two_daemons().await;
@@ -257,8 +257,9 @@
     assert_eq!(runs(&fleet, "/proofs/echo"), 1);
 }
 
-/// The platform takes the claim and its answer is lost. Taken for a refusal the
-/// call would never run; taken for nothing it could run twice.
+/// The platform stores the claim, but its answer is lost. If that counted as a
+/// rejected claim, the call would never run; if it counted as no claim, the call
+/// could run twice.
 #[tokio::test]
 async fn a_lost_answer_to_the_claim_is_read_back() {
     let fleet = two_daemons().await;
@@ -275,8 +276,8 @@
     assert_eq!(runs(&fleet, "/proofs/b"), 1);
 }
 
-/// The platform is out. A call that must not run twice can't be claimed and is
-/// refused; one that may run again is served as ever.
+/// During an outage of the platform, a call that must not run twice can't be
+/// claimed and is refused. A call that may run again is served as usual.
 #[tokio::test]
 async fn without_the_platform_such_calls_are_refused_and_not_run() {
     let fleet = two_daemons().await;
@@ -307,7 +308,10 @@
     }
     assert_eq!(fleet.service.log().list().len(), served);
     println!("waits for the refusals: {waits:?}");
-    assert!(waits[0] < Duration::from_secs(3), "while it finds out");
+    assert!(
+        waits[0] < Duration::from_secs(3),
+        "while the daemon detects the outage"
+    );
     assert!(waits[1..].iter().all(|it| *it < Duration::from_millis(500)));
     let usual = fleet.request(0, Method::GET, "/proofs/a", KEY, String::new());
     assert_eq!(fleet.whole(usual).await.status, StatusCode::OK);
@@ -326,7 +330,8 @@
     }
 }
 
-/// A server breaks off a marked call. A second try could run it twice.
+/// A server fails during a call that is marked to run once. Another attempt could
+/// run it twice.
 #[tokio::test]
 async fn a_marked_call_whose_server_fails_is_not_tried_again() {
     let plan = FleetPlan {
@@ -351,8 +356,8 @@
     assert_eq!(arrivals.sum::<usize>(), 1);
 }
 
-/// A daemon is lost with its VM right after it claimed a call, before it sent
-/// it, or after. Nobody can tell which, so a resend must not run the call.
+/// A daemon is lost with its VM after it claimed a call, either before or after it
+/// sent the call. Other daemons can't tell which, so a resent call must not run.
 #[tokio::test]
 async fn a_call_whose_daemon_was_killed_after_the_claim_is_not_run_by_another() {
     let fleet = two_daemons().await;
@@ -363,7 +368,7 @@
         warm(&fleet, first).await;
         let sends_first = number == 1;
         if !sends_first {
-            // The claim is written, and the daemon doesn't learn of it.
+            // The claim is written, but the daemon gets no answer.
             fleet.platform.change_faults(lose(LostAnswers::All(true)));
         }
         let before = claims(&fleet).await;
@@ -383,8 +388,9 @@
     }
 }
 
-/// A daemon is frozen while its claim is on the way, for longer than its caller
-/// waits. The caller asks elsewhere; when the daemon wakes it must not send.
+/// A daemon is suspended while it writes a claim, for longer than its caller waits.
+/// The caller sends the call to another daemon, so the suspended daemon must not
+/// run it when it resumes.
 #[tokio::test]
 async fn a_daemon_that_wakes_does_not_send_on_its_old_claim() {
     let fleet = two_daemons().await;
--- a/crates/daemon/tests/settings_in_force.rs
+++ b/crates/daemon/tests/settings_in_force.rs
@@ -1,4 +1,5 @@
-//! What operators and callers see of a change while the platform fails.
+//! Tests of how a change of settings appears to operators and callers while the
+//! platform fails.
 
 mod support;
 
@@ -12,7 +13,7 @@
     FleetPlan, KEY, PATIENCE, SECOND_KEY, TestFleet, answers::WholeAnswer, chat, usual_settings,
 };
 
-/// How soon a change is in force everywhere.
+/// The time within which a change must be in force on every daemon.
 const IN_FORCE: Duration = Duration::from_secs(5);
 
 fn outage(on: bool) -> FaultChange {
@@ -22,7 +23,8 @@
     }
 }
 
-/// Asks with a key until the answer has a status, and returns it.
+/// Sends requests with a key until an answer has the given status, and returns
+/// that answer.
 async fn wait_for_status(
     fleet: &TestFleet,
     daemon: usize,
@@ -40,8 +42,8 @@
     }
 }
 
-/// A key is withdrawn while the daemons' watches are open and report nothing.
-/// Its holder would go on for as long as nobody looks.
+/// A key is withdrawn while the daemons' watches are open but deliver nothing.
+/// Without reads besides the watches, the key would stay valid.
 #[tokio::test]
 async fn a_key_withdrawn_behind_silent_watches_stops_within_seconds() {
     let plan = FleetPlan {
@@ -81,8 +83,8 @@
     settings
 }
 
-/// The platform is down, so that a withdrawn key can't be told from one in
-/// force. One customer prefers to be served, the other to be refused.
+/// During an outage of the platform, a withdrawn key can't be told from a valid
+/// one. One customer is configured to be served, the other to be refused.
 #[tokio::test]
 async fn in_an_outage_each_customer_gets_what_was_chosen_for_it() {
     let plan = FleetPlan {
@@ -90,7 +92,7 @@
         ..FleetPlan::default()
     };
     let fleet = TestFleet::start(plan).await;
-    // While all is well the view stays far below the bound.
+    // Without a fault, the age of the view stays far below the limit.
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(7) {
         let answer = fleet.chat(0, SECOND_KEY, &chat("a verse", 1, false)).await;
@@ -109,9 +111,9 @@
     wait_for_status(&fleet, 0, SECOND_KEY, StatusCode::OK).await;
 }
 
-/// A daemon is started while the platform is down and has no settings to serve
-/// by. The balancer must not send it callers, and those who come all the same
-/// are told that nothing ran.
+/// A daemon starts during an outage of the platform and has no settings. It must
+/// not report ready to the load balancer, and requests that arrive anyway must be
+/// refused with the statement that nothing ran.
 #[tokio::test]
 async fn a_daemon_started_in_an_outage_is_not_ready() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
@@ -130,10 +132,10 @@
     wait_for_status(&fleet, 1, KEY, StatusCode::OK).await;
 }
 
-/// The answer to an operator's write is lost after the write took effect. Told
-/// that it failed, he would write it again and meet a conflict with himself.
-/// A second operator, who started from the same revision, must lose and hear
-/// what stands there now.
+/// The answer to an operator's write is lost after the write took effect. If the
+/// write were reported as failed, the operator would repeat it and conflict with
+/// their own change. A second operator who started from the same revision must get
+/// a conflict that names the current revision.
 #[tokio::test]
 async fn a_change_whose_answer_is_lost_is_told_as_written() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
--- a/crates/daemon/tests/settings_link.rs
+++ b/crates/daemon/tests/settings_link.rs
@@ -1,10 +1,6 @@
-//! Settings on their way from the platform to every daemon, on virtual time.
+//! Tests of how settings get from the platform to every daemon, on virtual time.
 
-#![allow(
-    clippy::panic,
-    clippy::unwrap_used,
-    reason = "helpers of tests fail the test"
-)]
+#![allow(clippy::panic, clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod link_fleet;
 
@@ -15,7 +11,7 @@
 use comfreyramp_store::{KeyValue, RangeAnswer, WatchBatch};
 use link_fleet::{LinkFleet, outage};
 
-/// How soon a change is in force everywhere.
+/// The time within which a change must be in force on every daemon.
 const IN_FORCE: Duration = Duration::from_secs(5);
 
 fn seconds(count: u64) -> Duration {
@@ -51,8 +47,8 @@
     );
 }
 
-/// The watches' connections stay open and report nothing any more. Without a
-/// look of its own, a daemon serves a withdrawn key until it is restarted.
+/// The connections of the watches stay open but deliver nothing any more. Without
+/// periodic reads, a daemon would accept a withdrawn key until it is restarted.
 #[tokio::test(start_paused = true)]
 async fn a_silent_watch_is_made_good() {
     let fleet = LinkFleet::start(&[3, 3]).await;
@@ -71,8 +67,8 @@
     assert!(took <= IN_FORCE, "{took:?}");
 }
 
-/// The platform is away, changes are made right after it is back, and the
-/// history in between is dropped. A watch resumed as if nothing were missing
+/// Settings change right after an outage of the platform, and the platform then
+/// drops the history in between. A watch that resumed as if nothing were missing
 /// would leave a deleted team in force.
 #[tokio::test(start_paused = true)]
 async fn dropped_history_is_made_good_by_a_whole_read() {
@@ -94,8 +90,8 @@
     assert_eq!(fleet.wait_for_none("press").await, Duration::ZERO);
 }
 
-/// Watches break again and again while operators change settings. No daemon
-/// may show a team's older settings after its newer ones.
+/// Watches break repeatedly while operators change settings. No daemon may
+/// replace a team's settings by older ones.
 #[tokio::test(start_paused = true)]
 async fn breaking_watches_lose_nothing_and_never_go_back() {
     let fleet = LinkFleet::start(&[3, 3]).await;
@@ -120,7 +116,8 @@
     assert!(took <= IN_FORCE, "{took:?}");
 }
 
-/// Both daemons that watch for their zone are lost with their rack.
+/// Both daemons that watch the settings for their zone are lost at once, for
+/// example with their rack.
 #[tokio::test(start_paused = true)]
 async fn two_lost_watchers_are_replaced() {
     let fleet = LinkFleet::start(&[6]).await;
@@ -136,9 +133,9 @@
     assert_eq!(fleet.platform.calls().waiting_watches, 2);
 }
 
-/// Daemons are started while the platform is down, and some of their peers
-/// have hung since before the last change and still answer. A newcomer that
-/// served with what it is told first would take keys that were withdrawn.
+/// Daemons start during an outage of the platform. Some of their peers have
+/// hung since before the last change but still answer. A new daemon that used the
+/// first answer could accept withdrawn keys.
 #[tokio::test(start_paused = true)]
 async fn daemons_started_during_an_outage_take_their_peers_newest_settings() {
     let mut fleet = LinkFleet::start(&[4, 4]).await;
@@ -184,8 +181,8 @@
     assert!(took <= IN_FORCE, "{took:?}");
 }
 
-/// The platform is restored from a backup without anything in it. Its settings
-/// are older than those in force: taking them over would withdraw every key.
+/// The platform is restored from an empty backup. Its settings are older than
+/// those in force, and applying them would withdraw every key.
 #[tokio::test(start_paused = true)]
 async fn a_platform_that_went_back_takes_nothing_out_of_force() {
     let fleet = LinkFleet::start(&[3]).await;
@@ -203,7 +200,7 @@
     assert!(fleet.youngest_view() >= seconds(55));
 }
 
-/// Each call of the platform takes a second and a half.
+/// Each call to the platform takes 1.5 s.
 #[tokio::test(start_paused = true)]
 async fn a_slow_platform_delays_no_change_beyond_the_bound() {
     let fleet = LinkFleet::start(&[3, 3]).await;
@@ -262,15 +259,15 @@
     assert!(behind.is_same(&view));
     assert!(view.changes_since(14).is_empty());
 
-    // What was deleted before the first view is unknown.
+    // Deletions before the first view are unknown.
     assert_eq!(view.changes_since(9).base, 0);
     let mut newcomer = SettingsView::default();
     newcomer.apply(view.changes_since(0));
     assert!(newcomer.is_same(&view));
 }
 
-/// A team's settings are deleted and written again. A peer that has them
-/// already must not lose them to the deletion before.
+/// A team's settings are deleted and written again. A peer that already has the
+/// new settings must not apply the earlier deletion to them.
 #[test]
 fn a_key_that_was_created_again_is_not_deleted_elsewhere() {
     let mut view = SettingsView::default();
--- a/crates/daemon/tests/support/answers.rs
+++ b/crates/daemon/tests/support/answers.rs
@@ -1,32 +1,32 @@
-//! Answers as callers read them.
+//! Answers as callers receive them.
 
 use comfreyramp_http::{Bytes, HeaderMap, StatusCode};
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
-/// A whole answer.
+/// An answer whose body was read to its end.
 #[derive(Debug)]
 pub(crate) struct WholeAnswer {
-    /// Its status.
+    /// The HTTP status.
     pub(crate) status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub(crate) headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub(crate) body: Bytes,
 }
 
 impl WholeAnswer {
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).expect("the body is JSON")
     }
 
-    /// The body as text.
+    /// Returns the body as text.
     pub(crate) fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The error's code.
+    /// Returns the error code in the body, or an empty string if there is none.
     pub(crate) fn code(&self) -> String {
         self.json()["error"]["code"]
             .as_str()
@@ -35,12 +35,14 @@
     }
 }
 
-/// What the answer to a prompt starts with.
+/// Returns the text with which the engine stand-in starts its answer to a
+/// prompt.
 pub(crate) fn start_of_answer(prompt: &str) -> String {
     hex::encode(&Sha256::digest(prompt.as_bytes())[..8])
 }
 
-/// The text and the count of tokens of a stream, and whether it was whole.
+/// Returns the text of a stream, its number of tokens, and whether the stream is
+/// complete.
 pub(crate) fn read_stream(body: &str) -> (String, usize, bool) {
     let events: Vec<&str> = body
         .lines()
--- a/crates/daemon/tests/support/daemon_process.rs
+++ b/crates/daemon/tests/support/daemon_process.rs
@@ -1,4 +1,4 @@
-//! A daemon in a process of its own, which can be killed and frozen.
+//! A daemon in its own process, which a test can kill and suspend.
 
 use std::{
     net::SocketAddr,
@@ -12,7 +12,7 @@
 
 use super::{PATIENCE, TOKEN, TestFleet};
 
-/// A daemon in a process of its own. It is killed when it is dropped.
+/// A daemon in its own process, which is killed on drop.
 #[derive(Debug)]
 pub(crate) struct DaemonProcess {
     child: Child,
@@ -28,7 +28,7 @@
 }
 
 impl DaemonProcess {
-    /// Starts a daemon beside a fleet and waits until it is ready.
+    /// Starts a daemon that joins a fleet and waits until it is ready.
     pub(crate) async fn start(fleet: &TestFleet, name: &str) -> DaemonProcess {
         let folder = tempfile::tempdir().expect("a folder");
         let settings = folder.path().join("settings.json");
@@ -46,7 +46,8 @@
             "addresses_file": addresses,
         });
         std::fs::write(&settings, text.to_string()).expect("the settings are written");
-        // Other crates' tests use this file too, where cargo names no daemon.
+        // Tests of other crates include this file too; there cargo doesn't set
+        // the variable.
         let program = option_env!("CARGO_BIN_EXE_comfreyrampd").unwrap_or("comfreyrampd");
         let child = Command::new(program)
             .arg("--settings")
@@ -67,7 +68,7 @@
         daemon
     }
 
-    /// A request to its callers' door.
+    /// Builds a request to the daemon's caller API.
     pub(crate) fn request(
         &self,
         method: Method,
@@ -83,13 +84,13 @@
             .expect("a valid request")
     }
 
-    /// Ends it as the loss of its VM would.
+    /// Kills the process, as the loss of its VM would.
     pub(crate) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Sends it a signal such as `STOP`, `CONT` or `TERM`.
+    /// Sends the process a signal such as `STOP`, `CONT` or `TERM`.
     pub(crate) fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .arg(format!("-{name}"))
@@ -98,19 +99,23 @@
         assert!(sent.expect("kill runs").success(), "{name} is sent");
     }
 
-    /// Waits until it has ended by itself, and says whether it ended well.
+    /// Waits until the process exits by itself, and returns whether it exited
+    /// successfully.
     pub(crate) async fn ended(&mut self) -> bool {
         let deadline = tokio::time::Instant::now() + PATIENCE;
         loop {
-            if let Some(status) = self.child.try_wait().expect("its state") {
+            if let Some(status) = self.child.try_wait().expect("the process state") {
                 return status.success();
             }
-            assert!(tokio::time::Instant::now() < deadline, "it never ended");
+            assert!(
+                tokio::time::Instant::now() < deadline,
+                "the process never exited"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Waits until it is ready and knows a server of each group.
+    /// Waits until the daemon is ready and knows a server of each group.
     async fn wait_ready(&self, fleet: &TestFleet) {
         let deadline = tokio::time::Instant::now() + PATIENCE;
         loop {
--- a/crates/daemon/tests/support/engine_process.rs
+++ b/crates/daemon/tests/support/engine_process.rs
@@ -1,4 +1,4 @@
-//! An engine stand-in in a process of its own, which a request can crash.
+//! An engine stand-in in its own process, which a request can crash.
 
 use std::{
     net::SocketAddr,
@@ -8,14 +8,14 @@
 
 use super::{TestFleet, daemon_process::read_addresses, vm};
 
-/// A prompt with this text ends the engine that runs it.
+/// A prompt that contains this text crashes the engine that runs it.
 pub(crate) const CRASH: &str = "CRASH-THE-ENGINE";
 
-/// An engine in a process of its own. It is killed when it is dropped.
+/// An engine in its own process, which is killed on drop.
 #[derive(Debug)]
 pub(crate) struct EngineProcess {
     child: Child,
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub(crate) address: SocketAddr,
     _folder: tempfile::TempDir,
 }
@@ -28,7 +28,7 @@
 }
 
 impl EngineProcess {
-    /// Starts an engine and lists its VM.
+    /// Starts an engine and adds its VM to the platform's list.
     pub(crate) async fn start(fleet: &TestFleet, name: &str, zone: &str) -> EngineProcess {
         let folder = tempfile::tempdir().expect("a folder");
         let addresses = folder.path().join("addresses.json");
@@ -50,13 +50,14 @@
         }
     }
 
-    /// Whether it still runs.
+    /// Returns whether the process still runs.
     pub(crate) fn is_alive(&mut self) -> bool {
-        self.child.try_wait().expect("its state").is_none()
+        self.child.try_wait().expect("the process state").is_none()
     }
 }
 
-/// A stand-in's program, which lies beside the folder of the test programs.
+/// Returns the path of a stand-in's program, which is in the parent of the
+/// folder with the test programs.
 fn stand_in(name: &str) -> PathBuf {
     let test = std::env::current_exe().expect("the test's own path");
     let folder = test.ancestors().nth(2).expect("a target folder");
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A small fleet within the test's own process: real daemons and stand-ins on
-//! loopback sockets.
+//! A small fleet within the test process: real daemons, and stand-ins for all
+//! other components, on loopback sockets.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 pub(crate) mod answers;
 pub(crate) mod daemon_process;
@@ -31,23 +31,23 @@
 
 pub(crate) use answers::WholeAnswer;
 
-/// The operators' token of every test fleet.
+/// The token for the operator API of every test fleet.
 pub(crate) const TOKEN: &str = "a-token-for-tests";
 /// The key of the customer `press`.
 pub(crate) const KEY: &str = "cfr-key-of-press-0123456789abcdef";
 /// The key of the customer `market`.
 pub(crate) const SECOND_KEY: &str = "cfr-key-of-market-0123456789abcdef";
-/// How long anything may take before a test gives up.
+/// The time limit for each wait of a test.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
-/// What a fleet consists of.
+/// The daemons, engines and settings that a fleet starts with.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetPlan {
-    /// The zone of each daemon.
+    /// The availability zone of each daemon.
     pub(crate) daemons: Vec<&'static str>,
-    /// The options of each engine, with its zone.
+    /// The availability zone and the options of each engine.
     pub(crate) engines: Vec<(&'static str, EngineOptions)>,
-    /// The operators' settings, if the fleet starts with some.
+    /// The team settings, if the fleet starts with any.
     pub(crate) settings: Option<TeamSettings>,
 }
 
@@ -64,35 +64,35 @@
 /// A daemon of the fleet.
 #[derive(Debug)]
 pub(crate) struct TestDaemon {
-    /// Its doors.
+    /// The addresses on which the daemon listens.
     pub(crate) addresses: BoundAddresses,
-    /// Ends it as SIGTERM would.
+    /// Cancelled to stop the daemon, as SIGTERM would.
     pub(crate) stop: CancellationToken,
-    /// Its task.
+    /// The task that runs the daemon.
     pub(crate) task: JoinHandle<anyhow::Result<()>>,
 }
 
 /// An engine of the fleet.
 #[derive(Debug)]
 pub(crate) struct TestEngine {
-    /// Where it listens.
+    /// The address on which the engine listens.
     pub(crate) address: SocketAddr,
-    /// The stand-in itself.
+    /// The engine stand-in.
     pub(crate) server: Arc<EngineServer>,
-    /// Cuts all its connections.
+    /// Cancelled to stop the engine, which closes all its connections.
     pub(crate) stop: CancellationToken,
 }
 
-/// A running fleet. Everything ends when it is dropped.
+/// A running fleet, which is stopped on drop.
 #[derive(Debug)]
 pub(crate) struct TestFleet {
-    /// The platform.
+    /// The platform stand-in.
     pub(crate) platform: SharedPlatform,
-    /// Where the platform listens.
+    /// The address on which the platform listens.
     pub(crate) platform_address: SocketAddr,
     /// The engines.
     pub(crate) engines: Vec<TestEngine>,
-    /// The plain service.
+    /// The server of the plain service.
     pub(crate) service: Arc<ServiceServer>,
     /// The daemons.
     pub(crate) daemons: Vec<TestDaemon>,
@@ -106,7 +106,7 @@
     }
 }
 
-/// Two customers, a model and a plain service.
+/// Returns settings with two customers, a model and a plain service.
 pub(crate) fn usual_settings() -> TeamSettings {
     TeamSettings {
         customers: vec![customer("press", KEY), customer("market", SECOND_KEY)],
@@ -133,7 +133,7 @@
     }
 }
 
-/// A customer with one key and an ample rate.
+/// Returns a customer with one key and a rate that no test reaches.
 pub(crate) fn customer(name: &str, key: &str) -> CustomerSettings {
     CustomerSettings {
         name: name.to_owned(),
@@ -149,12 +149,12 @@
     }
 }
 
-/// An engine of a speed that suits tests.
+/// Returns the options of an engine that is fast enough for tests.
 pub(crate) fn quick_engine() -> EngineOptions {
     EngineOptions::default()
 }
 
-/// A chat request.
+/// Returns the body of a chat request.
 pub(crate) fn chat(prompt: &str, tokens: u32, stream: bool) -> Value {
     json!({
         "model": "demo-model",
@@ -206,7 +206,7 @@
         fleet
     }
 
-    /// Adds an engine and lists its VM.
+    /// Starts an engine and adds its VM to the platform's list.
     pub(crate) async fn add_engine(&mut self, zone: &str, options: EngineOptions) {
         let (listener, address) = listen().await;
         let name = format!("engine-{}", self.engines.len() + 1);
@@ -221,7 +221,7 @@
         });
     }
 
-    /// Adds a daemon.
+    /// Starts a daemon and adds its VM to the platform's list.
     pub(crate) async fn add_daemon(&mut self, zone: &str) {
         let free: SocketAddr = ([127, 0, 0, 1], 0).into();
         let platform = format!("http://{}", self.platform_address);
@@ -243,7 +243,7 @@
         };
         let daemon = EntryDaemon::bind(settings)
             .await
-            .expect("the doors can be bound");
+            .expect("the listeners can be bound");
         let addresses = daemon.addresses();
         let name = format!("daemon-{}", self.daemons.len() + 1);
         let listed = vm(&name, zone, "entry", addresses.peers);
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Calls a daemon's operators' door.
+    /// Sends a request to a daemon's operator API.
     pub(crate) async fn operators(
         &self,
         daemon: usize,
@@ -308,7 +308,7 @@
         self.whole(request).await
     }
 
-    /// A request to a daemon's callers' door.
+    /// Builds a request to a daemon's caller API.
     pub(crate) fn request(
         &self,
         daemon: usize,
@@ -326,7 +326,7 @@
             .expect("a valid request")
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete answer.
     pub(crate) async fn whole(&self, request: Request<MessageBody>) -> WholeAnswer {
         let response = self.open(request).await;
         let (head, body) = response.into_parts();
@@ -345,7 +345,7 @@
         sent.expect("an answer in time").expect("an answer")
     }
 
-    /// Switches an engine's faults.
+    /// Sets the injected faults of an engine.
     pub(crate) async fn set_engine_faults(&self, engine: &TestEngine, faults: &FaultSwitches) {
         let body = serde_json::to_vec(faults).expect("the faults as JSON");
         let request = Request::builder()
@@ -365,7 +365,7 @@
     }
 }
 
-/// A VM for the list.
+/// Returns a live VM for the platform's list.
 pub(crate) fn vm(name: &str, zone: &str, group: &str, address: SocketAddr) -> ListedVm {
     ListedVm {
         name: name.to_owned(),
--- a/crates/daemon/tests/suspects.rs
+++ b/crates/daemon/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! The request that crashes servers, with engines in processes of their own.
+//! Tests of requests that crash servers, with engines in their own processes.
 
 mod support;
 
@@ -13,7 +13,7 @@
     vm,
 };
 
-/// How long the crasher's caller goes on.
+/// How long the caller sends the crashing request.
 const ATTACK: Duration = Duration::from_secs(6);
 
 async fn three_daemons() -> TestFleet {
@@ -31,7 +31,7 @@
         let name = format!("engine-{number}");
         engines.push(EngineProcess::start(fleet, &name, "zone-1").await);
     }
-    // The daemons read the list once a second.
+    // The daemons read the list of VMs once a second.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     engines
 }
@@ -44,7 +44,8 @@
         .count()
 }
 
-/// Sends the crasher to one daemon again and again, as fast as it is answered.
+/// Sends the crashing request to one daemon repeatedly, as fast as it is
+/// answered.
 async fn attack(fleet: &TestFleet, daemon: usize) -> Vec<(WholeAnswer, Duration)> {
     let crasher = chat(&format!("a verse with {CRASH} in it"), 8, false);
     let begun = Instant::now();
@@ -58,10 +59,10 @@
     answers
 }
 
-/// A caller's request crashes each engine that runs it, and its caller sends it
-/// to all daemons again and again. Without a common memory each daemon loses
-/// engines of its own until none is left; with one that blocks too much, those
-/// who shared an engine with it get no answer.
+/// A request crashes each engine that runs it, and its caller sends it to all
+/// daemons repeatedly. Without shared records, each daemon loses engines of its
+/// own until none is left. If the daemons block too much, requests that only ran
+/// on the same engine get no answer.
 #[tokio::test]
 async fn one_request_costs_two_engines_at_most_and_innocents_get_their_answers() {
     let fleet = three_daemons().await;
@@ -86,7 +87,7 @@
     let lost = lost(&mut engines);
     let (first, second, third) = attacks;
     for answers in [&first, &second, &third] {
-        println!("{} tries, engines lost: {lost}", answers.len());
+        println!("{} attempts, engines lost: {lost}", answers.len());
         let (last, took) = answers.last().expect("an answer");
         assert_eq!(last.status, StatusCode::UNPROCESSABLE_ENTITY);
         assert_eq!(last.code(), "request_blocked");
@@ -97,12 +98,12 @@
         assert!(answers.iter().all(with_time));
     }
     assert!(lost <= 2, "{lost} engines were lost");
-    assert_eq!(lost, 2, "it was given its one trial");
+    assert_eq!(lost, 2, "the suspect had its one trial");
 }
 
-/// A caller whose request was blocked turns to the other daemons one by one, and
-/// then all daemons are replaced. One that knows nothing of the block would let
-/// the request crash further engines.
+/// A caller whose request was blocked sends it to the other daemons one by one,
+/// and then all daemons are replaced. A daemon that doesn't know of the block would
+/// let the request crash more engines.
 #[tokio::test]
 async fn every_daemon_knows_the_block_and_one_that_starts_later_too() {
     let mut fleet = three_daemons().await;
@@ -128,9 +129,9 @@
     assert_eq!(lost(&mut engines), 2);
 }
 
-/// VMs are listed whose engines are gone, and streams are sent to them in vain before they
-/// run. Each such try counted as one of three, so that a stream which then ran on both of
-/// the engines that a request crashes got no answer.
+/// Some listed VMs have no running engine, so streams fail to connect to them before
+/// they run elsewhere. Each failed connection counted as one of three attempts, so a
+/// stream that then ran on both engines lost to the crashing request got no answer.
 #[tokio::test]
 async fn a_try_that_reached_no_engine_is_no_lost_engine() {
     let fleet = three_daemons().await;
--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -1,6 +1,7 @@
-//! Files and lots through the callers' door, from the upload to the results.
+//! Tests of files and lots through the caller API, from the upload to the
+//! results.
 
-#![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod lot_calls;
 mod support;
@@ -11,7 +12,7 @@
 use lot_calls::{BOUNDARY, LotCaller, form, input};
 use support::{FleetPlan, KEY, PATIENCE, SECOND_KEY, TestFleet};
 
-/// A fleet of two daemons and an engine.
+/// Starts a fleet of two daemons and one engine.
 async fn fleet() -> TestFleet {
     let plan = FleetPlan {
         daemons: vec!["zone-1", "zone-1"],
@@ -38,8 +39,8 @@
     first.check_results(&lot, 30).await;
 }
 
-// A client's connection breaks after it sent its job, and it sends everything
-// again to another daemon. Two lots would do, and bill, the work twice.
+// A client's connection breaks after it created a lot, and it sends everything
+// again to another daemon. With two lots, the work would be done and billed twice.
 #[tokio::test]
 async fn a_resent_job_is_the_same_lot() {
     let fleet = fleet().await;
@@ -55,7 +56,7 @@
         .await;
     first.check_results(&lot, 12).await;
     assert_eq!(second.create(&file).await["id"], lot["id"]);
-    // The same key with a different request is a mistake that must show.
+    // The same key with a different request is an error that must be reported.
     let other = first.upload(&input(3, 4)).await;
     assert_eq!(second.ask_lot(&other).await.status, StatusCode::CONFLICT);
     // Another key makes another lot of the same content.
@@ -81,8 +82,8 @@
     assert_eq!(ended, 100, "{counts}");
 }
 
-// A customer guesses or learns the id of another's file or lot. Ids aren't
-// secrets: whose key it is must decide.
+// A customer guesses or learns the id of another customer's file or lot. Ids aren't
+// secrets, so access must depend on the key.
 #[tokio::test]
 async fn nobody_reaches_another_customers_files_or_lots() {
     let fleet = fleet().await;
@@ -112,7 +113,7 @@
         let list = other.send(Method::GET, path, String::new()).await.json();
         assert_eq!(list["data"].as_array().unwrap().len(), 0, "{path}");
     }
-    // The same content of another customer is another file.
+    // The same content uploaded by another customer is another file.
     assert_ne!(other.upload(&content).await, file);
     owner.check_results(&lot, 5).await;
 }
@@ -159,8 +160,8 @@
     assert_eq!(answer.code(), "invalid_content_type");
 }
 
-// A client announces more than a file may have. It must learn so before it has
-// sent everything.
+// A client announces a body that exceeds the limit of a file. It must be rejected
+// before the client has sent all of it.
 #[tokio::test]
 async fn a_body_that_says_it_is_too_long_is_refused_at_once() {
     let fleet = fleet().await;
@@ -177,8 +178,8 @@
     drop(sender);
 }
 
-// A client vanishes in the middle of an upload. Nothing of it may show, and the
-// daemon goes on.
+// A client disconnects in the middle of an upload. No part of the file may become
+// visible, and the daemon must keep serving.
 #[tokio::test]
 async fn a_vanished_client_leaves_no_file() {
     let fleet = fleet().await;
