--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -20,28 +20,28 @@
 const SEED: u64 = 0xbad_1234;
 /// The time limit for the daemon to answer or to close a connection, except for
 /// slow clients.
-const SOON: Duration = Duration::from_secs(5);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long the client waits for the answer to a complete request before it shuts
 /// down its side of the connection.
-const WHOLE: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The same time for a request that may be truncated.
-const MAYBE_CUT: Duration = Duration::from_millis(20);
+const TRUNCATED_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Sends bytes and reads until the daemon closes the connection. After `timeout`,
 /// the client shuts down its side, since the request may be incomplete.
-async fn send(door: SocketAddr, bytes: &[u8], patience: Duration) -> String {
-    let mut stream = TcpStream::connect(door)
+async fn send(address: SocketAddr, bytes: &[u8], timeout: Duration) -> String {
+    let mut stream = TcpStream::connect(address)
         .await
         .expect("the listener accepts connections");
     // The daemon may answer and close before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
-    if tokio::time::timeout(patience, read).await.is_err() {
+    if tokio::time::timeout(timeout, read).await.is_err() {
         let _ = stream.shutdown().await;
         let read = stream.read_to_end(&mut answer);
-        let ended = tokio::time::timeout(SOON, read).await;
+        let ended = tokio::time::timeout(CLOSE_TIMEOUT, read).await;
         assert!(
             ended.is_ok(),
             "the connection stays open: {}",
@@ -51,8 +51,8 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-async fn raw(door: SocketAddr, bytes: &[u8]) -> String {
-    send(door, bytes, WHOLE).await
+async fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
+    send(address, bytes, ANSWER_TIMEOUT).await
 }
 
 fn status_of(answer: &str) -> u16 {
@@ -70,7 +70,7 @@
     format!("{}\r\n{headers}\r\n", lines.join("\r\n")).into_bytes()
 }
 
-async fn still_serves(fleet: &TestFleet) {
+async fn assert_serves(fleet: &TestFleet) {
     let answer = fleet.chat(0, KEY, &chat("a verse", 1, false)).await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
 }
@@ -80,7 +80,7 @@
 #[tokio::test]
 async fn no_path_leaves_a_services_prefix() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let before = fleet.service.log().list().len();
     let targets = [
         "/proofs/../admin",
@@ -99,7 +99,7 @@
         "http://elsewhere/proofs/../admin",
     ];
     for target in targets {
-        let answer = raw(door, &request("GET", target, "")).await;
+        let answer = send_raw(address, &request("GET", target, "")).await;
         assert_eq!(status_of(&answer), 400, "{target}: {answer}");
         assert!(
             answer.contains("x-comfreyramp-ran: no"),
@@ -113,7 +113,7 @@
         "/proofs/.hidden",
         "/proofs/%zz",
     ] {
-        let answer = raw(door, &request("GET", target, "")).await;
+        let answer = send_raw(address, &request("GET", target, "")).await;
         assert_eq!(status_of(&answer), 200, "{target}: {answer}");
     }
 }
@@ -123,7 +123,7 @@
 #[tokio::test]
 async fn the_targets_form_doesnt_choose_the_server() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let cases = [
         ("GET", "http://127.0.0.1:1/proofs/x", 200),
         ("GET", "http://127.0.0.1:1/other", 404),
@@ -134,17 +134,17 @@
         ("GET", "/proofsheets", 404),
     ];
     for (method, target, status) in cases {
-        let answer = raw(door, &request(method, target, "")).await;
+        let answer = send_raw(address, &request(method, target, "")).await;
         assert_eq!(status_of(&answer), status, "{method} {target}: {answer}");
     }
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
 }
 
 /// A client uses a method that a path doesn't support, or sends a HEAD request.
 #[tokio::test]
 async fn a_wrong_method_is_told_the_right_ones() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let cases = [
         ("GET", "/v1/chat/completions", "POST"),
         ("PUT", "/v1/completions", "POST"),
@@ -158,7 +158,7 @@
         ("GET", "/v1/batches/batch-1/cancel", "POST"),
     ];
     for (method, path, allowed) in cases {
-        let answer = raw(door, &request(method, path, "")).await;
+        let answer = send_raw(address, &request(method, path, "")).await;
         assert_eq!(status_of(&answer), 405, "{method} {path}: {answer}");
         assert!(
             answer.contains(&format!("allow: {allowed}\r\n")),
@@ -167,10 +167,10 @@
         assert!(answer.contains("x-comfreyramp-ran: no"), "{answer}");
     }
     for path in ["/v1/unknown", "/v1/files/a/b/c", "/v1/chat", "/v1/"] {
-        let answer = raw(door, &request("GET", path, "")).await;
+        let answer = send_raw(address, &request("GET", path, "")).await;
         assert_eq!(status_of(&answer), 404, "{path}: {answer}");
     }
-    let answer = raw(door, &request("HEAD", "/v1/models", "")).await;
+    let answer = send_raw(address, &request("HEAD", "/v1/models", "")).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
     assert!(answer.ends_with("\r\n\r\n"), "unexpected body: {answer}");
     let operators = fleet.daemons[0].addresses.operators;
@@ -181,8 +181,8 @@
         ("DELETE", "/settings/studio", "GET, HEAD, PUT"),
         ("POST", "/metrics", "GET, HEAD"),
     ] {
-        let ask = format!("{method} {path} HTTP/1.1\r\nhost: door\r\n{token}\r\n");
-        let answer = raw(operators, ask.as_bytes()).await;
+        let text = format!("{method} {path} HTTP/1.1\r\nhost: door\r\n{token}\r\n");
+        let answer = send_raw(operators, text.as_bytes()).await;
         assert_eq!(status_of(&answer), 405, "{method} {path}: {answer}");
         assert!(
             answer.contains(&format!("allow: {allowed}\r\n")),
@@ -196,28 +196,28 @@
 #[tokio::test]
 async fn heads_are_bounded_and_may_hold_any_bytes() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let long = format!("x-long: {}\r\n", "a".repeat(200_000));
-    let answer = raw(door, &request("GET", "/v1/models", &long)).await;
+    let answer = send_raw(address, &request("GET", "/v1/models", &long)).await;
     assert_eq!(status_of(&answer), 431, "{answer}");
     let many: String = (0..5000).map(|it| format!("x-{it}: 1\r\n")).collect();
-    let answer = raw(door, &request("GET", "/v1/models", &many)).await;
+    let answer = send_raw(address, &request("GET", "/v1/models", &many)).await;
     assert_eq!(status_of(&answer), 431, "{answer}");
     let target = format!("/proofs/{}", "a".repeat(200_000));
-    let answer = raw(door, &request("GET", &target, "")).await;
+    let answer = send_raw(address, &request("GET", &target, "")).await;
     assert!([414, 431].contains(&status_of(&answer)), "{answer}");
 
     let mut bytes = b"GET /v1/models HTTP/1.1\r\nhost: door\r\nconnection: close\r\n".to_vec();
     bytes.extend_from_slice(b"authorization: Bearer \xff\xfe\r\n\r\n");
-    let answer = raw(door, &bytes).await;
+    let answer = send_raw(address, &bytes).await;
     assert_eq!(status_of(&answer), 401, "{answer}");
     let mut bytes = request("GET", "/proofs/x", "");
     bytes.truncate(bytes.len() - 2);
     bytes.extend_from_slice(b"x-name: \xc3\x28\xff\r\n\r\n");
-    let answer = raw(door, &bytes).await;
+    let answer = send_raw(address, &bytes).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
-    let answer = raw(
-        door,
+    let answer = send_raw(
+        address,
         b"GET /proofs/\xff\xc3\x28 HTTP/1.1\r\nhost: door\r\n\r\n",
     )
     .await;
@@ -225,7 +225,7 @@
     let both = "content-length: 5\r\ntransfer-encoding: chunked\r\n";
     let mut bytes = request("POST", "/proofs/x", both);
     bytes.extend_from_slice(b"0\r\n\r\nGET /admin HTTP/1.1\r\n\r\n");
-    let answer = raw(door, &bytes).await;
+    let answer = send_raw(address, &bytes).await;
     let refused = status_of(&answer) == 400;
     assert!(refused || answer.contains("\"body_bytes\":0,"), "{answer}");
     let paths = fleet.service.log().list().into_iter().map(|it| it.path);
@@ -234,7 +234,7 @@
         "{:?}",
         paths.collect::<Vec<_>>()
     );
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
 }
 
 /// Clients send a head only partly, or open connections and send nothing. Without
@@ -242,11 +242,11 @@
 #[tokio::test]
 async fn a_slow_head_ends_its_connection() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let began = Instant::now();
     let mut silent = Vec::new();
     for start in ["", "GET /v1/models HT", "GET /v1/models HTTP/1.1\r\nhost:"] {
-        let mut stream = TcpStream::connect(door)
+        let mut stream = TcpStream::connect(address)
             .await
             .expect("the listener accepts connections");
         stream
@@ -255,7 +255,7 @@
             .expect("the bytes are written");
         silent.push(stream);
     }
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
     for mut stream in silent {
         let mut answer = Vec::new();
         let read = stream.read_to_end(&mut answer);
@@ -268,11 +268,11 @@
 #[tokio::test]
 async fn a_client_that_vanishes_runs_nothing() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let before = fleet.engines[0].server.log().list().len();
     for _ in 0..50 {
         let head = request("POST", "/v1/chat/completions", "content-length: 5000\r\n");
-        let mut stream = TcpStream::connect(door)
+        let mut stream = TcpStream::connect(address)
             .await
             .expect("the listener accepts connections");
         stream
@@ -285,7 +285,7 @@
             .expect("the bytes are written");
         drop(stream);
     }
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
     assert_eq!(fleet.engines[0].server.log().list().len(), before + 1);
 }
 
@@ -295,10 +295,10 @@
 #[tokio::test]
 async fn a_server_isnt_blamed_for_uploads_that_break_off() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     for _ in 0..30 {
         let head = request("POST", "/proofs/x", "transfer-encoding: chunked\r\n");
-        let mut stream = TcpStream::connect(door)
+        let mut stream = TcpStream::connect(address)
             .await
             .expect("the listener accepts connections");
         stream
@@ -314,7 +314,7 @@
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(weight_of_service(&fleet).await, 1.0);
-    let answer = raw(door, &request("GET", "/proofs/x", "")).await;
+    let answer = send_raw(address, &request("GET", "/proofs/x", "")).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
 }
 
@@ -329,10 +329,10 @@
         ..FleetPlan::default()
     };
     let fleet = TestFleet::start(plan).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let mut bytes = request("POST", "/proofs/x", "transfer-encoding: chunked\r\n");
     bytes.extend_from_slice(b"64\r\nhalf of it");
-    let answer = send(door, &bytes, SOON).await;
+    let answer = send(address, &bytes, CLOSE_TIMEOUT).await;
     assert_eq!(status_of(&answer), 408, "{answer}");
     assert!(answer.contains("x-comfreyramp-ran: unknown"), "{answer}");
     assert_eq!(weight_of_service(&fleet).await, 1.0);
@@ -408,17 +408,17 @@
     for round in 0..600 {
         let mut bytes = valid[rng.random_range(0..valid.len())].clone();
         damage(&mut bytes, &mut rng);
-        let door = if round % 2 == 0 {
+        let address = if round % 2 == 0 {
             addresses.callers
         } else {
             addresses.operators
         };
-        let answer = send(door, &bytes, MAYBE_CUT).await;
+        let answer = send(address, &bytes, TRUNCATED_TIMEOUT).await;
         assert!(!answer.contains(KEY) && !answer.contains(TOKEN), "{answer}");
         if round % 100 == 0 {
-            still_serves(&fleet).await;
+            assert_serves(&fleet).await;
         }
     }
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
     assert_eq!(PANICS.load(Ordering::SeqCst), 0);
 }
--- a/crates/daemon/tests/bulk_gate.rs
+++ b/crates/daemon/tests/bulk_gate.rs
@@ -17,18 +17,18 @@
 const BATCH: u32 = 8;
 
 /// A daemon's limiters and server pool with a clock that the test advances.
-struct TestGate {
-    gate: ServerGates,
+struct TestLimiter {
+    gates: ServerGates,
     pool: ServerPool,
     settings: DaemonSettings,
     now: Timestamp,
 }
 
-impl TestGate {
+impl TestLimiter {
     fn new(vms: &[ListedVm]) -> Self {
         let free = ([127, 0, 0, 1], 0).into();
-        let mut gate = TestGate {
-            gate: ServerGates::default(),
+        let mut limiter = TestLimiter {
+            gates: ServerGates::default(),
             pool: ServerPool::default(),
             settings: DaemonSettings {
                 name: "daemon-1".to_owned(),
@@ -48,33 +48,33 @@
             },
             now: Timestamp::ZERO + Duration::from_secs(60),
         };
-        gate.pool.update(vms, "zone-1", gate.now);
-        gate.pass(Duration::ZERO);
-        gate
+        limiter.pool.update(vms, "zone-1", limiter.now);
+        limiter.advance(Duration::ZERO);
+        limiter
     }
 
-    fn pass(&mut self, span: Duration) {
-        self.now = self.now + span;
-        self.pool.show_gates(&self.gate, &self.settings, self.now);
+    fn advance(&mut self, duration: Duration) {
+        self.now = self.now + duration;
+        self.pool.show_gates(&self.gates, &self.settings, self.now);
     }
 
     fn open(&self) -> Option<BulkSlot> {
         let take = |id| self.pool.take(id, ProcessClock::default());
-        self.gate
+        self.gates
             .open("engines", ProcessClock::default(), self.now, take)
     }
 
     /// Delivers a load report from each server, with `others` requests of other
     /// daemons.
     fn report(&self, slots: &[BulkSlot], others: u32) {
-        for (server, _) in self.gate.to_ask(self.now) {
+        for (server, _) in self.gates.to_ask(self.now) {
             let own = slots.iter().filter(|it| it.server.id == server).count();
             let report = LoadReport {
                 running: u32::try_from(own).unwrap() + others,
                 waiting: 0,
                 batch: BATCH,
             };
-            self.gate.note_report(server, report, self.now);
+            self.gates.note_report(server, report, self.now);
         }
     }
 
@@ -83,7 +83,7 @@
         let mut slots = Vec::new();
         for _ in 0..60 {
             // Longer than the lag of a report, so that it includes all slots.
-            self.pass(Duration::from_millis(250));
+            self.advance(Duration::from_millis(250));
             self.report(&slots, 0);
             slots.extend(std::iter::from_fn(|| self.open()));
         }
@@ -101,7 +101,7 @@
     }
 }
 
-fn stopped(slots: &[BulkSlot]) -> usize {
+fn stopped_count(slots: &[BulkSlot]) -> usize {
     slots.iter().filter(|it| it.stop.is_cancelled()).count()
 }
 
@@ -110,43 +110,43 @@
 // already be queued behind them in the engine.
 #[test]
 fn bulk_work_makes_room_before_a_live_request_is_sent() {
-    let mut gate = TestGate::new(&[vm("engine-1", "engines")]);
-    let slots = gate.fill();
+    let mut limiter = TestLimiter::new(&[vm("engine-1", "engines")]);
+    let slots = limiter.fill();
     assert_eq!(slots.len(), BATCH as usize);
     let server = slots[0].server.id;
     for live in 1..=slots.len() {
-        gate.gate.note_arrival(server, gate.now);
-        assert_eq!(stopped(&slots), live);
+        limiter.gates.note_arrival(server, limiter.now);
+        assert_eq!(stopped_count(&slots), live);
     }
     drop(slots);
-    assert!(gate.open().is_none());
+    assert!(limiter.open().is_none());
 }
 
 // Another daemon sends live work to the same engine. This daemon learns of it
 // only from the engine's report, and must then preempt bulk work.
 #[test]
 fn requests_of_other_daemons_take_room() {
-    let mut gate = TestGate::new(&[vm("engine-1", "engines")]);
-    let slots = gate.fill();
-    gate.pass(Duration::from_millis(250));
-    gate.report(&slots, 0);
-    assert_eq!(stopped(&slots), 0);
-    gate.report(&slots, 4);
-    assert_eq!(stopped(&slots), 4);
+    let mut limiter = TestLimiter::new(&[vm("engine-1", "engines")]);
+    let slots = limiter.fill();
+    limiter.advance(Duration::from_millis(250));
+    limiter.report(&slots, 0);
+    assert_eq!(stopped_count(&slots), 0);
+    limiter.report(&slots, 4);
+    assert_eq!(stopped_count(&slots), 4);
 }
 
 // An engine doesn't report its load. Since the live work on it is unknown, bulk
 // work must not start there, and running bulk work must end soon.
 #[test]
 fn a_server_that_tells_nothing_gets_no_bulk_work() {
-    let mut gate = TestGate::new(&[vm("engine-1", "engines")]);
-    gate.pass(Duration::from_secs(10));
-    assert!(gate.open().is_none());
-    let slots = gate.fill();
+    let mut limiter = TestLimiter::new(&[vm("engine-1", "engines")]);
+    limiter.advance(Duration::from_secs(10));
+    assert!(limiter.open().is_none());
+    let slots = limiter.fill();
     assert!(!slots.is_empty());
     drop(slots);
-    gate.pass(Duration::from_secs(6));
-    assert!(gate.open().is_none());
+    limiter.advance(Duration::from_secs(6));
+    assert!(limiter.open().is_none());
 }
 
 // A daemon joins the zone and becomes the home of some servers. If the old home
@@ -156,13 +156,13 @@
     let engines: Vec<ListedVm> = (0..8)
         .map(|it| vm(&format!("engine-{it}"), "engines"))
         .collect();
-    let mut gate = TestGate::new(&engines);
-    let slots = gate.fill();
+    let mut limiter = TestLimiter::new(&engines);
+    let slots = limiter.fill();
     let mut listed = engines.clone();
     listed.push(vm("daemon-1", "entry"));
     listed.push(vm("daemon-2", "entry"));
-    gate.pool.update(&listed, "zone-1", gate.now);
-    gate.pass(Duration::ZERO);
+    limiter.pool.update(&listed, "zone-1", limiter.now);
+    limiter.advance(Duration::ZERO);
     let moved: Vec<ServerId> = slots
         .iter()
         .filter(|it| it.stop.is_cancelled())
--- a/crates/daemon/tests/callers_door.rs
+++ b/crates/daemon/tests/callers_door.rs
@@ -46,13 +46,13 @@
 async fn models_are_listed_in_the_published_shape() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let list = fleet
-        .whole(fleet.request(0, Method::GET, "/v1/models", KEY, String::new()))
+        .fetch(fleet.request(0, Method::GET, "/v1/models", KEY, String::new()))
         .await;
     assert_eq!(list.json()["object"], "list");
     assert_eq!(list.json()["data"][0]["id"], "demo-model");
     let path = "/v1/models/demo-model";
     let one = fleet
-        .whole(fleet.request(0, Method::GET, path, KEY, String::new()))
+        .fetch(fleet.request(0, Method::GET, path, KEY, String::new()))
         .await;
     assert_eq!(one.json()["object"], "model");
 }
@@ -62,7 +62,7 @@
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let body = "proof ".repeat(50_000);
     let request = fleet.request(0, Method::POST, "/proofs/echo?page=2", KEY, body);
-    let answer = fleet.whole(request).await;
+    let answer = fleet.fetch(request).await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
     let seen = fleet.service.log().list();
     assert_eq!(seen[0].path, "/proofs/echo?page=2");
@@ -84,11 +84,11 @@
         "cookie",
         format!("k={KEY}").parse().expect("a header value"),
     );
-    assert_eq!(fleet.whole(request).await.status, StatusCode::OK);
+    assert_eq!(fleet.fetch(request).await.status, StatusCode::OK);
 
     let path = format!("/proofs/a?key={KEY}");
     let refused = fleet
-        .whole(fleet.request(0, Method::GET, &path, KEY, String::new()))
+        .fetch(fleet.request(0, Method::GET, &path, KEY, String::new()))
         .await;
     assert_eq!(refused.code(), "key_in_request");
 
@@ -104,7 +104,7 @@
     sender.send(format!("before {first}")).await;
     sender.send(format!("{second} after")).await;
     drop(sender);
-    let answer = fleet.whole(request).await;
+    let answer = fleet.fetch(request).await;
     assert!(!answer.status.is_success());
 
     let part_of_key = &KEY[..10];
@@ -224,7 +224,7 @@
     ];
     for (body, status, code) in cases {
         let request = fleet.request(0, Method::POST, path, KEY, body.to_owned());
-        let answer = fleet.whole(request).await;
+        let answer = fleet.fetch(request).await;
         assert_eq!(
             (answer.status, answer.code().as_str()),
             (status, code),
@@ -234,16 +234,16 @@
     }
     let oversize = vec![b' '; 9 * 1024 * 1024];
     let request = fleet.request(0, Method::POST, path, KEY, oversize);
-    assert_eq!(fleet.whole(request).await.code(), "body_too_long");
+    assert_eq!(fleet.fetch(request).await.code(), "body_too_long");
     for path in ["/v1/nothing", "/elsewhere"] {
         let request = fleet.request(0, Method::GET, path, KEY, String::new());
-        assert_eq!(fleet.whole(request).await.status, StatusCode::NOT_FOUND);
+        assert_eq!(fleet.fetch(request).await.status, StatusCode::NOT_FOUND);
     }
     let mut request = fleet.request(0, Method::GET, "/v1/models", KEY, String::new());
     request.headers_mut().remove("authorization");
-    assert_eq!(fleet.whole(request).await.code(), "missing_key");
+    assert_eq!(fleet.fetch(request).await.code(), "missing_key");
     let request = fleet.request(0, Method::GET, "/v1/models", "cfr-wrong", String::new());
-    assert_eq!(fleet.whole(request).await.code(), "invalid_api_key");
+    assert_eq!(fleet.fetch(request).await.code(), "invalid_api_key");
     let answer = fleet.chat(0, KEY, &chat("still here", 4, false)).await;
     assert_eq!(answer.status, StatusCode::OK);
 }
--- a/crates/daemon/tests/link_fleet/mod.rs
+++ b/crates/daemon/tests/link_fleet/mod.rs
@@ -21,7 +21,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// The time limit for each wait of a test.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 type TestLink = SettingsLink<MemoryStore, TestPeers>;
 
@@ -151,7 +151,7 @@
     }
 
     /// Returns the daemons of the first zone with the highest scores.
-    pub fn best_placed(&self, count: usize) -> Vec<usize> {
+    pub fn highest_scored(&self, count: usize) -> Vec<usize> {
         let daemons = self.daemons.lock().unwrap();
         let mut order: Vec<usize> = (0..daemons.len()).collect();
         order.retain(|it| daemons[*it].zone == 0);
@@ -196,7 +196,7 @@
     pub async fn first_in_force(&self, daemon: usize, team: &str) -> Option<String> {
         let mut in_force = self.daemons.lock().unwrap()[daemon].in_force.clone();
         let any = in_force.wait_for(|it| it.revision > 0);
-        drop(tokio::time::timeout(PATIENCE, any).await.unwrap());
+        drop(tokio::time::timeout(WAIT_TIMEOUT, any).await.unwrap());
         self.value(daemon, team)
     }
 
@@ -228,7 +228,7 @@
             if everywhere {
                 return began.elapsed();
             }
-            assert!(began.elapsed() < PATIENCE, "not in force everywhere");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "not in force everywhere");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
--- a/crates/daemon/tests/live_queue.rs
+++ b/crates/daemon/tests/live_queue.rs
@@ -15,7 +15,7 @@
 /// A second key of the customer `press`.
 const OTHER_KEY: &str = "cfr-other-key-of-press-0123456789";
 /// How long each test sends requests.
-const LASTS: Duration = Duration::from_secs(5);
+const SEND_DURATION: Duration = Duration::from_secs(5);
 /// The number of tokens of each answer.
 const TOKENS: u32 = 10;
 
@@ -47,22 +47,22 @@
 
 /// The outcome of one request.
 #[derive(Debug)]
-struct Seen {
+struct Outcome {
     status: StatusCode,
     has_retry_after: bool,
     first_token: Duration,
 }
 
-async fn ask(fleet: &TestFleet, daemon: usize, key: &str, body: &Value) -> Seen {
+async fn send(fleet: &TestFleet, daemon: usize, key: &str, body: &Value) -> Outcome {
     let path = "/v1/chat/completions";
-    let begun = Instant::now();
+    let began = Instant::now();
     let request = fleet.request(daemon, Method::POST, path, key, body.to_string());
     let response = fleet.open(request).await;
     let (head, mut body) = response.into_parts();
     let _ = body.frame().await;
-    let first_token = begun.elapsed();
+    let first_token = began.elapsed();
     while body.frame().await.is_some() {}
-    Seen {
+    Outcome {
         status: head.status,
         has_retry_after: head.headers.contains_key("retry-after"),
         first_token,
@@ -74,28 +74,31 @@
     fleet: &TestFleet,
     daemon: usize,
     key: &str,
-    a_second: u32,
+    per_second: u32,
     stream: bool,
-) -> Vec<Seen> {
-    let count = a_second * LASTS.as_secs() as u32;
+) -> Vec<Outcome> {
+    let count = per_second * SEND_DURATION.as_secs() as u32;
     let requests = (0..count).map(|number| async move {
-        tokio::time::sleep(LASTS * number / count).await;
-        let prompt = format!("verse {number} of {a_second} {stream}");
+        tokio::time::sleep(SEND_DURATION * number / count).await;
+        let prompt = format!("verse {number} of {per_second} {stream}");
         let body = chat(&prompt, TOKENS, stream);
-        ask(fleet, daemon, key, &body).await
+        send(fleet, daemon, key, &body).await
     });
     join_all(requests).await
 }
 
-fn percentile(seen: &[Seen], part: f64) -> Duration {
-    let served = seen.iter().filter(|it| it.status == StatusCode::OK);
+fn percentile(outcomes: &[Outcome], fraction: f64) -> Duration {
+    let served = outcomes.iter().filter(|it| it.status == StatusCode::OK);
     let mut waits: Vec<Duration> = served.map(|it| it.first_token).collect();
     waits.sort_unstable();
-    waits[((waits.len() - 1) as f64 * part) as usize]
+    waits[((waits.len() - 1) as f64 * fraction) as usize]
 }
 
-fn served(seen: &[Seen]) -> usize {
-    seen.iter().filter(|it| it.status == StatusCode::OK).count()
+fn served(outcomes: &[Outcome]) -> usize {
+    outcomes
+        .iter()
+        .filter(|it| it.status == StatusCode::OK)
+        .count()
 }
 
 /// One customer sends ten times as many requests as another, more than the engine
@@ -137,14 +140,14 @@
         send_evenly(&fleet, 0, OTHER_KEY, 60, false),
         send_evenly(&fleet, 0, KEY, 2, true),
     );
-    let late: Vec<Seen> = person.into_iter().skip(3).collect();
-    let tail = percentile(&late, 0.95);
+    let later: Vec<Outcome> = person.into_iter().skip(3).collect();
+    let tail = percentile(&later, 0.95);
     println!(
         "program: {} of {} served; person: p95 {tail:?}",
         served(&program),
         program.len(),
     );
-    assert_eq!(served(&late), late.len());
+    assert_eq!(served(&later), later.len());
     assert!(tail < Duration::from_millis(700), "{tail:?}");
 }
 
@@ -161,17 +164,20 @@
         ..FleetPlan::default()
     };
     let fleet = TestFleet::start(plan).await;
-    let seen = send_evenly(&fleet, 0, KEY, 120, false).await;
-    let refused: Vec<&Seen> = seen.iter().filter(|it| !it.status.is_success()).collect();
-    let at_once = refused
+    let outcomes = send_evenly(&fleet, 0, KEY, 120, false).await;
+    let refused: Vec<&Outcome> = outcomes
+        .iter()
+        .filter(|it| !it.status.is_success())
+        .collect();
+    let immediate = refused
         .iter()
         .filter(|it| it.first_token < Duration::from_millis(200));
     println!(
         "{} of {} served, {} refused, {} of them at once",
-        served(&seen),
-        seen.len(),
+        served(&outcomes),
+        outcomes.len(),
         refused.len(),
-        at_once.clone().count(),
+        immediate.clone().count(),
     );
     assert!(!refused.is_empty());
     assert!(refused.iter().all(|it| it.has_retry_after));
@@ -180,7 +186,7 @@
     let timed_out = StatusCode::GATEWAY_TIMEOUT;
     let started = refused.iter().filter(|it| it.status == timed_out).count();
     println!("{started} of the refused had started");
-    assert!(at_once.count() * 10 >= (refused.len() - started) * 9);
+    assert!(immediate.count() * 10 >= (refused.len() - started) * 9);
     let status = fleet.operators(0, Method::GET, "/status", String::new());
     assert_eq!(status.await.json()["ready"], json!(true));
 }
--- a/crates/daemon/tests/lot_calls/mod.rs
+++ b/crates/daemon/tests/lot_calls/mod.rs
@@ -48,7 +48,7 @@
     pub(crate) fleet: &'a TestFleet,
     pub(crate) daemon: usize,
     pub(crate) key: &'static str,
-    pub(crate) job: Option<&'static str>,
+    pub(crate) idempotency_key: Option<&'static str>,
 }
 
 impl<'a> LotCaller<'a> {
@@ -58,7 +58,7 @@
             fleet,
             daemon,
             key: KEY,
-            job: None,
+            idempotency_key: None,
         }
     }
 
@@ -68,9 +68,12 @@
     }
 
     /// Returns the same caller with an idempotency key.
-    pub(crate) fn job(self, job: &'static str) -> Self {
-        let job = Some(job);
-        LotCaller { job, ..self }
+    pub(crate) fn idempotency_key(self, key: &'static str) -> Self {
+        let idempotency_key = Some(key);
+        LotCaller {
+            idempotency_key,
+            ..self
+        }
     }
 
     /// Sends a request.
@@ -78,11 +81,11 @@
         let mut request = self
             .fleet
             .request(self.daemon, method, path, self.key, body);
-        if let Some(job) = self.job {
+        if let Some(key) = self.idempotency_key {
             let headers = request.headers_mut();
-            headers.insert("idempotency-key", job.parse().unwrap());
+            headers.insert("idempotency-key", key.parse().unwrap());
         }
-        self.fleet.whole(request).await
+        self.fleet.fetch(request).await
     }
 
     /// Sends a form to `/v1/files`.
@@ -94,10 +97,10 @@
         let headers = request.headers_mut();
         let kind = format!("multipart/form-data; boundary={BOUNDARY}");
         headers.insert(header::CONTENT_TYPE, kind.parse().unwrap());
-        if let Some(job) = self.job {
-            headers.insert("idempotency-key", job.parse().unwrap());
+        if let Some(key) = self.idempotency_key {
+            headers.insert("idempotency-key", key.parse().unwrap());
         }
-        self.fleet.whole(request).await
+        self.fleet.fetch(request).await
     }
 
     /// Uploads a file and returns its id.
@@ -113,7 +116,7 @@
     }
 
     /// Requests a new lot and returns the answer.
-    pub(crate) async fn ask_lot(&self, file: &str) -> WholeAnswer {
+    pub(crate) async fn request_lot(&self, file: &str) -> WholeAnswer {
         let body = json!({
             "input_file_id": file,
             "endpoint": "/v1/chat/completions",
@@ -125,7 +128,7 @@
 
     /// Creates a lot and returns it.
     pub(crate) async fn create(&self, file: &str) -> Value {
-        let answer = self.ask_lot(file).await;
+        let answer = self.request_lot(file).await;
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
         answer.json()
     }
--- a/crates/daemon/tests/lots.rs
+++ b/crates/daemon/tests/lots.rs
@@ -63,7 +63,7 @@
     // With another customer's key, neither the lot nor its files can be read.
     for path in [path, format!("/v1/batches/{}", lot["id"].as_str().unwrap())] {
         let request = fleet.request(0, Method::GET, &path, SECOND_KEY, String::new());
-        assert_eq!(fleet.whole(request).await.status, StatusCode::NOT_FOUND);
+        assert_eq!(fleet.fetch(request).await.status, StatusCode::NOT_FOUND);
     }
 }
 
--- a/crates/daemon/tests/operators_explain.rs
+++ b/crates/daemon/tests/operators_explain.rs
@@ -13,18 +13,18 @@
     chat,
 };
 
-const TRACE_BYTES: usize = 2_000_000;
+const MAX_TRACE_BYTES: usize = 2_000_000;
 
 async fn explain(fleet: &TestFleet, answer: &WholeAnswer) -> Value {
     let id = answer.headers["x-request-id"].to_str().expect("an id");
     let path = format!("/explain/{id}");
-    let told = fleet.operators(0, Method::GET, &path, String::new()).await;
-    assert_eq!(told.status, StatusCode::OK, "{}", told.text());
-    told.json()
+    let explanation = fleet.operators(0, Method::GET, &path, String::new()).await;
+    assert_eq!(explanation.status, StatusCode::OK, "{}", explanation.text());
+    explanation.json()
 }
 
-fn steps(told: &Value) -> Vec<&str> {
-    let steps = told["steps"].as_array().expect("steps");
+fn steps(explanation: &Value) -> Vec<&str> {
+    let steps = explanation["steps"].as_array().expect("steps");
     steps.iter().filter_map(|it| it["step"].as_str()).collect()
 }
 
@@ -37,7 +37,7 @@
         .chat(0, KEY, &chat("for Amina and Joseph", 5, true))
         .await;
     assert!(read_stream(&answer.text()).2, "{}", answer.text());
-    let told = explain(&fleet, &answer).await;
+    let explanation = explain(&fleet, &answer).await;
     let expected = [
         "recognised",
         "classed",
@@ -48,14 +48,14 @@
         "whole",
         "ended",
     ];
-    let mut seen = steps(&told);
+    let mut seen = steps(&explanation);
     // Two tasks send the head and the first token, so their order varies.
     seen.sort_unstable();
     let mut expected = expected.to_vec();
     expected.sort_unstable();
-    assert_eq!(seen, expected, "{told}");
-    assert_eq!(told["daemon"], "daemon-1");
-    let text = told.to_string();
+    assert_eq!(seen, expected, "{explanation}");
+    assert_eq!(explanation["daemon"], "daemon-1");
+    let text = explanation.to_string();
     assert!(text.contains("customer press"), "{text}");
     assert!(text.contains("engine-1"), "{text}");
     for secret in ["Amina", "Joseph", KEY] {
@@ -77,9 +77,9 @@
     for _ in 0..50 {
         let answer = fleet.chat(0, KEY, &chat("a verse", 1, false)).await;
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
-        let told = explain(&fleet, &answer).await;
-        if steps(&told).contains(&"failed") {
-            let text = told.to_string();
+        let explanation = explain(&fleet, &answer).await;
+        if steps(&explanation).contains(&"failed") {
+            let text = explanation.to_string();
             assert!(
                 text.contains("engine-1") && text.contains("engine-2"),
                 "{text}"
@@ -102,22 +102,36 @@
     let fleet = TestFleet::start(plan).await;
     let secret = "cfr-a-key-that-nobody-was-given";
     let answer = fleet.chat(0, secret, &chat("a verse", 1, false)).await;
-    let told = explain(&fleet, &answer).await;
-    assert_eq!(told["steps"][0]["code"], "invalid_api_key", "{told}");
-    assert!(!told.to_string().contains(secret), "{told}");
+    let explanation = explain(&fleet, &answer).await;
+    assert_eq!(
+        explanation["steps"][0]["code"], "invalid_api_key",
+        "{explanation}"
+    );
+    assert!(!explanation.to_string().contains(secret), "{explanation}");
 
     let mut body = chat("a verse", 1, false);
     body["model"] = "a-model-of-nobody".into();
     let answer = fleet.chat(0, KEY, &body).await;
-    let told = explain(&fleet, &answer).await;
-    assert_eq!(steps(&told).last(), Some(&"refused"), "{told}");
-    assert!(!told.to_string().contains("a-model-of-nobody"), "{told}");
+    let explanation = explain(&fleet, &answer).await;
+    assert_eq!(
+        steps(&explanation).last(),
+        Some(&"refused"),
+        "{explanation}"
+    );
+    assert!(
+        !explanation.to_string().contains("a-model-of-nobody"),
+        "{explanation}"
+    );
 
     let answer = fleet.chat(0, KEY, &chat("a verse", 1, false)).await;
-    let told = explain(&fleet, &answer).await;
-    assert_eq!(steps(&told)[3..], ["failed", "refused"], "{told}");
-    assert_eq!(told["steps"][4]["ran"], "no");
-    assert_eq!(told["steps"][4]["retry_after"], 1);
+    let explanation = explain(&fleet, &answer).await;
+    assert_eq!(
+        steps(&explanation)[3..],
+        ["failed", "refused"],
+        "{explanation}"
+    );
+    assert_eq!(explanation["steps"][4]["ran"], "no");
+    assert_eq!(explanation["steps"][4]["retry_after"], 1);
 }
 
 #[tokio::test]
@@ -125,8 +139,8 @@
     let fleet = TestFleet::start(FleetPlan::default()).await;
     for id in ["", "daemon-1-0-0", "..%2fsettings", "a/b"] {
         let path = format!("/explain/{id}");
-        let told = fleet.operators(0, Method::GET, &path, String::new()).await;
-        assert_eq!(told.status, StatusCode::NOT_FOUND, "{id}");
+        let explanation = fleet.operators(0, Method::GET, &path, String::new()).await;
+        assert_eq!(explanation.status, StatusCode::NOT_FOUND, "{id}");
     }
 }
 
@@ -148,7 +162,7 @@
     }
     let (count, bytes) = ring.size();
     assert_eq!(count, KEPT_TRACES);
-    assert!(bytes <= TRACE_BYTES, "{bytes} bytes");
+    assert!(bytes <= MAX_TRACE_BYTES, "{bytes} bytes");
     println!("{count} traces take {bytes} bytes at most");
     assert!(ring.find(&format!("entry-{:090}", 0)).is_none());
     let newest = ring.find(&format!("entry-{:090}", KEPT_TRACES * 2 - 1));
--- a/crates/daemon/tests/operators_settings.rs
+++ b/crates/daemon/tests/operators_settings.rs
@@ -56,10 +56,10 @@
         request = request.header("idempotency-key", id);
     }
     let request = request.body(MessageBody::from(change.to_string()));
-    fleet.whole(request.expect("a valid request")).await
+    fleet.fetch(request.expect("a valid request")).await
 }
 
-fn faults(change: FaultChange, fleet: &TestFleet) {
+fn set_faults(change: FaultChange, fleet: &TestFleet) {
     fleet.platform.change_faults(change);
 }
 
@@ -216,7 +216,7 @@
     ] {
         let fleet = TestFleet::start(FleetPlan::default()).await;
         let seen = revision_of(&fleet, "studio").await;
-        faults(
+        set_faults(
             FaultChange {
                 lose_answers: Some(lost),
                 ..FaultChange::default()
@@ -248,7 +248,7 @@
         outage: Some(on),
         ..FaultChange::default()
     };
-    faults(outage(true), &fleet);
+    set_faults(outage(true), &fleet);
     let began = Instant::now();
     let refused = put(&fleet, "ada", None, seen, &with_rate(111)).await;
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -259,7 +259,7 @@
         "{:?}",
         began.elapsed()
     );
-    faults(outage(false), &fleet);
+    set_faults(outage(false), &fleet);
     assert_eq!(revision_of(&fleet, "studio").await, seen);
     let written = put(&fleet, "ada", None, seen, &with_rate(111)).await;
     assert_eq!(written.status, StatusCode::OK, "{}", written.text());
@@ -274,11 +274,11 @@
         slow: Some(Duration::from_millis(millis)),
         ..FaultChange::default()
     };
-    faults(slow(500), &fleet);
+    set_faults(slow(500), &fleet);
     let written = put(&fleet, "ada", None, seen, &with_rate(111)).await;
     assert_eq!(written.status, StatusCode::OK, "{}", written.text());
     let seen = revision_of(&fleet, "studio").await;
-    faults(slow(60_000), &fleet);
+    set_faults(slow(60_000), &fleet);
     let began = Instant::now();
     let refused = put(&fleet, "ada", None, seen, &with_rate(222)).await;
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -338,7 +338,7 @@
 async fn without_the_token_nothing_is_told_or_changed() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let address = fleet.daemons[0].addresses.operators;
-    let asks = [
+    let requests = [
         (Method::GET, "/status"),
         (Method::GET, "/settings"),
         (Method::GET, "/settings/studio"),
@@ -348,8 +348,8 @@
         (Method::POST, "/drain"),
         (Method::GET, "/unknown"),
     ];
-    for (method, path) in asks {
-        for shown in [
+    for (method, path) in requests {
+        for authorization in [
             "",
             "Bearer",
             "Bearer ",
@@ -360,11 +360,15 @@
             let request = Request::builder()
                 .method(method.clone())
                 .uri(format!("http://{address}{path}"))
-                .header(header::AUTHORIZATION, shown)
+                .header(header::AUTHORIZATION, authorization)
                 .body(MessageBody::empty())
                 .expect("a valid request");
-            let refused = fleet.whole(request).await;
-            assert_eq!(refused.status, StatusCode::UNAUTHORIZED, "{path} {shown}");
+            let refused = fleet.fetch(request).await;
+            assert_eq!(
+                refused.status,
+                StatusCode::UNAUTHORIZED,
+                "{path} {authorization}"
+            );
             assert!(!refused.text().contains(TOKEN));
         }
     }
--- a/crates/daemon/tests/rates.rs
+++ b/crates/daemon/tests/rates.rs
@@ -28,14 +28,14 @@
 
 /// Sends requests to one daemon for `duration` and returns how many were
 /// admitted.
-async fn send(fleet: &TestFleet, daemon: usize, span: Duration) -> u32 {
-    send_as(fleet, KEY, daemon, span).await
+async fn send(fleet: &TestFleet, daemon: usize, duration: Duration) -> u32 {
+    send_as(fleet, KEY, daemon, duration).await
 }
 
-async fn send_as(fleet: &TestFleet, key: &str, daemon: usize, span: Duration) -> u32 {
+async fn send_as(fleet: &TestFleet, key: &str, daemon: usize, duration: Duration) -> u32 {
     let began = Instant::now();
     let mut admitted = 0;
-    while began.elapsed() < span {
+    while began.elapsed() < duration {
         let answer = fleet.chat(daemon, key, &chat("a verse", 1, false)).await;
         match answer.status {
             StatusCode::OK => admitted += 1,
@@ -56,11 +56,11 @@
 async fn all_daemons_together_let_in_no_more_than_the_rate() {
     let fleet = TestFleet::start(plan(vec!["zone-1", "zone-1", "zone-2"])).await;
     let began = Instant::now();
-    let span = Duration::from_secs(3);
+    let duration = Duration::from_secs(3);
     let sent = tokio::join!(
-        send(&fleet, 0, span),
-        send(&fleet, 1, span),
-        send(&fleet, 2, span),
+        send(&fleet, 0, duration),
+        send(&fleet, 1, duration),
+        send(&fleet, 2, duration),
     );
     let admitted = sent.0 + sent.1 + sent.2;
     let allowed = began.elapsed().as_secs_f64() * RATE + f64::from(BURST);
@@ -99,13 +99,17 @@
         });
     let began = Instant::now();
     // Longer than a daemon may spend tokens by a view that isn't confirmed.
-    let span = Duration::from_secs(7);
-    let sent = tokio::join!(send(&fleet, 0, span), send(&fleet, 1, span));
-    let late = Instant::now();
+    let duration = Duration::from_secs(7);
+    let sent = tokio::join!(send(&fleet, 0, duration), send(&fleet, 1, duration));
+    let outage_end = Instant::now();
     let second = Duration::from_secs(1);
     let last = tokio::join!(send(&fleet, 0, second), send(&fleet, 1, second));
     let last = last.0 + last.1;
-    assert!(last > 0, "no request is admitted after {:?}", late - began);
+    assert!(
+        last > 0,
+        "no request is admitted after {:?}",
+        outage_end - began
+    );
     let allowed = began.elapsed().as_secs_f64() * RATE + f64::from(BURST);
     let admitted = sent.0 + sent.1 + last;
     assert!(f64::from(admitted) <= allowed, "{admitted} of {allowed}");
@@ -142,8 +146,8 @@
     };
     fleet.platform.change_faults(outage);
     tokio::time::sleep(Duration::from_secs(9)).await;
-    let span = Duration::from_secs(1);
-    let press = send_as(&fleet, KEY, 0, span).await;
-    let market = send_as(&fleet, SECOND_KEY, 0, span).await;
+    let duration = Duration::from_secs(1);
+    let press = send_as(&fleet, KEY, 0, duration).await;
+    let market = send_as(&fleet, SECOND_KEY, 0, duration).await;
     (after, [press, market])
 }
--- a/crates/daemon/tests/run_once.rs
+++ b/crates/daemon/tests/run_once.rs
@@ -20,8 +20,8 @@
     daemon_process::DaemonProcess, quick_engine,
 };
 
-static WARM_CALLS: AtomicU64 = AtomicU64::new(0);
-const CHAT: &str = "/v1/chat/completions";
+static WARM_UP_CALLS: AtomicU64 = AtomicU64::new(0);
+const CHAT_PATH: &str = "/v1/chat/completions";
 
 async fn two_daemons() -> TestFleet {
     let plan = FleetPlan {
@@ -37,12 +37,12 @@
 }
 
 /// Returns how often the plain service was called at a path.
-fn runs(fleet: &TestFleet, path: &str) -> usize {
+fn run_count(fleet: &TestFleet, path: &str) -> usize {
     let seen = fleet.service.log().list();
     seen.iter().filter(|it| it.path == path).count()
 }
 
-fn keyed(mut request: Request<MessageBody>, key: &str) -> Request<MessageBody> {
+fn with_idempotency_key(mut request: Request<MessageBody>, key: &str) -> Request<MessageBody> {
     let key = key.parse().expect("a header value");
     request.headers_mut().insert("idempotency-key", key);
     request
@@ -50,7 +50,7 @@
 
 fn call(fleet: &TestFleet, daemon: usize, path: &str, key: &str) -> Request<MessageBody> {
     let body = "a proof to print".to_owned();
-    keyed(fleet.request(daemon, Method::POST, path, KEY, body), key)
+    with_idempotency_key(fleet.request(daemon, Method::POST, path, KEY, body), key)
 }
 
 fn header<'a>(answer: &'a WholeAnswer, name: &str) -> &'a str {
@@ -73,7 +73,7 @@
 async fn admitted(fleet: &TestFleet, call: impl Fn() -> Request<MessageBody>) -> WholeAnswer {
     let deadline = Instant::now() + PATIENCE;
     loop {
-        let answer = fleet.whole(call()).await;
+        let answer = fleet.fetch(call()).await;
         if answer.status != StatusCode::TOO_MANY_REQUESTS {
             return answer;
         }
@@ -121,7 +121,7 @@
     let deadline = Instant::now() + PATIENCE;
     let mut in_a_row = 0;
     while in_a_row < 10 {
-        let answer = fleet.whole(call()).await;
+        let answer = fleet.fetch(call()).await;
         in_a_row = match answer.status {
             StatusCode::OK => in_a_row + 1,
             _ => 0,
@@ -134,10 +134,12 @@
 /// Makes a daemon request the lease of its records, which it does with its first
 /// claim, and waits until the outcome of that call is written. Before that, it
 /// waits for tokens, since a recently started daemon may have none.
-async fn warm(fleet: &TestFleet, first: impl Fn() -> Request<MessageBody>) {
-    let number = WARM_CALLS.fetch_add(1, Ordering::Relaxed);
+async fn warm_up(fleet: &TestFleet, first: impl Fn() -> Request<MessageBody>) {
+    let number = WARM_UP_CALLS.fetch_add(1, Ordering::Relaxed);
     wait_for_tokens(fleet, &first).await;
-    let answer = fleet.whole(keyed(first(), &format!("warm-{number}"))).await;
+    let answer = fleet
+        .fetch(with_idempotency_key(first(), &format!("warm-{number}")))
+        .await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
     tokio::time::sleep(Duration::from_millis(100)).await;
 }
@@ -146,10 +148,10 @@
 /// customer's rate.
 async fn send(
     client: HttpClient,
-    tries: Vec<Request<MessageBody>>,
+    attempts: Vec<Request<MessageBody>>,
 ) -> Result<Response<Incoming>, CallError> {
     let mut last = Err(CallError::TimedOut(Duration::ZERO));
-    for request in tries {
+    for request in attempts {
         last = client.send(request).await;
         if !matches!(&last, Ok(it) if it.status() == StatusCode::TOO_MANY_REQUESTS) {
             break;
@@ -160,12 +162,14 @@
 }
 
 /// Returns copies of a call to a daemon process, one for each attempt.
-fn tries(daemon: &DaemonProcess, path: &str, key: &str) -> Vec<Request<MessageBody>> {
+fn attempts(daemon: &DaemonProcess, path: &str, key: &str) -> Vec<Request<MessageBody>> {
     let request = || daemon.request(Method::POST, path, KEY, "a proof to print".to_owned());
-    (0..200).map(|_| keyed(request(), key)).collect()
+    (0..200)
+        .map(|_| with_idempotency_key(request(), key))
+        .collect()
 }
 
-fn lose(answers: LostAnswers) -> FaultChange {
+fn lose_answers(answers: LostAnswers) -> FaultChange {
     FaultChange {
         lose_answers: Some(answers),
         ..FaultChange::default()
@@ -180,7 +184,7 @@
     let path = "/proofs/slow?ms=700";
     let first = admitted(&fleet, || call(&fleet, 0, path, "order-1"));
     let resends = async {
-        while runs(&fleet, path) == 0 {
+        while run_count(&fleet, path) == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         for daemon in [0, 1] {
@@ -196,20 +200,20 @@
         assert_eq!(resent.body, first.body);
         assert_eq!(header(&resent, "idempotent-replayed"), "true");
     }
-    assert_eq!(runs(&fleet, path), 1);
-    let other = keyed(
+    assert_eq!(run_count(&fleet, path), 1);
+    let other = with_idempotency_key(
         fleet.request(1, Method::POST, path, KEY, "another proof".to_owned()),
         "order-1",
     );
-    let other = fleet.whole(other).await;
+    let other = fleet.fetch(other).await;
     let code = "idempotency_key_reused";
     assert_refused(&other, StatusCode::UNPROCESSABLE_ENTITY, code, "no");
     let body = "a proof to print".to_owned();
-    let theirs = keyed(
+    let theirs = with_idempotency_key(
         fleet.request(1, Method::POST, path, SECOND_KEY, body),
         "order-1",
     );
-    let theirs = fleet.whole(theirs).await;
+    let theirs = fleet.fetch(theirs).await;
     assert_eq!(theirs.status, StatusCode::OK, "another customer's key");
     assert!(!theirs.headers.contains_key("idempotent-replayed"));
 }
@@ -222,8 +226,8 @@
     for stream in [false, true] {
         let body = chat(&format!("a verse, streamed: {stream}"), 12, stream);
         let send = |daemon| {
-            let request = fleet.request(daemon, Method::POST, CHAT, KEY, body.to_string());
-            keyed(request, &format!("verse-{stream}"))
+            let request = fleet.request(daemon, Method::POST, CHAT_PATH, KEY, body.to_string());
+            with_idempotency_key(request, &format!("verse-{stream}"))
         };
         let first = admitted(&fleet, || send(0)).await;
         assert_eq!(first.status, StatusCode::OK, "{}", first.text());
@@ -245,7 +249,7 @@
     let fleet = two_daemons().await;
     let send = |daemon| {
         let body = "long ".repeat(20_000);
-        keyed(
+        with_idempotency_key(
             fleet.request(daemon, Method::POST, "/proofs/echo", KEY, body),
             "long-1",
         )
@@ -254,7 +258,7 @@
     assert_eq!(first.body.len(), 100_000);
     let resent = resend_until_known(&fleet, || send(1)).await;
     assert_refused(&resent, StatusCode::CONFLICT, "already_ran", "yes");
-    assert_eq!(runs(&fleet, "/proofs/echo"), 1);
+    assert_eq!(run_count(&fleet, "/proofs/echo"), 1);
 }
 
 /// The platform stores the claim, but its answer is lost. If that counted as a
@@ -263,17 +267,19 @@
 #[tokio::test]
 async fn a_lost_answer_to_the_claim_is_read_back() {
     let fleet = two_daemons().await;
-    warm(&fleet, || {
+    warm_up(&fleet, || {
         fleet.request(0, Method::GET, "/proofs/warm", KEY, String::new())
     })
     .await;
-    fleet.platform.change_faults(lose(LostAnswers::Next(2)));
+    fleet
+        .platform
+        .change_faults(lose_answers(LostAnswers::Next(2)));
     let answer = admitted(&fleet, || call(&fleet, 0, "/proofs/b", "lost-1")).await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
     let resend = || call(&fleet, 1, "/proofs/b", "lost-1");
     let resent = resend_until_known(&fleet, resend).await;
     assert_eq!(resent.body, answer.body);
-    assert_eq!(runs(&fleet, "/proofs/b"), 1);
+    assert_eq!(run_count(&fleet, "/proofs/b"), 1);
 }
 
 /// During an outage of the platform, a call that must not run twice can't be
@@ -281,7 +287,7 @@
 #[tokio::test]
 async fn without_the_platform_such_calls_are_refused_and_not_run() {
     let fleet = two_daemons().await;
-    warm(&fleet, || {
+    warm_up(&fleet, || {
         fleet.request(0, Method::GET, "/proofs/warm", KEY, String::new())
     })
     .await;
@@ -294,10 +300,10 @@
     for number in 0..4 {
         let key = format!("outage-{number}");
         let (answer, took) = loop {
-            let begun = Instant::now();
-            let answer = fleet.whole(call(&fleet, 0, "/proofs/a", &key)).await;
+            let began = Instant::now();
+            let answer = fleet.fetch(call(&fleet, 0, "/proofs/a", &key)).await;
             if answer.status != StatusCode::TOO_MANY_REQUESTS {
-                break (answer, begun.elapsed());
+                break (answer, began.elapsed());
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         };
@@ -313,8 +319,8 @@
         "while the daemon detects the outage"
     );
     assert!(waits[1..].iter().all(|it| *it < Duration::from_millis(500)));
-    let usual = fleet.request(0, Method::GET, "/proofs/a", KEY, String::new());
-    assert_eq!(fleet.whole(usual).await.status, StatusCode::OK);
+    let repeatable = fleet.request(0, Method::GET, "/proofs/a", KEY, String::new());
+    assert_eq!(fleet.fetch(repeatable).await.status, StatusCode::OK);
     fleet.platform.change_faults(FaultChange {
         outage: Some(false),
         ..FaultChange::default()
@@ -347,10 +353,10 @@
         fleet.set_engine_faults(engine, &faults).await;
     }
     let body = chat("print this once", 4, false).to_string();
-    let mut request = fleet.request(0, Method::POST, CHAT, KEY, body);
+    let mut request = fleet.request(0, Method::POST, CHAT_PATH, KEY, body);
     let mark = "true".parse().expect("a header value");
     request.headers_mut().insert("x-comfreyramp-run-once", mark);
-    let answer = fleet.whole(request).await;
+    let answer = fleet.fetch(request).await;
     assert_refused(&answer, StatusCode::BAD_GATEWAY, "answer_lost", "unknown");
     let arrivals = fleet.engines.iter().map(|it| it.server.log().list().len());
     assert_eq!(arrivals.sum::<usize>(), 1);
@@ -363,28 +369,32 @@
     let fleet = two_daemons().await;
     for (number, path) in ["/proofs/a", "/proofs/slow?ms=600"].into_iter().enumerate() {
         let key = format!("killed-{number}");
-        let mut doomed = DaemonProcess::start(&fleet, &format!("daemon-{}", 8 + number)).await;
-        let first = || doomed.request(Method::GET, "/proofs/warm", KEY, String::new());
-        warm(&fleet, first).await;
+        let mut killed = DaemonProcess::start(&fleet, &format!("daemon-{}", 8 + number)).await;
+        let first = || killed.request(Method::GET, "/proofs/warm", KEY, String::new());
+        warm_up(&fleet, first).await;
         let sends_first = number == 1;
         if !sends_first {
             // The claim is written, but the daemon gets no answer.
-            fleet.platform.change_faults(lose(LostAnswers::All(true)));
+            fleet
+                .platform
+                .change_faults(lose_answers(LostAnswers::All(true)));
         }
         let before = claims(&fleet).await;
-        let requests = tries(&doomed, path, &key);
+        let requests = attempts(&killed, path, &key);
         let sent = tokio::spawn(send(fleet.client.clone(), requests));
         wait_for_claim(&fleet, before).await;
-        while sends_first && runs(&fleet, path) == 0 {
+        while sends_first && run_count(&fleet, path) == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        doomed.kill();
+        killed.kill();
         let lost = sent.await.expect("no panic");
         assert!(lost.is_err(), "the caller's connection broke");
-        fleet.platform.change_faults(lose(LostAnswers::All(false)));
+        fleet
+            .platform
+            .change_faults(lose_answers(LostAnswers::All(false)));
         let resent = admitted(&fleet, || call(&fleet, 1, path, &key)).await;
         assert_refused(&resent, StatusCode::CONFLICT, "already_claimed", "unknown");
-        assert_eq!(runs(&fleet, path), usize::from(sends_first));
+        assert_eq!(run_count(&fleet, path), usize::from(sends_first));
     }
 }
 
@@ -396,20 +406,24 @@
     let fleet = two_daemons().await;
     let frozen = DaemonProcess::start(&fleet, "daemon-9").await;
     let first = || frozen.request(Method::GET, "/proofs/warm", KEY, String::new());
-    warm(&fleet, first).await;
+    warm_up(&fleet, first).await;
     let before = claims(&fleet).await;
-    fleet.platform.change_faults(lose(LostAnswers::All(true)));
-    let requests = tries(&frozen, "/proofs/a", "frozen-1");
+    fleet
+        .platform
+        .change_faults(lose_answers(LostAnswers::All(true)));
+    let requests = attempts(&frozen, "/proofs/a", "frozen-1");
     let sent = tokio::spawn(send(fleet.client.clone(), requests));
     wait_for_claim(&fleet, before).await;
     frozen.signal("STOP");
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    fleet.platform.change_faults(lose(LostAnswers::All(false)));
+    fleet
+        .platform
+        .change_faults(lose_answers(LostAnswers::All(false)));
     let resent = admitted(&fleet, || call(&fleet, 1, "/proofs/a", "frozen-1")).await;
     assert_refused(&resent, StatusCode::CONFLICT, "already_claimed", "unknown");
     frozen.signal("CONT");
-    let woken = sent.await.expect("no panic").expect("an answer");
-    assert_eq!(woken.status(), StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(woken.headers()["x-comfreyramp-ran"], "no");
-    assert_eq!(runs(&fleet, "/proofs/a"), 0);
+    let resumed = sent.await.expect("no panic").expect("an answer");
+    assert_eq!(resumed.status(), StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(resumed.headers()["x-comfreyramp-ran"], "no");
+    assert_eq!(run_count(&fleet, "/proofs/a"), 0);
 }
--- a/crates/daemon/tests/settings_in_force.rs
+++ b/crates/daemon/tests/settings_in_force.rs
@@ -14,7 +14,7 @@
 };
 
 /// The time within which a change must be in force on every daemon.
-const IN_FORCE: Duration = Duration::from_secs(5);
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(5);
 
 fn outage(on: bool) -> FaultChange {
     FaultChange {
@@ -66,7 +66,11 @@
     for daemon in 0..2 {
         wait_for_status(&fleet, daemon, KEY, StatusCode::UNAUTHORIZED).await;
     }
-    assert!(began.elapsed() <= IN_FORCE, "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() <= MAX_PROPAGATION_DELAY,
+        "{:?}",
+        began.elapsed()
+    );
     let other = fleet.chat(0, SECOND_KEY, &chat("a verse", 1, false)).await;
     assert_eq!(other.status, StatusCode::OK, "{}", other.text());
 }
--- a/crates/daemon/tests/settings_link.rs
+++ b/crates/daemon/tests/settings_link.rs
@@ -12,23 +12,23 @@
 use link_fleet::{LinkFleet, outage};
 
 /// The time within which a change must be in force on every daemon.
-const IN_FORCE: Duration = Duration::from_secs(5);
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(5);
 
 fn seconds(count: u64) -> Duration {
     Duration::from_secs(count)
 }
 
-async fn pass(span: Duration) {
-    tokio::time::sleep(span).await;
+async fn advance(duration: Duration) {
+    tokio::time::sleep(duration).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn two_daemons_of_a_zone_watch_and_all_get_the_change() {
     let fleet = LinkFleet::start(&[5, 5]).await;
-    pass(seconds(20)).await;
+    advance(seconds(20)).await;
     let before = fleet.platform.calls();
     assert_eq!(before.waiting_watches, 4);
-    pass(seconds(60)).await;
+    advance(seconds(60)).await;
     let calls = fleet.platform.calls();
     let reads = calls.range - before.range;
     assert!((4 * 55..=4 * 60).contains(&reads), "{reads} reads");
@@ -52,7 +52,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_silent_watch_is_made_good() {
     let fleet = LinkFleet::start(&[3, 3]).await;
-    pass(seconds(20)).await;
+    advance(seconds(20)).await;
     fleet.platform.change_faults(FaultChange {
         hold_watches: Some(true),
         ..FaultChange::default()
@@ -60,11 +60,11 @@
     for value in ["1", "2", "3"] {
         fleet.write("press", value).await;
         let took = fleet.wait_for("press", value).await;
-        assert!(took <= IN_FORCE, "{took:?}");
+        assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
     }
     fleet.delete("press").await;
     let took = fleet.wait_for_none("press").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
 }
 
 /// Settings change right after an outage of the platform, and the platform then
@@ -77,7 +77,7 @@
     fleet.write("market", "1").await;
     fleet.wait_for("market", "1").await;
     fleet.platform.change_faults(outage(true));
-    pass(seconds(60)).await;
+    advance(seconds(60)).await;
     assert!(fleet.youngest_view() >= seconds(59));
     assert_eq!(fleet.value(0, "press").as_deref(), Some("1"));
 
@@ -86,7 +86,7 @@
     fleet.write("market", "2").await;
     fleet.platform.compact();
     let took = fleet.wait_for("market", "2").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
     assert_eq!(fleet.wait_for_none("press").await, Duration::ZERO);
 }
 
@@ -104,7 +104,7 @@
         if round % 10 == 0 {
             fleet.platform.compact();
         }
-        pass(Duration::from_millis(130)).await;
+        advance(Duration::from_millis(130)).await;
         for (daemon, seen) in seen.iter_mut().enumerate() {
             let value = fleet.value(daemon, "press");
             let value = value.map_or(0, |it| it.parse::<u32>().unwrap());
@@ -113,7 +113,7 @@
         }
     }
     let took = fleet.wait_for("press", "100").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
 }
 
 /// Both daemons that watch the settings for their zone are lost at once, for
@@ -121,15 +121,15 @@
 #[tokio::test(start_paused = true)]
 async fn two_lost_watchers_are_replaced() {
     let fleet = LinkFleet::start(&[6]).await;
-    pass(seconds(20)).await;
-    let watchers = fleet.best_placed(2);
+    advance(seconds(20)).await;
+    let watchers = fleet.highest_scored(2);
     for watcher in &watchers {
         fleet.stop(*watcher);
     }
     fleet.write("press", "1").await;
     let took = fleet.wait_for("press", "1").await;
-    assert!(took <= IN_FORCE, "{took:?}");
-    pass(seconds(20)).await;
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
+    advance(seconds(20)).await;
     assert_eq!(fleet.platform.calls().waiting_watches, 2);
 }
 
@@ -145,14 +145,14 @@
     for daemon in hung {
         fleet.freeze(daemon);
     }
-    pass(seconds(1)).await;
+    advance(seconds(1)).await;
     fleet.write("press", "new").await;
-    pass(seconds(5)).await;
+    advance(seconds(5)).await;
     for daemon in hung {
         assert_eq!(fleet.value(daemon, "press").as_deref(), Some("old"));
     }
     fleet.platform.change_faults(outage(true));
-    pass(seconds(600)).await;
+    advance(seconds(600)).await;
 
     for zone in [0, 1, 0, 1, 0] {
         let newcomer = fleet.add(zone);
@@ -164,7 +164,7 @@
     fleet.platform.change_faults(outage(false));
     fleet.write("press", "newest").await;
     let took = fleet.wait_for("press", "newest").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
     assert!(fleet.age(10) <= seconds(5));
 }
 
@@ -174,11 +174,11 @@
     fleet.write("press", "1").await;
     fleet.platform.change_faults(outage(true));
     let newcomer = fleet.add(0);
-    pass(seconds(600)).await;
+    advance(seconds(600)).await;
     assert_eq!(fleet.in_force_revision(newcomer), 0);
     fleet.platform.change_faults(outage(false));
     let took = fleet.wait_for("press", "1").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
 }
 
 /// The platform is restored from an empty backup. Its settings are older than
@@ -192,7 +192,7 @@
     fleet.wait_for("press", "3").await;
     fleet.platform.lose_everything();
     fleet.write("market", "old").await;
-    pass(seconds(60)).await;
+    advance(seconds(60)).await;
     for daemon in 0..3 {
         assert_eq!(fleet.value(daemon, "press").as_deref(), Some("3"));
         assert_eq!(fleet.value(daemon, "market"), None);
@@ -204,15 +204,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_slow_platform_delays_no_change_beyond_the_bound() {
     let fleet = LinkFleet::start(&[3, 3]).await;
-    pass(seconds(20)).await;
+    advance(seconds(20)).await;
     fleet.platform.change_faults(FaultChange {
         slow: Some(Duration::from_millis(1500)),
         ..FaultChange::default()
     });
-    pass(seconds(20)).await;
+    advance(seconds(20)).await;
     fleet.write("press", "1").await;
     let took = fleet.wait_for("press", "1").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
 }
 
 fn pair(key: &str, modified: i64) -> KeyValue {
--- a/crates/daemon/tests/support/daemon_process.rs
+++ b/crates/daemon/tests/support/daemon_process.rs
@@ -101,7 +101,7 @@
 
     /// Waits until the process exits by itself, and returns whether it exited
     /// successfully.
-    pub(crate) async fn ended(&mut self) -> bool {
+    pub(crate) async fn wait_for_exit(&mut self) -> bool {
         let deadline = tokio::time::Instant::now() + PATIENCE;
         loop {
             if let Some(status) = self.child.try_wait().expect("the process state") {
@@ -124,7 +124,7 @@
                 .header(header::AUTHORIZATION, format!("Bearer {TOKEN}"))
                 .body(MessageBody::empty())
                 .expect("a valid request");
-            let status = fleet.whole(request).await.json();
+            let status = fleet.fetch(request).await.json();
             let servers = status["servers"].as_array().map_or(0, Vec::len);
             if status["ready"] == true && servers > fleet.engines.len() {
                 return;
--- a/crates/daemon/tests/support/engine_process.rs
+++ b/crates/daemon/tests/support/engine_process.rs
@@ -9,7 +9,7 @@
 use super::{TestFleet, daemon_process::read_addresses, vm};
 
 /// A prompt that contains this text crashes the engine that runs it.
-pub(crate) const CRASH: &str = "CRASH-THE-ENGINE";
+pub(crate) const CRASH_PROMPT: &str = "CRASH-THE-ENGINE";
 
 /// An engine in its own process, which is killed on drop.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
         let folder = tempfile::tempdir().expect("a folder");
         let addresses = folder.path().join("addresses.json");
         let child = Command::new(stand_in("standin-engine"))
-            .args(["--crash-on", CRASH, "--addresses-file"])
+            .args(["--crash-on", CRASH_PROMPT, "--addresses-file"])
             .arg(&addresses)
             .stdout(Stdio::null())
             .stderr(Stdio::null())
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -305,7 +305,7 @@
             .header(header::AUTHORIZATION, format!("Bearer {TOKEN}"))
             .body(MessageBody::from(body))
             .expect("a valid request");
-        self.whole(request).await
+        self.fetch(request).await
     }
 
     /// Builds a request to a daemon's caller API.
@@ -327,7 +327,7 @@
     }
 
     /// Sends a request and reads the complete answer.
-    pub(crate) async fn whole(&self, request: Request<MessageBody>) -> WholeAnswer {
+    pub(crate) async fn fetch(&self, request: Request<MessageBody>) -> WholeAnswer {
         let response = self.open(request).await;
         let (head, body) = response.into_parts();
         let body = tokio::time::timeout(PATIENCE, collect_limited(body, usize::MAX)).await;
@@ -353,14 +353,14 @@
             .uri(format!("http://{}/stand-in/faults", engine.address))
             .body(MessageBody::from(body))
             .expect("a valid request");
-        let answer = self.whole(request).await;
+        let answer = self.fetch(request).await;
         assert!(answer.status.is_success(), "{}", answer.text());
     }
 
     /// Sends a chat request.
     pub(crate) async fn chat(&self, daemon: usize, key: &str, body: &Value) -> WholeAnswer {
         let path = "/v1/chat/completions";
-        self.whole(self.request(daemon, Method::POST, path, key, body.to_string()))
+        self.fetch(self.request(daemon, Method::POST, path, key, body.to_string()))
             .await
     }
 }
--- a/crates/daemon/tests/suspects.rs
+++ b/crates/daemon/tests/suspects.rs
@@ -9,7 +9,7 @@
     FleetPlan, KEY, SECOND_KEY, TestFleet,
     answers::{WholeAnswer, read_stream, start_of_answer},
     chat,
-    engine_process::{CRASH, EngineProcess},
+    engine_process::{CRASH_PROMPT, EngineProcess},
     vm,
 };
 
@@ -47,7 +47,7 @@
 /// Sends the crashing request to one daemon repeatedly, as fast as it is
 /// answered.
 async fn attack(fleet: &TestFleet, daemon: usize) -> Vec<(WholeAnswer, Duration)> {
-    let crasher = chat(&format!("a verse with {CRASH} in it"), 8, false);
+    let crasher = chat(&format!("a verse with {CRASH_PROMPT} in it"), 8, false);
     let begun = Instant::now();
     let mut answers = Vec::new();
     while begun.elapsed() < ATTACK {
@@ -108,7 +108,7 @@
 async fn every_daemon_knows_the_block_and_one_that_starts_later_too() {
     let mut fleet = three_daemons().await;
     let mut engines = start_engines(&fleet, 3).await;
-    let crasher = chat(&format!("{CRASH} again"), 8, false);
+    let crasher = chat(&format!("{CRASH_PROMPT} again"), 8, false);
     let first = fleet.chat(0, KEY, &crasher).await;
     assert_eq!(first.code(), "request_blocked", "{}", first.text());
     assert_eq!(first.headers["x-comfreyramp-ran"], "unknown");
--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -44,8 +44,8 @@
 #[tokio::test]
 async fn a_resent_job_is_the_same_lot() {
     let fleet = fleet().await;
-    let first = LotCaller::new(&fleet, 0).job("order-17");
-    let second = LotCaller::new(&fleet, 1).job("order-17");
+    let first = LotCaller::new(&fleet, 0).idempotency_key("order-17");
+    let second = LotCaller::new(&fleet, 1).idempotency_key("order-17");
     let content = input(12, 4);
     let file = first.upload(&content).await;
     let lot = first.create(&file).await;
@@ -58,9 +58,12 @@
     assert_eq!(second.create(&file).await["id"], lot["id"]);
     // The same key with a different request is an error that must be reported.
     let other = first.upload(&input(3, 4)).await;
-    assert_eq!(second.ask_lot(&other).await.status, StatusCode::CONFLICT);
+    assert_eq!(
+        second.request_lot(&other).await.status,
+        StatusCode::CONFLICT
+    );
     // Another key makes another lot of the same content.
-    let third = LotCaller::new(&fleet, 0).job("order-18");
+    let third = LotCaller::new(&fleet, 0).idempotency_key("order-18");
     let again = third.upload(&content).await;
     assert_ne!(third.create(&again).await["id"], lot["id"]);
 }
@@ -95,7 +98,7 @@
     let id = lot["id"].as_str().unwrap().to_owned();
     let lot = owner.wait_for(&id, "completed").await;
     let output = lot["output_file_id"].as_str().unwrap();
-    let tries = [
+    let requests = [
         (Method::GET, format!("/v1/files/{file}")),
         (Method::GET, format!("/v1/files/{file}/content")),
         (Method::DELETE, format!("/v1/files/{file}")),
@@ -104,11 +107,11 @@
         (Method::GET, format!("/v1/batches/{id}")),
         (Method::POST, format!("/v1/batches/{id}/cancel")),
     ];
-    for (method, path) in tries {
+    for (method, path) in requests {
         let answer = other.send(method, &path, String::new()).await;
         assert_eq!(answer.status, StatusCode::NOT_FOUND, "{path}");
     }
-    assert_eq!(other.ask_lot(&file).await.status, StatusCode::NOT_FOUND);
+    assert_eq!(other.request_lot(&file).await.status, StatusCode::NOT_FOUND);
     for path in ["/v1/files", "/v1/batches"] {
         let list = other.send(Method::GET, path, String::new()).await.json();
         assert_eq!(list["data"].as_array().unwrap().len(), 0, "{path}");
@@ -131,11 +134,11 @@
         ),
         (String::new(), "the file has no items"),
     ];
-    for (content, told) in cases {
+    for (content, expected) in cases {
         let answer = caller.send_form(form(&content)).await;
         assert_eq!(answer.status, StatusCode::BAD_REQUEST);
         assert_eq!(answer.code(), "invalid_file");
-        assert!(answer.text().contains(told), "{}", answer.text());
+        assert!(answer.text().contains(expected), "{}", answer.text());
         assert_eq!(answer.headers["x-comfreyramp-ran"], "no");
     }
     let list = caller.send(Method::GET, "/v1/files", String::new()).await;
@@ -171,7 +174,7 @@
     let kind = format!("multipart/form-data; boundary={BOUNDARY}");
     headers.insert(header::CONTENT_TYPE, kind.parse().unwrap());
     headers.insert(header::CONTENT_LENGTH, (300_u64 << 20).into());
-    let answer = tokio::time::timeout(PATIENCE, fleet.whole(request)).await;
+    let answer = tokio::time::timeout(PATIENCE, fleet.fetch(request)).await;
     let answer = answer.unwrap();
     assert_eq!(answer.status, StatusCode::PAYLOAD_TOO_LARGE);
     assert_eq!(answer.code(), "body_too_long");
@@ -192,7 +195,7 @@
     let whole = form(&input(600, 4));
     let part = whole[..whole.len() - 100].to_owned();
     assert!(sender.send(part).await);
-    let sending = tokio::time::timeout(Duration::from_millis(300), fleet.whole(request));
+    let sending = tokio::time::timeout(Duration::from_millis(300), fleet.fetch(request));
     assert!(sending.await.is_err(), "answered before the end");
     drop(sender);
     let list = caller.send(Method::GET, "/v1/files", String::new()).await;
