--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -142,7 +142,7 @@
 
 /// A client uses a method that a path doesn't support, or sends a HEAD request.
 #[tokio::test]
-async fn a_wrong_method_is_told_the_right_ones() {
+async fn a_wrong_method_gets_the_allowed_methods() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let address = fleet.daemons[0].addresses.callers;
     let cases = [
@@ -266,7 +266,7 @@
 
 /// A client disconnects in the middle of its body. The request must not run.
 #[tokio::test]
-async fn a_client_that_vanishes_runs_nothing() {
+async fn a_client_that_disconnects_runs_nothing() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let address = fleet.daemons[0].addresses.callers;
     let before = fleet.engines[0].server.log().list().len();
@@ -293,7 +293,7 @@
 /// If these counted as failures of the backend server, one faulty client could take
 /// the server out of service for all callers.
 #[tokio::test]
-async fn a_server_isnt_blamed_for_uploads_that_break_off() {
+async fn uploads_that_break_off_dont_count_as_server_failures() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let address = fleet.daemons[0].addresses.callers;
     for _ in 0..30 {
@@ -321,7 +321,7 @@
 /// A caller's upload stalls while its connection stays open. The call must end at
 /// its time limit, and must not count as a failure of the server.
 #[tokio::test]
-async fn a_server_isnt_blamed_for_an_upload_that_halts() {
+async fn an_upload_that_stalls_doesnt_count_as_a_server_failure() {
     let mut settings = usual_settings();
     settings.services[1].timeout_ms = 1000;
     let plan = FleetPlan {
@@ -396,7 +396,7 @@
 /// Both APIs receive randomly damaged requests. Each connection must end, the daemon
 /// must not panic, and valid requests must be served meanwhile.
 #[tokio::test]
-async fn damaged_requests_end_and_harm_nobody() {
+async fn damaged_requests_end_and_affect_no_other_request() {
     std::panic::set_hook(Box::new(|panic| {
         PANICS.fetch_add(1, Ordering::SeqCst);
         eprintln!("{panic}");
--- a/crates/daemon/tests/bulk_gate.rs
+++ b/crates/daemon/tests/bulk_gate.rs
@@ -109,7 +109,7 @@
 // streams were stopped only after the next load report, the live requests would
 // already be queued behind them in the engine.
 #[test]
-fn bulk_work_makes_room_before_a_live_request_is_sent() {
+fn bulk_work_is_preempted_before_a_live_request_is_sent() {
     let mut limiter = TestLimiter::new(&[vm("engine-1", "engines")]);
     let slots = limiter.fill();
     assert_eq!(slots.len(), BATCH as usize);
@@ -125,7 +125,7 @@
 // Another daemon sends live work to the same engine. This daemon learns of it
 // only from the engine's report, and must then preempt bulk work.
 #[test]
-fn requests_of_other_daemons_take_room() {
+fn requests_of_other_daemons_preempt_bulk_work() {
     let mut limiter = TestLimiter::new(&[vm("engine-1", "engines")]);
     let slots = limiter.fill();
     limiter.advance(Duration::from_millis(250));
@@ -138,7 +138,7 @@
 // An engine doesn't report its load. Since the live work on it is unknown, bulk
 // work must not start there, and running bulk work must end soon.
 #[test]
-fn a_server_that_tells_nothing_gets_no_bulk_work() {
+fn a_server_without_load_reports_gets_no_bulk_work() {
     let mut limiter = TestLimiter::new(&[vm("engine-1", "engines")]);
     limiter.advance(Duration::from_secs(10));
     assert!(limiter.open().is_none());
@@ -152,7 +152,7 @@
 // A daemon joins the zone and becomes the home of some servers. If the old home
 // kept its slots, both daemons would fill the same engine.
 #[test]
-fn a_server_that_moves_to_another_home_is_left() {
+fn bulk_work_stops_on_a_server_that_moves_to_another_home() {
     let engines: Vec<ListedVm> = (0..8)
         .map(|it| vm(&format!("engine-{it}"), "engines"))
         .collect();
--- a/crates/daemon/tests/callers_door.rs
+++ b/crates/daemon/tests/callers_door.rs
@@ -200,7 +200,7 @@
 }
 
 #[tokio::test]
-async fn bad_input_is_told_its_place_and_fix_and_loses_nothing() {
+async fn bad_input_is_rejected_with_its_code_and_runs_nothing() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let path = "/v1/chat/completions";
     let cases = [
--- a/crates/daemon/tests/live_queue.rs
+++ b/crates/daemon/tests/live_queue.rs
@@ -134,7 +134,7 @@
 /// while a person waits for streams with another key. Without ranks the person
 /// would wait behind the program, since both belong to the same customer.
 #[tokio::test]
-async fn bulk_through_the_live_door_waits_behind_a_person() {
+async fn bulk_through_the_live_api_waits_behind_a_person() {
     let fleet = small_fleet(1).await;
     let (program, person) = futures::join!(
         send_evenly(&fleet, 0, OTHER_KEY, 60, false),
--- a/crates/daemon/tests/lots.rs
+++ b/crates/daemon/tests/lots.rs
@@ -89,7 +89,7 @@
 // priorities: unless the streams of the lot are stopped, the live requests wait
 // behind them. The stopped items must resume later and be complete.
 #[tokio::test]
-async fn a_lot_steps_aside_for_a_live_burst_and_goes_on() {
+async fn a_lot_is_preempted_for_a_live_burst_and_resumes() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let caller = LotCaller::new(&fleet, 0);
     let file = caller.upload(&input(24, 200)).await;
@@ -150,7 +150,7 @@
 // 200 ms old and read four times a second; until then the live requests would wait
 // behind the streams of the lot.
 #[tokio::test]
-async fn a_lot_steps_aside_for_a_burst_at_another_daemon() {
+async fn a_lot_is_preempted_for_a_burst_at_another_daemon() {
     let fleet = fleet().await;
     let caller = LotCaller::new(&fleet, 0);
     let file = caller.upload(&input(60, 400)).await;
--- a/crates/daemon/tests/operators_explain.rs
+++ b/crates/daemon/tests/operators_explain.rs
@@ -31,7 +31,7 @@
 /// A caller complains about an answer, of which the operator has only the id. The
 /// explanation must contain neither the caller's text nor its key.
 #[tokio::test]
-async fn a_streamed_request_is_told_step_by_step() {
+async fn a_streamed_request_is_explained_step_by_step() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let answer = fleet
         .chat(0, KEY, &chat("for Amina and Joseph", 5, true))
@@ -94,7 +94,7 @@
 /// Requests are refused for a wrong key, for an unknown model, and because no
 /// server is available. The explanation must give the reason.
 #[tokio::test]
-async fn a_refused_request_tells_the_reason() {
+async fn a_refused_request_is_explained_with_the_reason() {
     let plan = FleetPlan {
         engines: Vec::new(),
         ..FleetPlan::default()
--- a/crates/daemon/tests/operators_settings.rs
+++ b/crates/daemon/tests/operators_settings.rs
@@ -187,7 +187,7 @@
 /// The daemon's answer to an operator's tool is lost, and the tool sends the
 /// change again. Meanwhile another operator changed the team.
 #[tokio::test]
-async fn a_change_that_is_sent_again_is_told_as_written() {
+async fn a_change_that_is_sent_again_is_reported_as_written() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let seen = revision_of(&fleet, "studio").await;
     let (mine, theirs) = (with_rate(111), with_rate(222));
@@ -208,7 +208,7 @@
 
 /// The platform writes the change, but its answers are lost.
 #[tokio::test]
-async fn a_change_whose_answers_are_lost_is_told_as_written() {
+async fn a_change_whose_answers_are_lost_is_reported_as_written() {
     for lost in [
         LostAnswers::Next(1),
         LostAnswers::Next(2),
@@ -292,7 +292,7 @@
 /// A team changes its settings for years. The history must not exceed the maximum
 /// size of a value of the platform, and daemons must not keep it in memory.
 #[tokio::test]
-async fn a_history_tells_who_changed_what_and_keeps_the_last_changes() {
+async fn a_history_records_who_changed_what_and_keeps_the_last_changes() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let first = revision_of(&fleet, "studio").await;
     let made = history_of(&fleet, "studio").await[0]["differences"].clone();
@@ -335,7 +335,7 @@
 
 /// Requests to the operator API have no token or a wrong one.
 #[tokio::test]
-async fn without_the_token_nothing_is_told_or_changed() {
+async fn without_the_token_nothing_is_disclosed_or_changed() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let address = fleet.daemons[0].addresses.operators;
     let requests = [
@@ -378,7 +378,7 @@
 /// Monitoring reads the metrics, which must include the values that the
 /// documentation for operators lists.
 #[tokio::test]
-async fn metrics_tell_the_present_values() {
+async fn metrics_report_the_current_values() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let answer = fleet.chat(0, KEY, &chat("a verse", 3, true)).await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
--- a/crates/daemon/tests/rates.rs
+++ b/crates/daemon/tests/rates.rs
@@ -53,7 +53,7 @@
 /// A customer sends several times its rate to all daemons at once. If each daemon
 /// counted on its own, the customer would get its full rate from each of them.
 #[tokio::test]
-async fn all_daemons_together_let_in_no_more_than_the_rate() {
+async fn all_daemons_together_admit_no_more_than_the_rate() {
     let fleet = TestFleet::start(plan(vec!["zone-1", "zone-1", "zone-2"])).await;
     let began = Instant::now();
     let duration = Duration::from_secs(3);
--- a/crates/daemon/tests/run_once.rs
+++ b/crates/daemon/tests/run_once.rs
@@ -402,7 +402,7 @@
 /// The caller sends the call to another daemon, so the suspended daemon must not
 /// run it when it resumes.
 #[tokio::test]
-async fn a_daemon_that_wakes_does_not_send_on_its_old_claim() {
+async fn a_daemon_that_resumes_does_not_send_on_its_old_claim() {
     let fleet = two_daemons().await;
     let frozen = DaemonProcess::start(&fleet, "daemon-9").await;
     let first = || frozen.request(Method::GET, "/proofs/warm", KEY, String::new());
--- a/crates/daemon/tests/settings_in_force.rs
+++ b/crates/daemon/tests/settings_in_force.rs
@@ -141,7 +141,7 @@
 /// their own change. A second operator who started from the same revision must get
 /// a conflict that names the current revision.
 #[tokio::test]
-async fn a_change_whose_answer_is_lost_is_told_as_written() {
+async fn a_change_whose_answer_is_lost_is_reported_as_written() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let seen = revision_of(&fleet, "studio").await;
     fleet.platform.change_faults(FaultChange {
--- a/crates/daemon/tests/settings_link.rs
+++ b/crates/daemon/tests/settings_link.rs
@@ -50,7 +50,7 @@
 /// The connections of the watches stay open but deliver nothing any more. Without
 /// periodic reads, a daemon would accept a withdrawn key until it is restarted.
 #[tokio::test(start_paused = true)]
-async fn a_silent_watch_is_made_good() {
+async fn changes_behind_a_silent_watch_are_applied() {
     let fleet = LinkFleet::start(&[3, 3]).await;
     advance(seconds(20)).await;
     fleet.platform.change_faults(FaultChange {
@@ -71,7 +71,7 @@
 /// drops the history in between. A watch that resumed as if nothing were missing
 /// would leave a deleted team in force.
 #[tokio::test(start_paused = true)]
-async fn dropped_history_is_made_good_by_a_whole_read() {
+async fn dropped_history_is_recovered_by_a_full_read() {
     let fleet = LinkFleet::start(&[3]).await;
     fleet.write("press", "1").await;
     fleet.write("market", "1").await;
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn forgotten_deletions_make_the_changes_whole() {
+fn forgotten_deletions_lead_to_a_full_view() {
     let mut view = SettingsView::default();
     let pairs: Vec<KeyValue> = (0..600).map(|it| pair(&format!("{it:03}"), 1)).collect();
     view.apply(whole(&pairs, 10));
--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn faults_of_a_file_are_told_with_their_lines() {
+async fn errors_in_a_file_are_reported_with_their_lines() {
     let fleet = fleet().await;
     let caller = LotCaller::new(&fleet, 0);
     let good = input(3, 4);
@@ -184,7 +184,7 @@
 // A client disconnects in the middle of an upload. No part of the file may become
 // visible, and the daemon must keep serving.
 #[tokio::test]
-async fn a_vanished_client_leaves_no_file() {
+async fn a_disconnected_client_leaves_no_file() {
     let fleet = fleet().await;
     let caller = LotCaller::new(&fleet, 0);
     let (sender, body) = MessageBody::stream();
--- a/crates/peers/tests/peer_link.rs
+++ b/crates/peers/tests/peer_link.rs
@@ -209,7 +209,7 @@
 }
 
 #[tokio::test]
-async fn beats_go_both_ways_and_come_with_each_connection() {
+async fn heartbeats_go_both_ways_and_come_with_each_connection() {
     let answerer = recorder("answerer");
     let (asker, other) = pair(answerer.clone());
     let sent = PeerBeat {
@@ -287,7 +287,7 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_is_gone_is_told_from_one_that_is_late() {
+async fn an_unreachable_peer_is_distinguished_from_a_slow_one() {
     // A daemon stops, and its successor starts at the same address. Requests in
     // between must fail as unreachable, since callers may then send them to
     // another daemon. Requests after the restart must not be lost on the broken
@@ -313,7 +313,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_is_held_back_holds_up_nothing_else() {
+async fn a_delayed_answer_delays_no_other_request() {
     // A request for changes of the settings may wait at the peer for long.
     // Requests for tokens use the same connection and must not be delayed by it.
     let (asker, other) = pair(recorder("answerer"));
