--- a/crates/daemon/tests/operators_settings.rs
+++ b/crates/daemon/tests/operators_settings.rs
@@ -375,8 +375,8 @@
     assert!(!fleet.daemons[0].stop.is_cancelled());
 }
 
-/// Monitoring reads the metrics, which must include the values that the
-/// documentation for operators lists.
+/// Monitoring, which reads the metrics without a token, relies on the values that
+/// the documentation for operators lists.
 #[tokio::test]
 async fn metrics_report_the_current_values() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -36,17 +36,17 @@
 #[derive(Debug)]
 pub enum MessageBody {
     /// The complete body, in memory; `None` if it is empty.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// A writer sends the body through a [`BodySender`].
     Streamed(mpsc::Receiver<Result<Bytes, BodyError>>),
     /// The body is forwarded from another connection.
-    Passed(Incoming),
+    Forwarded(Incoming),
 }
 
 impl MessageBody {
     /// Returns an empty body.
     pub fn empty() -> Self {
-        MessageBody::Whole(None)
+        MessageBody::Complete(None)
     }
 
     /// Returns a streamed body and the sender that writes it.
@@ -58,7 +58,7 @@
 
 impl From<Bytes> for MessageBody {
     fn from(bytes: Bytes) -> Self {
-        MessageBody::Whole((!bytes.is_empty()).then_some(bytes))
+        MessageBody::Complete((!bytes.is_empty()).then_some(bytes))
     }
 }
 
@@ -83,12 +83,12 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            MessageBody::Whole(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
+            MessageBody::Complete(bytes) => Poll::Ready(bytes.take().map(|it| Ok(Frame::data(it)))),
             MessageBody::Streamed(receiver) => {
                 let item = ready!(receiver.poll_recv(context));
                 Poll::Ready(item.map(|it| it.map(Frame::data)))
             }
-            MessageBody::Passed(incoming) => {
+            MessageBody::Forwarded(incoming) => {
                 let frame = ready!(Pin::new(incoming).poll_frame(context));
                 Poll::Ready(frame.map(|it| it.map_err(BodyError::from)))
             }
@@ -97,19 +97,19 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            MessageBody::Whole(bytes) => bytes.is_none(),
+            MessageBody::Complete(bytes) => bytes.is_none(),
             MessageBody::Streamed(_) => false,
-            MessageBody::Passed(incoming) => incoming.is_end_stream(),
+            MessageBody::Forwarded(incoming) => incoming.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            MessageBody::Whole(bytes) => {
+            MessageBody::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |it| it.len() as u64))
             }
             MessageBody::Streamed(_) => SizeHint::default(),
-            MessageBody::Passed(incoming) => incoming.size_hint(),
+            MessageBody::Forwarded(incoming) => incoming.size_hint(),
         }
     }
 }
--- a/crates/peers/examples/peer_cost.rs
+++ b/crates/peers/examples/peer_cost.rs
@@ -135,8 +135,8 @@
         grant: u64::MAX / 3,
         unspent: 0,
     };
-    let asks = [
-        ("heartbeat", PeerRequest::Beat(beat())),
+    let requests = [
+        ("heartbeat", PeerRequest::Heartbeat(beat())),
         ("tokens", PeerRequest::Rates(RateAsk::Tokens(token))),
         (
             "1 announcement",
@@ -162,12 +162,12 @@
         "| message | bytes sent | bytes received | processor, µs, both sides | round trip, µs |"
     );
     println!("|---|---|---|---|---|");
-    for (name, ask) in asks {
-        asker.ask(address, ask.clone(), TIMEOUT).await?;
+    for (name, request) in requests {
+        asker.request(address, request.clone(), TIMEOUT).await?;
         let (sent, received) = asker.traffic().totals();
         let (began, processor) = (Instant::now(), processor_time()?);
         for _ in 0..ROUNDS {
-            asker.ask(address, ask.clone(), TIMEOUT).await?;
+            asker.request(address, request.clone(), TIMEOUT).await?;
         }
         let rounds = f64::from(ROUNDS);
         let processor = processor_time()? - processor;
--- a/crates/peers/src/codec/mod.rs
+++ b/crates/peers/src/codec/mod.rs
@@ -32,7 +32,7 @@
     ask: &PeerRequest,
 ) -> Result<PeerAnswer, PeerError> {
     match ask {
-        PeerRequest::Beat(beat) => call_beat(session, beat).await.map(PeerAnswer::Beat),
+        PeerRequest::Heartbeat(beat) => call_beat(session, beat).await.map(PeerAnswer::Heartbeat),
         PeerRequest::Rates(ask) => call_rates(session, ask).await.map(PeerAnswer::Rates),
         PeerRequest::Settings(ask) => call_settings(session, ask).await,
         PeerRequest::Suspects(notice) => call_suspects(session, notice).await,
--- a/crates/peers/src/connection_pool.rs
+++ b/crates/peers/src/connection_pool.rs
@@ -68,7 +68,7 @@
         if let Err(PeerError::AnswerLost(_)) = &answer {
             connection.close.cancel();
         }
-        if let Ok(PeerAnswer::Beat(beat)) = &answer {
+        if let Ok(PeerAnswer::Heartbeat(beat)) = &answer {
             self.context.handler.take_beat(beat);
         }
         answer
@@ -97,11 +97,11 @@
 
     /// Closes connections that have been idle for too long.
     pub(crate) fn close_idle(&self) {
-        let idle = self.context.timing.idle;
+        let idle_timeout = self.context.timing.idle_timeout;
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| {
             let in_use =
-                connection.pending.get() > 0 || connection.last_used.get().elapsed() < idle;
+                connection.pending.get() > 0 || connection.last_used.get().elapsed() < idle_timeout;
             let keep = in_use && !connection.close.is_cancelled();
             if !keep {
                 connection.close.cancel();
@@ -172,12 +172,12 @@
     context: Rc<LinkContext<H>>,
     close: CancellationToken,
 ) -> Result<session::Client, PeerError> {
-    let limit = context.timing.connect;
+    let timeout = context.timing.connect_timeout;
     let opening = connect(to, context, close);
-    match tokio::time::timeout(limit, opening).await {
+    match tokio::time::timeout(timeout, opening).await {
         Ok(opened) => opened,
         Err(_) => Err(PeerError::Unreachable(format!(
-            "no connection within {limit:?}"
+            "no connection within {timeout:?}"
         ))),
     }
 }
--- a/crates/peers/src/link_thread.rs
+++ b/crates/peers/src/link_thread.rs
@@ -50,7 +50,8 @@
         Err(error) => log::error!("peers: failed to listen: {error}"),
     }
     let pool = Rc::new(ConnectionPool::new(context.clone()));
-    let mut idle_check = tokio::time::interval(IDLE_CHECK_INTERVAL.min(context.timing.idle));
+    let mut idle_check =
+        tokio::time::interval(IDLE_CHECK_INTERVAL.min(context.timing.idle_timeout));
     loop {
         tokio::select! {
             () = context.stop.cancelled() => return,
@@ -71,7 +72,7 @@
     };
     let answer = answer.unwrap_or_else(|_| {
         pool.record_timeout(queued.to);
-        Err(PeerError::Late)
+        Err(PeerError::TimedOut)
     });
     // Sending fails if the caller no longer waits for the answer.
     let _ = queued.reply.send(answer);
--- a/crates/peers/src/messages.rs
+++ b/crates/peers/src/messages.rs
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerRequest {
     /// A heartbeat. If `leaving` is set, the sender is about to stop.
-    Beat(PeerBeat),
+    Heartbeat(PeerBeat),
     /// A message about tokens and slices of customers' rates.
     Rates(RateAsk),
     /// The settings.
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerAnswer {
     /// The heartbeat of the peer.
-    Beat(PeerBeat),
+    Heartbeat(PeerBeat),
     /// A message about tokens and slices of customers' rates.
     Rates(RateAnswer),
     /// The settings, or `None` if the peer has none yet.
--- a/crates/peers/src/peer_error.rs
+++ b/crates/peers/src/peer_error.rs
@@ -12,7 +12,7 @@
     AnswerLost(String),
     /// No answer arrived in time; the peer may have received the request.
     #[error("the peer did not answer in time")]
-    Late,
+    TimedOut,
     /// The peer's answer can't be decoded.
     #[error("the peer's answer is malformed: {0}")]
     Malformed(String),
--- a/crates/peers/src/peer_link.rs
+++ b/crates/peers/src/peer_link.rs
@@ -29,22 +29,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkTiming {
     /// The time limit for opening a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// This daemon closes a connection that it opened after this long without a
     /// request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// This daemon closes a connection that a peer opened after this long
     /// without a request. The peer would have closed it earlier, so the peer is
     /// gone.
-    pub silent: Duration,
+    pub silence_timeout: Duration,
 }
 
 impl Default for LinkTiming {
     fn default() -> Self {
         LinkTiming {
-            connect: Duration::from_secs(1),
-            idle: Duration::from_secs(60),
-            silent: Duration::from_secs(180),
+            connect_timeout: Duration::from_secs(1),
+            idle_timeout: Duration::from_secs(60),
+            silence_timeout: Duration::from_secs(180),
         }
     }
 }
@@ -98,7 +98,7 @@
 
     /// Sends a request to a daemon and waits for its answer for at most
     /// `timeout`.
-    pub async fn ask(
+    pub async fn request(
         &self,
         to: SocketAddr,
         request: PeerRequest,
@@ -127,8 +127,11 @@
         beat: PeerBeat,
         timeout: Duration,
     ) -> Result<PeerBeat, PeerError> {
-        match self.ask(to, PeerRequest::Beat(beat), timeout).await? {
-            PeerAnswer::Beat(beat) => Ok(beat),
+        match self
+            .request(to, PeerRequest::Heartbeat(beat), timeout)
+            .await?
+        {
+            PeerAnswer::Heartbeat(beat) => Ok(beat),
             _ => Err(wrong_kind()),
         }
     }
@@ -140,7 +143,7 @@
         ask: RateAsk,
         timeout: Duration,
     ) -> Result<RateAnswer, PeerError> {
-        match self.ask(to, PeerRequest::Rates(ask), timeout).await? {
+        match self.request(to, PeerRequest::Rates(ask), timeout).await? {
             PeerAnswer::Rates(answer) => Ok(answer),
             _ => Err(wrong_kind()),
         }
@@ -153,7 +156,10 @@
         ask: SettingsAsk,
         timeout: Duration,
     ) -> Result<Option<SettingsAnswer>, PeerError> {
-        match self.ask(to, PeerRequest::Settings(ask), timeout).await? {
+        match self
+            .request(to, PeerRequest::Settings(ask), timeout)
+            .await?
+        {
             PeerAnswer::Settings(answer) => Ok(answer),
             _ => Err(wrong_kind()),
         }
@@ -166,7 +172,10 @@
         notice: SuspectNotice,
         timeout: Duration,
     ) -> Result<NoticeAck, PeerError> {
-        match self.ask(to, PeerRequest::Suspects(notice), timeout).await? {
+        match self
+            .request(to, PeerRequest::Suspects(notice), timeout)
+            .await?
+        {
             PeerAnswer::Suspects(ack) => Ok(ack),
             _ => Err(wrong_kind()),
         }
@@ -181,7 +190,7 @@
         timeout: Duration,
     ) -> Result<Vec<u32>, PeerError> {
         match self
-            .ask(to, PeerRequest::Announce(notices), timeout)
+            .request(to, PeerRequest::Announce(notices), timeout)
             .await?
         {
             PeerAnswer::Announced(bulk) => Ok(bulk),
--- a/crates/peers/src/peer_server.rs
+++ b/crates/peers/src/peer_server.rs
@@ -66,7 +66,7 @@
     let rpc = RpcSystem::new(Box::new(network), Some(client.client));
     tokio::select! {
         () = context.stop.cancelled() => {}
-        () = until_silent(&last_used, context.timing.silent) => {}
+        () = until_silent(&last_used, context.timing.silence_timeout) => {}
         ended = rpc => {
             if let Err(error) = ended {
                 log::debug!("peers: a connection broke: {error}");
@@ -75,11 +75,11 @@
     }
 }
 
-/// Waits until no request has arrived for `limit`. A peer whose VM was lost never
+/// Waits until no request has arrived for `timeout`. A peer whose VM was lost never
 /// closes its connection, which would otherwise stay open forever.
-async fn until_silent(last_used: &Cell<Instant>, limit: Duration) {
-    while last_used.get().elapsed() < limit {
-        tokio::time::sleep_until(last_used.get() + limit).await;
+async fn until_silent(last_used: &Cell<Instant>, timeout: Duration) {
+    while last_used.get().elapsed() < timeout {
+        tokio::time::sleep_until(last_used.get() + timeout).await;
     }
 }
 
--- a/crates/peers/tests/peer_link.rs
+++ b/crates/peers/tests/peer_link.rs
@@ -324,7 +324,7 @@
     let settle = RateAsk::Settle(Vec::new());
     let quick = asker.link.rates(other.address, settle, TIMEOUT);
     let (held, quick) = tokio::join!(held, quick);
-    assert_eq!(held, Err(PeerError::Late));
+    assert_eq!(held, Err(PeerError::TimedOut));
     assert_eq!(quick, Ok(RateAnswer::Done));
     asker.stop();
     other.stop();
@@ -341,7 +341,7 @@
     let ask = RateAsk::Settle(Vec::new());
     for _ in 0..4 {
         let got = asker.link.rates(address, ask.clone(), timeout).await;
-        assert_eq!(got, Err(PeerError::Late));
+        assert_eq!(got, Err(PeerError::TimedOut));
     }
     drop(silent);
     let other = Daemon::start(recorder("answerer"), address, LinkTiming::default());
@@ -356,7 +356,7 @@
     // Of hundreds of daemons only a few get frequent requests. Connections kept
     // open to all of them would cost memory and keepalives at both ends.
     let timing = LinkTiming {
-        idle: Duration::from_millis(20),
+        idle_timeout: Duration::from_millis(20),
         ..LinkTiming::default()
     };
     let asker = Daemon::start(recorder("asker"), any_port(), timing);
