--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -33,7 +33,7 @@
     /// The connection wasn't established: no byte of the request was sent.
     #[error("could not connect: {0}")]
     NotSent(String),
-    /// The connection broke after the request may have arrived, partly or
+    /// The connection broke; the request may have arrived, partly or
     /// completely.
     #[error("the connection broke: {0}")]
     Broken(String),
--- a/crates/http/src/error_answer.rs
+++ b/crates/http/src/error_answer.rs
@@ -164,8 +164,8 @@
     }
 }
 
-/// Rounds up to whole seconds, the unit of `Retry-After`. Rounded down, callers
-/// would retry too early; with zero, they would retry immediately.
+/// Rounds up to whole seconds, the unit of `Retry-After`, and to at least one. With a
+/// value rounded down, callers would retry too early; with zero, immediately.
 fn whole_seconds(wait: Duration) -> u64 {
     (wait.as_millis().div_ceil(1000) as u64).max(1)
 }
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -23,7 +23,8 @@
     /// The maximum number of bytes buffered per connection, which also limits
     /// the head of a request.
     pub buffer_bytes: usize,
-    /// How long open connections may take to finish after the server stops.
+    /// How long open connections may take to finish once the server accepts no
+    /// new ones.
     pub drain_timeout: Duration,
 }
 
--- a/crates/peers/src/codec/mod.rs
+++ b/crates/peers/src/codec/mod.rs
@@ -29,9 +29,9 @@
 /// Sends a request over a session and waits for the answer.
 pub(crate) async fn call(
     session: &session::Client,
-    ask: &PeerRequest,
+    request: &PeerRequest,
 ) -> Result<PeerAnswer, PeerError> {
-    match ask {
+    match request {
         PeerRequest::Heartbeat(beat) => call_beat(session, beat).await.map(PeerAnswer::Heartbeat),
         PeerRequest::Rates(ask) => call_rates(session, ask).await.map(PeerAnswer::Rates),
         PeerRequest::Settings(ask) => call_settings(session, ask).await,
