--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! What the doors do with input that no honest client sends.
+//! Tests of both APIs with malformed and hostile input.
 
 mod support;
 
@@ -18,33 +18,41 @@
 
 /// The seed of all random input.
 const SEED: u64 = 0xbad_1234;
-/// How long a door may take to answer or to close, other than for a slow client.
-const SOON: Duration = Duration::from_secs(5);
+/// The time limit for the daemon to answer or to close a connection, except for
+/// slow clients.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a whole request may take to be answered before the client ends it.
-const WHOLE: Duration = Duration::from_millis(500);
-/// The same for a request that may be cut off.
-const MAYBE_CUT: Duration = Duration::from_millis(20);
+/// How long the client waits for the answer to a complete request before it shuts
+/// down its side of the connection.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The same time for a request that may be truncated.
+const TRUNCATED_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Sends bytes and reads until the door closes. After a while the client says
-/// that no more will come: the request may lack its end.
-async fn send(door: SocketAddr, bytes: &[u8], patience: Duration) -> String {
-    let mut stream = TcpStream::connect(door).await.expect("the door is open");
-    // The door may answer and close before it has read everything.
+/// Sends bytes and reads until the daemon closes the connection. After `timeout`,
+/// the client shuts down its side, since the request may be incomplete.
+async fn send(address: SocketAddr, bytes: &[u8], timeout: Duration) -> String {
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("the listener accepts connections");
+    // The daemon may answer and close before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
-    if tokio::time::timeout(patience, read).await.is_err() {
+    if tokio::time::timeout(timeout, read).await.is_err() {
         let _ = stream.shutdown().await;
         let read = stream.read_to_end(&mut answer);
-        let ended = tokio::time::timeout(SOON, read).await;
-        assert!(ended.is_ok(), "no end: {}", String::from_utf8_lossy(bytes));
+        let ended = tokio::time::timeout(CLOSE_TIMEOUT, read).await;
+        assert!(
+            ended.is_ok(),
+            "the connection stays open: {}",
+            String::from_utf8_lossy(bytes)
+        );
     }
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-async fn raw(door: SocketAddr, bytes: &[u8]) -> String {
-    send(door, bytes, WHOLE).await
+async fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
+    send(address, bytes, ANSWER_TIMEOUT).await
 }
 
 fn status_of(answer: &str) -> u16 {
@@ -62,17 +70,17 @@
     format!("{}\r\n{headers}\r\n", lines.join("\r\n")).into_bytes()
 }
 
-async fn still_serves(fleet: &TestFleet) {
+async fn assert_serves(fleet: &TestFleet) {
     let answer = fleet.chat(0, KEY, &chat("a verse", 1, false)).await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
 }
 
-/// A caller of one service names a path that the server behind it may read as
-/// lying outside of the service's prefix, and reaches what was not meant for it.
+/// A caller of a service sends a path that the backend server may resolve to one
+/// outside of the service's prefix, to which the caller has no access.
 #[tokio::test]
 async fn no_path_leaves_a_services_prefix() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let before = fleet.service.log().list().len();
     let targets = [
         "/proofs/../admin",
@@ -91,7 +99,7 @@
         "http://elsewhere/proofs/../admin",
     ];
     for target in targets {
-        let answer = raw(door, &request("GET", target, "")).await;
+        let answer = send_raw(address, &request("GET", target, "")).await;
         assert_eq!(status_of(&answer), 400, "{target}: {answer}");
         assert!(
             answer.contains("x-comfreyramp-ran: no"),
@@ -105,17 +113,17 @@
         "/proofs/.hidden",
         "/proofs/%zz",
     ] {
-        let answer = raw(door, &request("GET", target, "")).await;
+        let answer = send_raw(address, &request("GET", target, "")).await;
         assert_eq!(status_of(&answer), 200, "{target}: {answer}");
     }
 }
 
-/// A target names another host. The daemon must neither go there nor let the
-/// name choose the service.
+/// A request target names another host. The daemon must neither connect to it nor
+/// select the service by it.
 #[tokio::test]
 async fn the_targets_form_doesnt_choose_the_server() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let cases = [
         ("GET", "http://127.0.0.1:1/proofs/x", 200),
         ("GET", "http://127.0.0.1:1/other", 404),
@@ -126,17 +134,17 @@
         ("GET", "/proofsheets", 404),
     ];
     for (method, target, status) in cases {
-        let answer = raw(door, &request(method, target, "")).await;
+        let answer = send_raw(address, &request(method, target, "")).await;
         assert_eq!(status_of(&answer), status, "{method} {target}: {answer}");
     }
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
 }
 
-/// A client uses a method that a path doesn't have, or asks for the head only.
+/// A client uses a method that a path doesn't support, or sends a HEAD request.
 #[tokio::test]
-async fn a_wrong_method_is_told_the_right_ones() {
+async fn a_wrong_method_gets_the_allowed_methods() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let cases = [
         ("GET", "/v1/chat/completions", "POST"),
         ("PUT", "/v1/completions", "POST"),
@@ -150,7 +158,7 @@
         ("GET", "/v1/batches/batch-1/cancel", "POST"),
     ];
     for (method, path, allowed) in cases {
-        let answer = raw(door, &request(method, path, "")).await;
+        let answer = send_raw(address, &request(method, path, "")).await;
         assert_eq!(status_of(&answer), 405, "{method} {path}: {answer}");
         assert!(
             answer.contains(&format!("allow: {allowed}\r\n")),
@@ -159,12 +167,12 @@
         assert!(answer.contains("x-comfreyramp-ran: no"), "{answer}");
     }
     for path in ["/v1/unknown", "/v1/files/a/b/c", "/v1/chat", "/v1/"] {
-        let answer = raw(door, &request("GET", path, "")).await;
+        let answer = send_raw(address, &request("GET", path, "")).await;
         assert_eq!(status_of(&answer), 404, "{path}: {answer}");
     }
-    let answer = raw(door, &request("HEAD", "/v1/models", "")).await;
+    let answer = send_raw(address, &request("HEAD", "/v1/models", "")).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
-    assert!(answer.ends_with("\r\n\r\n"), "a body came: {answer}");
+    assert!(answer.ends_with("\r\n\r\n"), "unexpected body: {answer}");
     let operators = fleet.daemons[0].addresses.operators;
     let token = format!("authorization: Bearer {TOKEN}\r\nconnection: close\r\n");
     for (method, path, allowed) in [
@@ -173,8 +181,8 @@
         ("DELETE", "/settings/studio", "GET, HEAD, PUT"),
         ("POST", "/metrics", "GET, HEAD"),
     ] {
-        let ask = format!("{method} {path} HTTP/1.1\r\nhost: door\r\n{token}\r\n");
-        let answer = raw(operators, ask.as_bytes()).await;
+        let text = format!("{method} {path} HTTP/1.1\r\nhost: door\r\n{token}\r\n");
+        let answer = send_raw(operators, text.as_bytes()).await;
         assert_eq!(status_of(&answer), 405, "{method} {path}: {answer}");
         assert!(
             answer.contains(&format!("allow: {allowed}\r\n")),
@@ -183,33 +191,33 @@
     }
 }
 
-/// A head is too long, has too many lines or isn't text. Reading on for ever
-/// would let one client take the daemon's memory.
+/// A request head is too long, has too many lines or isn't text. Without a limit,
+/// one client could use up the daemon's memory.
 #[tokio::test]
 async fn heads_are_bounded_and_may_hold_any_bytes() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let long = format!("x-long: {}\r\n", "a".repeat(200_000));
-    let answer = raw(door, &request("GET", "/v1/models", &long)).await;
+    let answer = send_raw(address, &request("GET", "/v1/models", &long)).await;
     assert_eq!(status_of(&answer), 431, "{answer}");
     let many: String = (0..5000).map(|it| format!("x-{it}: 1\r\n")).collect();
-    let answer = raw(door, &request("GET", "/v1/models", &many)).await;
+    let answer = send_raw(address, &request("GET", "/v1/models", &many)).await;
     assert_eq!(status_of(&answer), 431, "{answer}");
     let target = format!("/proofs/{}", "a".repeat(200_000));
-    let answer = raw(door, &request("GET", &target, "")).await;
+    let answer = send_raw(address, &request("GET", &target, "")).await;
     assert!([414, 431].contains(&status_of(&answer)), "{answer}");
 
     let mut bytes = b"GET /v1/models HTTP/1.1\r\nhost: door\r\nconnection: close\r\n".to_vec();
     bytes.extend_from_slice(b"authorization: Bearer \xff\xfe\r\n\r\n");
-    let answer = raw(door, &bytes).await;
+    let answer = send_raw(address, &bytes).await;
     assert_eq!(status_of(&answer), 401, "{answer}");
     let mut bytes = request("GET", "/proofs/x", "");
     bytes.truncate(bytes.len() - 2);
     bytes.extend_from_slice(b"x-name: \xc3\x28\xff\r\n\r\n");
-    let answer = raw(door, &bytes).await;
+    let answer = send_raw(address, &bytes).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
-    let answer = raw(
-        door,
+    let answer = send_raw(
+        address,
         b"GET /proofs/\xff\xc3\x28 HTTP/1.1\r\nhost: door\r\n\r\n",
     )
     .await;
@@ -217,7 +225,7 @@
     let both = "content-length: 5\r\ntransfer-encoding: chunked\r\n";
     let mut bytes = request("POST", "/proofs/x", both);
     bytes.extend_from_slice(b"0\r\n\r\nGET /admin HTTP/1.1\r\n\r\n");
-    let answer = raw(door, &bytes).await;
+    let answer = send_raw(address, &bytes).await;
     let refused = status_of(&answer) == 400;
     assert!(refused || answer.contains("\"body_bytes\":0,"), "{answer}");
     let paths = fleet.service.log().list().into_iter().map(|it| it.path);
@@ -226,23 +234,28 @@
         "{:?}",
         paths.collect::<Vec<_>>()
     );
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
 }
 
-/// Clients send a head byte by byte or open connections and say nothing. Each
-/// would hold a connection for ever.
+/// Clients send a head only partly, or open connections and send nothing. Without
+/// a time limit, each would hold a connection forever.
 #[tokio::test]
 async fn a_slow_head_ends_its_connection() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let began = Instant::now();
     let mut silent = Vec::new();
     for start in ["", "GET /v1/models HT", "GET /v1/models HTTP/1.1\r\nhost:"] {
-        let mut stream = TcpStream::connect(door).await.expect("the door is open");
-        stream.write_all(start.as_bytes()).await.expect("written");
+        let mut stream = TcpStream::connect(address)
+            .await
+            .expect("the listener accepts connections");
+        stream
+            .write_all(start.as_bytes())
+            .await
+            .expect("the bytes are written");
         silent.push(stream);
     }
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
     for mut stream in silent {
         let mut answer = Vec::new();
         let read = stream.read_to_end(&mut answer);
@@ -251,55 +264,64 @@
     }
 }
 
-/// A client vanishes in the middle of its body. Nothing of the request runs,
-/// and nothing is left behind.
+/// A client disconnects in the middle of its body. The request must not run.
 #[tokio::test]
-async fn a_client_that_vanishes_runs_nothing() {
+async fn a_client_that_disconnects_runs_nothing() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let before = fleet.engines[0].server.log().list().len();
     for _ in 0..50 {
         let head = request("POST", "/v1/chat/completions", "content-length: 5000\r\n");
-        let mut stream = TcpStream::connect(door).await.expect("the door is open");
-        stream.write_all(&head).await.expect("written");
+        let mut stream = TcpStream::connect(address)
+            .await
+            .expect("the listener accepts connections");
+        stream
+            .write_all(&head)
+            .await
+            .expect("the bytes are written");
         stream
             .write_all(b"{\"model\": \"demo")
             .await
-            .expect("written");
+            .expect("the bytes are written");
         drop(stream);
     }
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
     assert_eq!(fleet.engines[0].server.log().list().len(), before + 1);
 }
 
-/// Callers of a plain service vanish in the middle of their uploads, again and
-/// again. The server behind it did nothing wrong; were it blamed, one careless
-/// client would put it out of service for everybody.
+/// Callers of a plain service repeatedly disconnect in the middle of their uploads.
+/// If these counted as failures of the backend server, one faulty client could take
+/// the server out of service for all callers.
 #[tokio::test]
-async fn a_server_isnt_blamed_for_uploads_that_break_off() {
+async fn uploads_that_break_off_dont_count_as_server_failures() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     for _ in 0..30 {
         let head = request("POST", "/proofs/x", "transfer-encoding: chunked\r\n");
-        let mut stream = TcpStream::connect(door).await.expect("the door is open");
-        stream.write_all(&head).await.expect("written");
+        let mut stream = TcpStream::connect(address)
+            .await
+            .expect("the listener accepts connections");
+        stream
+            .write_all(&head)
+            .await
+            .expect("the bytes are written");
         stream
             .write_all(b"64\r\nhalf of it")
             .await
-            .expect("written");
+            .expect("the bytes are written");
         tokio::time::sleep(Duration::from_millis(5)).await;
         drop(stream);
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
     assert_eq!(weight_of_service(&fleet).await, 1.0);
-    let answer = raw(door, &request("GET", "/proofs/x", "")).await;
+    let answer = send_raw(address, &request("GET", "/proofs/x", "")).await;
     assert_eq!(status_of(&answer), 200, "{answer}");
 }
 
-/// A caller's upload comes to a halt with its connection open. The call must
-/// end at its time limit, and the server must not be blamed.
+/// A caller's upload stalls while its connection stays open. The call must end at
+/// its time limit, and must not count as a failure of the server.
 #[tokio::test]
-async fn a_server_isnt_blamed_for_an_upload_that_halts() {
+async fn an_upload_that_stalls_doesnt_count_as_a_server_failure() {
     let mut settings = usual_settings();
     settings.services[1].timeout_ms = 1000;
     let plan = FleetPlan {
@@ -307,10 +329,10 @@
         ..FleetPlan::default()
     };
     let fleet = TestFleet::start(plan).await;
-    let door = fleet.daemons[0].addresses.callers;
+    let address = fleet.daemons[0].addresses.callers;
     let mut bytes = request("POST", "/proofs/x", "transfer-encoding: chunked\r\n");
     bytes.extend_from_slice(b"64\r\nhalf of it");
-    let answer = send(door, &bytes, SOON).await;
+    let answer = send(address, &bytes, CLOSE_TIMEOUT).await;
     assert_eq!(status_of(&answer), 408, "{answer}");
     assert!(answer.contains("x-comfreyramp-ran: unknown"), "{answer}");
     assert_eq!(weight_of_service(&fleet).await, 1.0);
@@ -346,10 +368,11 @@
     ]
 }
 
-/// Bytes that mean something to a parser.
+/// Bytes that are special to an HTTP parser.
 const ODD_BYTES: &[u8] = b"\r\n\0%/.;:, \xff";
 
-/// Makes one to four small changes: bytes replaced, dropped, doubled, cut off.
+/// Makes one to four small changes: replaces, removes, inserts or repeats bytes, or
+/// truncates the rest.
 fn damage(bytes: &mut Vec<u8>, rng: &mut StdRng) {
     for _ in 0..rng.random_range(1..5) {
         if bytes.is_empty() {
@@ -370,10 +393,10 @@
     }
 }
 
-/// Damaged requests of all kinds arrive at both doors. Each connection ends, no
-/// part of the daemon panics, and honest callers are served all the while.
+/// Both APIs receive randomly damaged requests. Each connection must end, the daemon
+/// must not panic, and valid requests must be served meanwhile.
 #[tokio::test]
-async fn damaged_requests_end_and_harm_nobody() {
+async fn damaged_requests_end_and_affect_no_other_request() {
     std::panic::set_hook(Box::new(|panic| {
         PANICS.fetch_add(1, Ordering::SeqCst);
         eprintln!("{panic}");
@@ -385,17 +408,17 @@
     for round in 0..600 {
         let mut bytes = valid[rng.random_range(0..valid.len())].clone();
         damage(&mut bytes, &mut rng);
-        let door = if round % 2 == 0 {
+        let address = if round % 2 == 0 {
             addresses.callers
         } else {
             addresses.operators
         };
-        let answer = send(door, &bytes, MAYBE_CUT).await;
+        let answer = send(address, &bytes, TRUNCATED_TIMEOUT).await;
         assert!(!answer.contains(KEY) && !answer.contains(TOKEN), "{answer}");
         if round % 100 == 0 {
-            still_serves(&fleet).await;
+            assert_serves(&fleet).await;
         }
     }
-    still_serves(&fleet).await;
+    assert_serves(&fleet).await;
     assert_eq!(PANICS.load(Ordering::SeqCst), 0);
 }
--- a/crates/daemon/tests/callers_door.rs
+++ b/crates/daemon/tests/callers_door.rs
@@ -1,4 +1,4 @@
-//! What callers see at the callers' door.
+//! Tests of the caller API as callers see it.
 
 mod support;
 
@@ -46,13 +46,13 @@
 async fn models_are_listed_in_the_published_shape() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let list = fleet
-        .whole(fleet.request(0, Method::GET, "/v1/models", KEY, String::new()))
+        .fetch(fleet.request(0, Method::GET, "/v1/models", KEY, String::new()))
         .await;
     assert_eq!(list.json()["object"], "list");
     assert_eq!(list.json()["data"][0]["id"], "demo-model");
     let path = "/v1/models/demo-model";
     let one = fleet
-        .whole(fleet.request(0, Method::GET, path, KEY, String::new()))
+        .fetch(fleet.request(0, Method::GET, path, KEY, String::new()))
         .await;
     assert_eq!(one.json()["object"], "model");
 }
@@ -62,16 +62,16 @@
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let body = "proof ".repeat(50_000);
     let request = fleet.request(0, Method::POST, "/proofs/echo?page=2", KEY, body);
-    let answer = fleet.whole(request).await;
+    let answer = fleet.fetch(request).await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
     let seen = fleet.service.log().list();
     assert_eq!(seen[0].path, "/proofs/echo?page=2");
     assert_eq!(seen[0].tokens, 300_000);
 }
 
-/// A caller puts the key where a backend server would see it: in a header of
-/// its own, in the query, in a prompt, across two pieces of a streamed body.
-/// Without a check the key of a customer lies in some server's log.
+/// A caller puts its key where a backend server would receive it: in a custom
+/// header, in the query, in a prompt, or split across two chunks of a streamed
+/// body. Without a check the customer's key would end up in the server's log.
 #[tokio::test]
 async fn no_backend_server_sees_the_key() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -84,11 +84,11 @@
         "cookie",
         format!("k={KEY}").parse().expect("a header value"),
     );
-    assert_eq!(fleet.whole(request).await.status, StatusCode::OK);
+    assert_eq!(fleet.fetch(request).await.status, StatusCode::OK);
 
     let path = format!("/proofs/a?key={KEY}");
     let refused = fleet
-        .whole(fleet.request(0, Method::GET, &path, KEY, String::new()))
+        .fetch(fleet.request(0, Method::GET, &path, KEY, String::new()))
         .await;
     assert_eq!(refused.code(), "key_in_request");
 
@@ -104,7 +104,7 @@
     sender.send(format!("before {first}")).await;
     sender.send(format!("{second} after")).await;
     drop(sender);
-    let answer = fleet.whole(request).await;
+    let answer = fleet.fetch(request).await;
     assert!(!answer.status.is_success());
 
     let part_of_key = &KEY[..10];
@@ -115,8 +115,8 @@
     assert!(fleet.engines[0].server.log().list().is_empty());
 }
 
-/// A key is withdrawn while its caller reads a long stream. Without a check on
-/// open streams the caller would read on to the end, minutes later.
+/// A key is withdrawn while its caller reads a long stream. Without a check of
+/// open streams, the stream would continue to its end, minutes later.
 #[tokio::test]
 async fn a_withdrawn_key_ends_open_streams_and_leaves_others_alone() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -160,8 +160,8 @@
     assert!(refused.headers.contains_key("retry-after"));
 }
 
-/// An engine dies in the middle of a stream. Without a resume the caller would
-/// read half an answer; with a plain retry, the first half twice.
+/// An engine dies in the middle of a stream. Without resuming on another engine,
+/// the caller would get half an answer; with a plain retry, the first half twice.
 #[tokio::test]
 async fn a_stream_whose_engine_dies_goes_on_elsewhere_without_a_repeat_or_a_gap() {
     let plan = FleetPlan {
@@ -196,11 +196,11 @@
         .engines
         .iter()
         .any(|it| it.server.log().list().iter().any(|it| it.resume_from > 0));
-    assert!(resumed, "the second engine was asked for the rest only");
+    assert!(resumed, "the second engine generated only the rest");
 }
 
 #[tokio::test]
-async fn bad_input_is_told_its_place_and_fix_and_loses_nothing() {
+async fn bad_input_is_rejected_with_its_code_and_runs_nothing() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let path = "/v1/chat/completions";
     let cases = [
@@ -224,7 +224,7 @@
     ];
     for (body, status, code) in cases {
         let request = fleet.request(0, Method::POST, path, KEY, body.to_owned());
-        let answer = fleet.whole(request).await;
+        let answer = fleet.fetch(request).await;
         assert_eq!(
             (answer.status, answer.code().as_str()),
             (status, code),
@@ -234,22 +234,22 @@
     }
     let oversize = vec![b' '; 9 * 1024 * 1024];
     let request = fleet.request(0, Method::POST, path, KEY, oversize);
-    assert_eq!(fleet.whole(request).await.code(), "body_too_long");
+    assert_eq!(fleet.fetch(request).await.code(), "body_too_long");
     for path in ["/v1/nothing", "/elsewhere"] {
         let request = fleet.request(0, Method::GET, path, KEY, String::new());
-        assert_eq!(fleet.whole(request).await.status, StatusCode::NOT_FOUND);
+        assert_eq!(fleet.fetch(request).await.status, StatusCode::NOT_FOUND);
     }
     let mut request = fleet.request(0, Method::GET, "/v1/models", KEY, String::new());
     request.headers_mut().remove("authorization");
-    assert_eq!(fleet.whole(request).await.code(), "missing_key");
+    assert_eq!(fleet.fetch(request).await.code(), "missing_key");
     let request = fleet.request(0, Method::GET, "/v1/models", "cfr-wrong", String::new());
-    assert_eq!(fleet.whole(request).await.code(), "invalid_api_key");
+    assert_eq!(fleet.fetch(request).await.code(), "invalid_api_key");
     let answer = fleet.chat(0, KEY, &chat("still here", 4, false)).await;
     assert_eq!(answer.status, StatusCode::OK);
 }
 
-/// A caller goes away in the middle of a stream. If nobody told the engine, it
-/// would generate the rest for nobody, in place of somebody who waits.
+/// A caller disconnects in the middle of a stream. If the engine weren't
+/// cancelled, it would generate the rest for nobody while other requests wait.
 #[tokio::test]
 async fn an_engine_stops_when_the_caller_is_gone() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -275,8 +275,8 @@
     }
 }
 
-/// An operator rolls the fleet: SIGTERM reaches a daemon while it streams.
-/// Ending at once would cut off every answer on it.
+/// During a rolling restart, a daemon receives SIGTERM while it streams. Exiting
+/// immediately would cut off all its answers.
 #[tokio::test]
 async fn a_planned_stop_cuts_off_no_stream() {
     let mut fleet = TestFleet::start(FleetPlan::default()).await;
--- a/crates/daemon/tests/live_queue.rs
+++ b/crates/daemon/tests/live_queue.rs
@@ -1,4 +1,4 @@
-//! Live requests while the engines are full.
+//! Tests of live requests while the engines are full.
 
 mod support;
 
@@ -14,12 +14,13 @@
 
 /// A second key of the customer `press`.
 const OTHER_KEY: &str = "cfr-other-key-of-press-0123456789";
-/// How long requests are sent.
-const LASTS: Duration = Duration::from_secs(5);
-/// The tokens of each answer.
+/// How long each test sends requests.
+const SEND_DURATION: Duration = Duration::from_secs(5);
+/// The number of tokens of each answer.
 const TOKENS: u32 = 10;
 
-/// An engine that answers some 40 requests of ten tokens a second.
+/// Returns the options of an engine that answers about 40 requests of ten tokens
+/// per second.
 fn small_engine() -> EngineOptions {
     EngineOptions {
         settings: EngineSettings {
@@ -44,61 +45,65 @@
     TestFleet::start(plan).await
 }
 
-/// What became of one request.
+/// The outcome of one request.
 #[derive(Debug)]
-struct Seen {
+struct Outcome {
     status: StatusCode,
     has_retry_after: bool,
     first_token: Duration,
 }
 
-async fn ask(fleet: &TestFleet, daemon: usize, key: &str, body: &Value) -> Seen {
+async fn send(fleet: &TestFleet, daemon: usize, key: &str, body: &Value) -> Outcome {
     let path = "/v1/chat/completions";
-    let begun = Instant::now();
+    let began = Instant::now();
     let request = fleet.request(daemon, Method::POST, path, key, body.to_string());
     let response = fleet.open(request).await;
     let (head, mut body) = response.into_parts();
     let _ = body.frame().await;
-    let first_token = begun.elapsed();
+    let first_token = began.elapsed();
     while body.frame().await.is_some() {}
-    Seen {
+    Outcome {
         status: head.status,
         has_retry_after: head.headers.contains_key("retry-after"),
         first_token,
     }
 }
 
-/// Sends requests at even distances and waits for all of them.
+/// Sends requests at equal intervals and waits for all of them.
 async fn send_evenly(
     fleet: &TestFleet,
     daemon: usize,
     key: &str,
-    a_second: u32,
+    per_second: u32,
     stream: bool,
-) -> Vec<Seen> {
-    let count = a_second * LASTS.as_secs() as u32;
+) -> Vec<Outcome> {
+    let count = per_second * SEND_DURATION.as_secs() as u32;
     let requests = (0..count).map(|number| async move {
-        tokio::time::sleep(LASTS * number / count).await;
-        let prompt = format!("verse {number} of {a_second} {stream}");
+        tokio::time::sleep(SEND_DURATION * number / count).await;
+        let prompt = format!("verse {number} of {per_second} {stream}");
         let body = chat(&prompt, TOKENS, stream);
-        ask(fleet, daemon, key, &body).await
+        send(fleet, daemon, key, &body).await
     });
     join_all(requests).await
 }
 
-fn percentile(seen: &[Seen], part: f64) -> Duration {
-    let served = seen.iter().filter(|it| it.status == StatusCode::OK);
+fn percentile(outcomes: &[Outcome], fraction: f64) -> Duration {
+    let served = outcomes.iter().filter(|it| it.status == StatusCode::OK);
     let mut waits: Vec<Duration> = served.map(|it| it.first_token).collect();
     waits.sort_unstable();
-    waits[((waits.len() - 1) as f64 * part) as usize]
+    waits[((waits.len() - 1) as f64 * fraction) as usize]
 }
 
-fn served(seen: &[Seen]) -> usize {
-    seen.iter().filter(|it| it.status == StatusCode::OK).count()
+fn served(outcomes: &[Outcome]) -> usize {
+    outcomes
+        .iter()
+        .filter(|it| it.status == StatusCode::OK)
+        .count()
 }
 
-/// One customer sends ten times its rate, more than the engine can answer. In
-/// order of arrival everybody else would wait behind its backlog.
+/// One customer sends ten times as many requests as another, more than the engine
+/// can answer. In order of arrival, the other customer would wait behind its
+/// backlog.
 #[tokio::test]
 async fn a_flood_of_one_customer_does_not_move_the_tail_of_another() {
     let fleet = small_fleet(1).await;
@@ -115,35 +120,40 @@
         served(&person),
         person.len(),
     );
-    assert_eq!(served(&person), person.len(), "none of theirs is refused");
+    assert_eq!(
+        served(&person),
+        person.len(),
+        "none of the person's requests is refused"
+    );
     assert!(tail < Duration::from_millis(700), "{tail:?}");
     let refused = flood.iter().filter(|it| it.status != StatusCode::OK);
     assert!(refused.into_iter().all(|it| it.has_retry_after));
 }
 
-/// A program sends a lot through the live door with one key of a customer,
-/// while a person waits for streams with another. Without ranks the person
-/// would wait behind the program, as both are the same customer's.
+/// A program sends many requests to the live API with one key of a customer,
+/// while a person waits for streams with another key. Without ranks the person
+/// would wait behind the program, since both belong to the same customer.
 #[tokio::test]
-async fn bulk_through_the_live_door_waits_behind_a_person() {
+async fn bulk_through_the_live_api_waits_behind_a_person() {
     let fleet = small_fleet(1).await;
     let (program, person) = futures::join!(
         send_evenly(&fleet, 0, OTHER_KEY, 60, false),
         send_evenly(&fleet, 0, KEY, 2, true),
     );
-    let late: Vec<Seen> = person.into_iter().skip(3).collect();
-    let tail = percentile(&late, 0.95);
+    let later: Vec<Outcome> = person.into_iter().skip(3).collect();
+    let tail = percentile(&later, 0.95);
     println!(
         "program: {} of {} served; person: p95 {tail:?}",
         served(&program),
         program.len(),
     );
-    assert_eq!(served(&late), late.len());
+    assert_eq!(served(&later), later.len());
     assert!(tail < Duration::from_millis(700), "{tail:?}");
 }
 
-/// The servers are full for longer than a request may wait. It is refused at
-/// once with the time to come back, in place of waiting in vain.
+/// The servers are full for longer than a request may wait. The request must be
+/// refused immediately with a `Retry-After`, instead of waiting until it times
+/// out.
 #[tokio::test]
 async fn what_could_not_start_in_time_is_refused_at_once() {
     let mut settings = usual_settings();
@@ -154,26 +164,29 @@
         ..FleetPlan::default()
     };
     let fleet = TestFleet::start(plan).await;
-    let seen = send_evenly(&fleet, 0, KEY, 120, false).await;
-    let refused: Vec<&Seen> = seen.iter().filter(|it| !it.status.is_success()).collect();
-    let at_once = refused
+    let outcomes = send_evenly(&fleet, 0, KEY, 120, false).await;
+    let refused: Vec<&Outcome> = outcomes
+        .iter()
+        .filter(|it| !it.status.is_success())
+        .collect();
+    let immediate = refused
         .iter()
         .filter(|it| it.first_token < Duration::from_millis(200));
     println!(
         "{} of {} served, {} refused, {} of them at once",
-        served(&seen),
-        seen.len(),
+        served(&outcomes),
+        outcomes.len(),
         refused.len(),
-        at_once.clone().count(),
+        immediate.clone().count(),
     );
     assert!(!refused.is_empty());
     assert!(refused.iter().all(|it| it.has_retry_after));
-    // Those that time out had started, and were too slow for their time. Of the
-    // rest, some were overtaken by more urgent ones after they were taken in.
+    // The requests that timed out had started but took too long. Some of the
+    // others were overtaken by more urgent requests after they were admitted.
     let timed_out = StatusCode::GATEWAY_TIMEOUT;
     let started = refused.iter().filter(|it| it.status == timed_out).count();
     println!("{started} of the refused had started");
-    assert!(at_once.count() * 10 >= (refused.len() - started) * 9);
+    assert!(immediate.count() * 10 >= (refused.len() - started) * 9);
     let status = fleet.operators(0, Method::GET, "/status", String::new());
     assert_eq!(status.await.json()["ready"], json!(true));
 }
--- a/crates/daemon/tests/lot_calls/mod.rs
+++ b/crates/daemon/tests/lot_calls/mod.rs
@@ -1,6 +1,6 @@
-//! What a caller does with files and lots.
+//! A caller's requests for files and lots.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::time::Duration;
 
@@ -13,10 +13,11 @@
     chat,
 };
 
-/// What stands between the fields of a form.
+/// The boundary between the fields of a multipart form.
 pub(crate) const BOUNDARY: &str = "3b1f-between-fields";
 
-/// Items that ask for so many tokens.
+/// Returns an input file with `items` items, each of which requests `tokens`
+/// tokens.
 pub(crate) fn input(items: usize, tokens: u32) -> String {
     let line = |it| {
         let mut body = chat(&format!("verse {it}"), tokens, false);
@@ -31,7 +32,7 @@
     (0..items).map(|it| format!("{}\n", line(it))).collect()
 }
 
-/// The form as the published client libraries send it.
+/// Returns an upload form as the published client libraries send it.
 pub(crate) fn form(content: &str) -> String {
     format!(
         "--{BOUNDARY}\r\nContent-Disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n\
@@ -41,35 +42,38 @@
     )
 }
 
-/// A caller of one customer at one daemon.
+/// A caller that uses one customer's key at one daemon.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LotCaller<'a> {
     pub(crate) fleet: &'a TestFleet,
     pub(crate) daemon: usize,
     pub(crate) key: &'static str,
-    pub(crate) job: Option<&'static str>,
+    pub(crate) idempotency_key: Option<&'static str>,
 }
 
 impl<'a> LotCaller<'a> {
-    /// A caller of `press` at a daemon.
+    /// Creates a caller that uses the key of `press`.
     pub(crate) fn new(fleet: &'a TestFleet, daemon: usize) -> Self {
         LotCaller {
             fleet,
             daemon,
             key: KEY,
-            job: None,
+            idempotency_key: None,
         }
     }
 
-    /// The same caller with another key.
+    /// Returns the same caller with another key.
     pub(crate) fn key(self, key: &'static str) -> Self {
         LotCaller { key, ..self }
     }
 
-    /// The same caller with an idempotency key.
-    pub(crate) fn job(self, job: &'static str) -> Self {
-        let job = Some(job);
-        LotCaller { job, ..self }
+    /// Returns the same caller with an idempotency key.
+    pub(crate) fn idempotency_key(self, key: &'static str) -> Self {
+        let idempotency_key = Some(key);
+        LotCaller {
+            idempotency_key,
+            ..self
+        }
     }
 
     /// Sends a request.
@@ -77,11 +81,11 @@
         let mut request = self
             .fleet
             .request(self.daemon, method, path, self.key, body);
-        if let Some(job) = self.job {
+        if let Some(key) = self.idempotency_key {
             let headers = request.headers_mut();
-            headers.insert("idempotency-key", job.parse().unwrap());
+            headers.insert("idempotency-key", key.parse().unwrap());
         }
-        self.fleet.whole(request).await
+        self.fleet.fetch(request).await
     }
 
     /// Sends a form to `/v1/files`.
@@ -93,10 +97,10 @@
         let headers = request.headers_mut();
         let kind = format!("multipart/form-data; boundary={BOUNDARY}");
         headers.insert(header::CONTENT_TYPE, kind.parse().unwrap());
-        if let Some(job) = self.job {
-            headers.insert("idempotency-key", job.parse().unwrap());
+        if let Some(key) = self.idempotency_key {
+            headers.insert("idempotency-key", key.parse().unwrap());
         }
-        self.fleet.whole(request).await
+        self.fleet.fetch(request).await
     }
 
     /// Uploads a file and returns its id.
@@ -111,8 +115,8 @@
         file["id"].as_str().unwrap().to_owned()
     }
 
-    /// Asks for a lot.
-    pub(crate) async fn ask_lot(&self, file: &str) -> WholeAnswer {
+    /// Requests a new lot and returns the answer.
+    pub(crate) async fn request_lot(&self, file: &str) -> WholeAnswer {
         let body = json!({
             "input_file_id": file,
             "endpoint": "/v1/chat/completions",
@@ -122,9 +126,9 @@
             .await
     }
 
-    /// Creates a lot.
+    /// Creates a lot and returns it.
     pub(crate) async fn create(&self, file: &str) -> Value {
-        let answer = self.ask_lot(file).await;
+        let answer = self.request_lot(file).await;
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
         answer.json()
     }
@@ -143,7 +147,8 @@
         }
     }
 
-    /// Reads the results of a lot, sorted by item: its number and its answer.
+    /// Reads the results of a lot: the number and the answer of each item,
+    /// sorted by number.
     pub(crate) async fn results(&self, lot: &Value) -> Vec<(usize, Value)> {
         let output = lot["output_file_id"].as_str().unwrap();
         let path = format!("/v1/files/{output}/content");
@@ -155,7 +160,8 @@
         results
     }
 
-    /// Reads the results of a lot and checks that each item has its own, once.
+    /// Reads the results of a lot and checks that each item has its own answer
+    /// exactly once.
     pub(crate) async fn check_results(&self, lot: &Value, items: usize) {
         let results = self.results(lot).await;
         let numbers: Vec<usize> = results.iter().map(|it| it.0).collect();
--- a/crates/daemon/tests/settings_link.rs
+++ b/crates/daemon/tests/settings_link.rs
@@ -1,10 +1,6 @@
-//! Settings on their way from the platform to every daemon, on virtual time.
+//! Tests of how settings get from the platform to every daemon, on virtual time.
 
-#![allow(
-    clippy::panic,
-    clippy::unwrap_used,
-    reason = "helpers of tests fail the test"
-)]
+#![allow(clippy::panic, clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod link_fleet;
 
@@ -15,24 +11,24 @@
 use comfreyramp_store::{KeyValue, RangeAnswer, WatchBatch};
 use link_fleet::{LinkFleet, outage};
 
-/// How soon a change is in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(5);
+/// The time within which a change must be in force on every daemon.
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(5);
 
 fn seconds(count: u64) -> Duration {
     Duration::from_secs(count)
 }
 
-async fn pass(span: Duration) {
-    tokio::time::sleep(span).await;
+async fn advance(duration: Duration) {
+    tokio::time::sleep(duration).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn two_daemons_of_a_zone_watch_and_all_get_the_change() {
     let fleet = LinkFleet::start(&[5, 5]).await;
-    pass(seconds(20)).await;
+    advance(seconds(20)).await;
     let before = fleet.platform.calls();
     assert_eq!(before.waiting_watches, 4);
-    pass(seconds(60)).await;
+    advance(seconds(60)).await;
     let calls = fleet.platform.calls();
     let reads = calls.range - before.range;
     assert!((4 * 55..=4 * 60).contains(&reads), "{reads} reads");
@@ -51,12 +47,12 @@
     );
 }
 
-/// The watches' connections stay open and report nothing any more. Without a
-/// look of its own, a daemon serves a withdrawn key until it is restarted.
+/// The connections of the watches stay open but deliver nothing any more. Without
+/// periodic reads, a daemon would accept a withdrawn key until it is restarted.
 #[tokio::test(start_paused = true)]
-async fn a_silent_watch_is_made_good() {
+async fn changes_behind_a_silent_watch_are_applied() {
     let fleet = LinkFleet::start(&[3, 3]).await;
-    pass(seconds(20)).await;
+    advance(seconds(20)).await;
     fleet.platform.change_faults(FaultChange {
         hold_watches: Some(true),
         ..FaultChange::default()
@@ -64,24 +60,24 @@
     for value in ["1", "2", "3"] {
         fleet.write("press", value).await;
         let took = fleet.wait_for("press", value).await;
-        assert!(took <= IN_FORCE, "{took:?}");
+        assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
     }
     fleet.delete("press").await;
     let took = fleet.wait_for_none("press").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
 }
 
-/// The platform is away, changes are made right after it is back, and the
-/// history in between is dropped. A watch resumed as if nothing were missing
+/// Settings change right after an outage of the platform, and the platform then
+/// drops the history in between. A watch that resumed as if nothing were missing
 /// would leave a deleted team in force.
 #[tokio::test(start_paused = true)]
-async fn dropped_history_is_made_good_by_a_whole_read() {
+async fn dropped_history_is_recovered_by_a_full_read() {
     let fleet = LinkFleet::start(&[3]).await;
     fleet.write("press", "1").await;
     fleet.write("market", "1").await;
     fleet.wait_for("market", "1").await;
     fleet.platform.change_faults(outage(true));
-    pass(seconds(60)).await;
+    advance(seconds(60)).await;
     assert!(fleet.youngest_view() >= seconds(59));
     assert_eq!(fleet.value(0, "press").as_deref(), Some("1"));
 
@@ -90,12 +86,12 @@
     fleet.write("market", "2").await;
     fleet.platform.compact();
     let took = fleet.wait_for("market", "2").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
     assert_eq!(fleet.wait_for_none("press").await, Duration::ZERO);
 }
 
-/// Watches break again and again while operators change settings. No daemon
-/// may show a team's older settings after its newer ones.
+/// Watches break repeatedly while operators change settings. No daemon may
+/// replace a team's settings by older ones.
 #[tokio::test(start_paused = true)]
 async fn breaking_watches_lose_nothing_and_never_go_back() {
     let fleet = LinkFleet::start(&[3, 3]).await;
@@ -108,7 +104,7 @@
         if round % 10 == 0 {
             fleet.platform.compact();
         }
-        pass(Duration::from_millis(130)).await;
+        advance(Duration::from_millis(130)).await;
         for (daemon, seen) in seen.iter_mut().enumerate() {
             let value = fleet.value(daemon, "press");
             let value = value.map_or(0, |it| it.parse::<u32>().unwrap());
@@ -117,28 +113,29 @@
         }
     }
     let took = fleet.wait_for("press", "100").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
 }
 
-/// Both daemons that watch for their zone are lost with their rack.
+/// Both daemons that watch the settings for their zone are lost at once, for
+/// example with their rack.
 #[tokio::test(start_paused = true)]
 async fn two_lost_watchers_are_replaced() {
     let fleet = LinkFleet::start(&[6]).await;
-    pass(seconds(20)).await;
-    let watchers = fleet.best_placed(2);
+    advance(seconds(20)).await;
+    let watchers = fleet.highest_scored(2);
     for watcher in &watchers {
         fleet.stop(*watcher);
     }
     fleet.write("press", "1").await;
     let took = fleet.wait_for("press", "1").await;
-    assert!(took <= IN_FORCE, "{took:?}");
-    pass(seconds(20)).await;
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
+    advance(seconds(20)).await;
     assert_eq!(fleet.platform.calls().waiting_watches, 2);
 }
 
-/// Daemons are started while the platform is down, and some of their peers
-/// have hung since before the last change and still answer. A newcomer that
-/// served with what it is told first would take keys that were withdrawn.
+/// Daemons start during an outage of the platform. Some of their peers have
+/// hung since before the last change but still answer. A new daemon that used the
+/// first answer could accept withdrawn keys.
 #[tokio::test(start_paused = true)]
 async fn daemons_started_during_an_outage_take_their_peers_newest_settings() {
     let mut fleet = LinkFleet::start(&[4, 4]).await;
@@ -148,14 +145,14 @@
     for daemon in hung {
         fleet.freeze(daemon);
     }
-    pass(seconds(1)).await;
+    advance(seconds(1)).await;
     fleet.write("press", "new").await;
-    pass(seconds(5)).await;
+    advance(seconds(5)).await;
     for daemon in hung {
         assert_eq!(fleet.value(daemon, "press").as_deref(), Some("old"));
     }
     fleet.platform.change_faults(outage(true));
-    pass(seconds(600)).await;
+    advance(seconds(600)).await;
 
     for zone in [0, 1, 0, 1, 0] {
         let newcomer = fleet.add(zone);
@@ -167,7 +164,7 @@
     fleet.platform.change_faults(outage(false));
     fleet.write("press", "newest").await;
     let took = fleet.wait_for("press", "newest").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
     assert!(fleet.age(10) <= seconds(5));
 }
 
@@ -177,15 +174,15 @@
     fleet.write("press", "1").await;
     fleet.platform.change_faults(outage(true));
     let newcomer = fleet.add(0);
-    pass(seconds(600)).await;
+    advance(seconds(600)).await;
     assert_eq!(fleet.in_force_revision(newcomer), 0);
     fleet.platform.change_faults(outage(false));
     let took = fleet.wait_for("press", "1").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
 }
 
-/// The platform is restored from a backup without anything in it. Its settings
-/// are older than those in force: taking them over would withdraw every key.
+/// The platform is restored from an empty backup. Its settings are older than
+/// those in force, and applying them would withdraw every key.
 #[tokio::test(start_paused = true)]
 async fn a_platform_that_went_back_takes_nothing_out_of_force() {
     let fleet = LinkFleet::start(&[3]).await;
@@ -195,7 +192,7 @@
     fleet.wait_for("press", "3").await;
     fleet.platform.lose_everything();
     fleet.write("market", "old").await;
-    pass(seconds(60)).await;
+    advance(seconds(60)).await;
     for daemon in 0..3 {
         assert_eq!(fleet.value(daemon, "press").as_deref(), Some("3"));
         assert_eq!(fleet.value(daemon, "market"), None);
@@ -203,19 +200,19 @@
     assert!(fleet.youngest_view() >= seconds(55));
 }
 
-/// Each call of the platform takes a second and a half.
+/// Each call to the platform takes 1.5 s.
 #[tokio::test(start_paused = true)]
 async fn a_slow_platform_delays_no_change_beyond_the_bound() {
     let fleet = LinkFleet::start(&[3, 3]).await;
-    pass(seconds(20)).await;
+    advance(seconds(20)).await;
     fleet.platform.change_faults(FaultChange {
         slow: Some(Duration::from_millis(1500)),
         ..FaultChange::default()
     });
-    pass(seconds(20)).await;
+    advance(seconds(20)).await;
     fleet.write("press", "1").await;
     let took = fleet.wait_for("press", "1").await;
-    assert!(took <= IN_FORCE, "{took:?}");
+    assert!(took <= MAX_PROPAGATION_DELAY, "{took:?}");
 }
 
 fn pair(key: &str, modified: i64) -> KeyValue {
@@ -262,15 +259,15 @@
     assert!(behind.is_same(&view));
     assert!(view.changes_since(14).is_empty());
 
-    // What was deleted before the first view is unknown.
+    // Deletions before the first view are unknown.
     assert_eq!(view.changes_since(9).base, 0);
     let mut newcomer = SettingsView::default();
     newcomer.apply(view.changes_since(0));
     assert!(newcomer.is_same(&view));
 }
 
-/// A team's settings are deleted and written again. A peer that has them
-/// already must not lose them to the deletion before.
+/// A team's settings are deleted and written again. A peer that already has the
+/// new settings must not apply the earlier deletion to them.
 #[test]
 fn a_key_that_was_created_again_is_not_deleted_elsewhere() {
     let mut view = SettingsView::default();
@@ -284,7 +281,7 @@
 }
 
 #[test]
-fn forgotten_deletions_make_the_changes_whole() {
+fn forgotten_deletions_lead_to_a_full_view() {
     let mut view = SettingsView::default();
     let pairs: Vec<KeyValue> = (0..600).map(|it| pair(&format!("{it:03}"), 1)).collect();
     view.apply(whole(&pairs, 10));
--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -1,6 +1,7 @@
-//! Files and lots through the callers' door, from the upload to the results.
+//! Tests of files and lots through the caller API, from the upload to the
+//! results.
 
-#![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod lot_calls;
 mod support;
@@ -11,7 +12,7 @@
 use lot_calls::{BOUNDARY, LotCaller, form, input};
 use support::{FleetPlan, KEY, PATIENCE, SECOND_KEY, TestFleet};
 
-/// A fleet of two daemons and an engine.
+/// Starts a fleet of two daemons and one engine.
 async fn fleet() -> TestFleet {
     let plan = FleetPlan {
         daemons: vec!["zone-1", "zone-1"],
@@ -38,13 +39,13 @@
     first.check_results(&lot, 30).await;
 }
 
-// A client's connection breaks after it sent its job, and it sends everything
-// again to another daemon. Two lots would do, and bill, the work twice.
+// A client's connection breaks after it created a lot, and it sends everything
+// again to another daemon. With two lots, the work would be done and billed twice.
 #[tokio::test]
 async fn a_resent_job_is_the_same_lot() {
     let fleet = fleet().await;
-    let first = LotCaller::new(&fleet, 0).job("order-17");
-    let second = LotCaller::new(&fleet, 1).job("order-17");
+    let first = LotCaller::new(&fleet, 0).idempotency_key("order-17");
+    let second = LotCaller::new(&fleet, 1).idempotency_key("order-17");
     let content = input(12, 4);
     let file = first.upload(&content).await;
     let lot = first.create(&file).await;
@@ -55,11 +56,14 @@
         .await;
     first.check_results(&lot, 12).await;
     assert_eq!(second.create(&file).await["id"], lot["id"]);
-    // The same key with a different request is a mistake that must show.
+    // The same key with a different request is an error that must be reported.
     let other = first.upload(&input(3, 4)).await;
-    assert_eq!(second.ask_lot(&other).await.status, StatusCode::CONFLICT);
+    assert_eq!(
+        second.request_lot(&other).await.status,
+        StatusCode::CONFLICT
+    );
     // Another key makes another lot of the same content.
-    let third = LotCaller::new(&fleet, 0).job("order-18");
+    let third = LotCaller::new(&fleet, 0).idempotency_key("order-18");
     let again = third.upload(&content).await;
     assert_ne!(third.create(&again).await["id"], lot["id"]);
 }
@@ -81,8 +85,8 @@
     assert_eq!(ended, 100, "{counts}");
 }
 
-// A customer guesses or learns the id of another's file or lot. Ids aren't
-// secrets: whose key it is must decide.
+// A customer guesses or learns the id of another customer's file or lot. Ids aren't
+// secrets, so access must depend on the key.
 #[tokio::test]
 async fn nobody_reaches_another_customers_files_or_lots() {
     let fleet = fleet().await;
@@ -94,7 +98,7 @@
     let id = lot["id"].as_str().unwrap().to_owned();
     let lot = owner.wait_for(&id, "completed").await;
     let output = lot["output_file_id"].as_str().unwrap();
-    let tries = [
+    let requests = [
         (Method::GET, format!("/v1/files/{file}")),
         (Method::GET, format!("/v1/files/{file}/content")),
         (Method::DELETE, format!("/v1/files/{file}")),
@@ -103,22 +107,22 @@
         (Method::GET, format!("/v1/batches/{id}")),
         (Method::POST, format!("/v1/batches/{id}/cancel")),
     ];
-    for (method, path) in tries {
+    for (method, path) in requests {
         let answer = other.send(method, &path, String::new()).await;
         assert_eq!(answer.status, StatusCode::NOT_FOUND, "{path}");
     }
-    assert_eq!(other.ask_lot(&file).await.status, StatusCode::NOT_FOUND);
+    assert_eq!(other.request_lot(&file).await.status, StatusCode::NOT_FOUND);
     for path in ["/v1/files", "/v1/batches"] {
         let list = other.send(Method::GET, path, String::new()).await.json();
         assert_eq!(list["data"].as_array().unwrap().len(), 0, "{path}");
     }
-    // The same content of another customer is another file.
+    // The same content uploaded by another customer is another file.
     assert_ne!(other.upload(&content).await, file);
     owner.check_results(&lot, 5).await;
 }
 
 #[tokio::test]
-async fn faults_of_a_file_are_told_with_their_lines() {
+async fn errors_in_a_file_are_reported_with_their_lines() {
     let fleet = fleet().await;
     let caller = LotCaller::new(&fleet, 0);
     let good = input(3, 4);
@@ -130,11 +134,11 @@
         ),
         (String::new(), "the file has no items"),
     ];
-    for (content, told) in cases {
+    for (content, expected) in cases {
         let answer = caller.send_form(form(&content)).await;
         assert_eq!(answer.status, StatusCode::BAD_REQUEST);
         assert_eq!(answer.code(), "invalid_file");
-        assert!(answer.text().contains(told), "{}", answer.text());
+        assert!(answer.text().contains(expected), "{}", answer.text());
         assert_eq!(answer.headers["x-comfreyramp-ran"], "no");
     }
     let list = caller.send(Method::GET, "/v1/files", String::new()).await;
@@ -159,8 +163,8 @@
     assert_eq!(answer.code(), "invalid_content_type");
 }
 
-// A client announces more than a file may have. It must learn so before it has
-// sent everything.
+// A client announces a body that exceeds the limit of a file. It must be rejected
+// before the client has sent all of it.
 #[tokio::test]
 async fn a_body_that_says_it_is_too_long_is_refused_at_once() {
     let fleet = fleet().await;
@@ -170,17 +174,17 @@
     let kind = format!("multipart/form-data; boundary={BOUNDARY}");
     headers.insert(header::CONTENT_TYPE, kind.parse().unwrap());
     headers.insert(header::CONTENT_LENGTH, (300_u64 << 20).into());
-    let answer = tokio::time::timeout(PATIENCE, fleet.whole(request)).await;
+    let answer = tokio::time::timeout(PATIENCE, fleet.fetch(request)).await;
     let answer = answer.unwrap();
     assert_eq!(answer.status, StatusCode::PAYLOAD_TOO_LARGE);
     assert_eq!(answer.code(), "body_too_long");
     drop(sender);
 }
 
-// A client vanishes in the middle of an upload. Nothing of it may show, and the
-// daemon goes on.
+// A client disconnects in the middle of an upload. No part of the file may become
+// visible, and the daemon must keep serving.
 #[tokio::test]
-async fn a_vanished_client_leaves_no_file() {
+async fn a_disconnected_client_leaves_no_file() {
     let fleet = fleet().await;
     let caller = LotCaller::new(&fleet, 0);
     let (sender, body) = MessageBody::stream();
@@ -191,7 +195,7 @@
     let whole = form(&input(600, 4));
     let part = whole[..whole.len() - 100].to_owned();
     assert!(sender.send(part).await);
-    let sending = tokio::time::timeout(Duration::from_millis(300), fleet.whole(request));
+    let sending = tokio::time::timeout(Duration::from_millis(300), fleet.fetch(request));
     assert!(sending.await.is_err(), "answered before the end");
     drop(sender);
     let list = caller.send(Method::GET, "/v1/files", String::new()).await;
