--- a/crates/tool/src/arguments.rs
+++ b/crates/tool/src/arguments.rs
@@ -1,4 +1,4 @@
-//! What can be typed.
+//! Command-line options and subcommands.
 
 use std::path::PathBuf;
 
@@ -6,20 +6,20 @@
 
 /// Operate a comfreyramp fleet.
 ///
-/// Exit codes: 0 done, 1 refused, 3 findings, 4 conflict, 5 unreachable,
-/// 6 accepted but not confirmed by every daemon.
+/// Exit codes: 0 success, 1 rejected, 3 invalid settings, 4 conflict,
+/// 5 unreachable, 6 accepted but not confirmed by every daemon.
 #[derive(FromArgs)]
 pub(crate) struct Arguments {
-    /// base URLs of daemons' operators' doors, separated by spaces (default:
-    /// the environment's COMFREYRAMP_OPERATORS)
+    /// base URLs of the daemons' operator listeners, separated by spaces
+    /// (default: the environment variable COMFREYRAMP_OPERATORS)
     #[argh(option)]
     pub(crate) operators: Option<String>,
-    /// file that holds the operators' token (default: the environment's
-    /// COMFREYRAMP_OPERATORS_TOKEN holds the token itself)
+    /// file that contains the operator token (default: the token itself in the
+    /// environment variable COMFREYRAMP_OPERATORS_TOKEN)
     #[argh(option)]
     pub(crate) token_file: Option<PathBuf>,
-    /// your name, for the history of the settings (default: the environment's
-    /// USER)
+    /// operator name to record in the settings history (default: the
+    /// environment variable USER)
     #[argh(option)]
     pub(crate) by: Option<String>,
     /// print JSON instead of tables
@@ -42,7 +42,7 @@
     Status(Status),
 }
 
-/// Customers: list, add, set, remove.
+/// Manage customers: list, add, set, remove.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "customers")]
 pub(crate) struct Customers {
@@ -66,16 +66,16 @@
     /// the customer's name
     #[argh(positional)]
     pub(crate) name: String,
-    /// the team whose settings hold it
+    /// the team whose settings contain it
     #[argh(option)]
     pub(crate) team: String,
-    /// requests a second, counted over the whole fleet
+    /// requests per second, over the whole fleet
     #[argh(option)]
     pub(crate) rate: f64,
-    /// requests at once after a pause, counted over the whole fleet
+    /// requests that may arrive at once after an idle period, over the whole fleet
     #[argh(option)]
     pub(crate) burst: u32,
-    /// its part of scarce capacity (default 1)
+    /// its relative share when capacity is scarce (default 1)
     #[argh(option, default = "1.0")]
     pub(crate) weight: f64,
 }
@@ -84,7 +84,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub(crate) struct ListCustomers {
-    /// only this team's
+    /// restrict the list to this team
     #[argh(option)]
     pub(crate) team: Option<String>,
 }
@@ -96,16 +96,16 @@
     /// the customer's name
     #[argh(positional)]
     pub(crate) name: String,
-    /// the team whose settings hold it
+    /// the team whose settings contain it
     #[argh(option)]
     pub(crate) team: String,
-    /// requests a second
+    /// requests per second, over the whole fleet
     #[argh(option)]
     pub(crate) rate: Option<f64>,
-    /// requests at once after a pause
+    /// requests that may arrive at once after an idle period, over the whole fleet
     #[argh(option)]
     pub(crate) burst: Option<u32>,
-    /// its part of scarce capacity
+    /// its relative share when capacity is scarce
     #[argh(option)]
     pub(crate) weight: Option<f64>,
 }
@@ -117,12 +117,12 @@
     /// the customer's name
     #[argh(positional)]
     pub(crate) name: String,
-    /// the team whose settings hold it
+    /// the team whose settings contain it
     #[argh(option)]
     pub(crate) team: String,
 }
 
-/// Keys: list, issue, withdraw.
+/// Manage API keys: list, issue, withdraw.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "keys")]
 pub(crate) struct Keys {
@@ -138,31 +138,31 @@
     Withdraw(WithdrawKey),
 }
 
-/// Issue a key. It is shown once; only its hash is kept.
+/// Issue a key. The key is printed once; only its hash is stored.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "issue")]
 pub(crate) struct IssueKey {
     /// the customer's name
     #[argh(positional)]
     pub(crate) customer: String,
-    /// the team whose settings hold the customer
+    /// the team whose settings contain the customer
     #[argh(option)]
     pub(crate) team: String,
-    /// a name for the key, to withdraw it by (default: key-1, key-2, …)
+    /// a name to identify the key later (default: key-1, key-2, …)
     #[argh(option)]
     pub(crate) name: Option<String>,
 }
 
-/// List a team's keys by name; the keys themselves are not kept.
+/// List keys by name and hash; the keys themselves are not stored.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub(crate) struct ListKeys {
-    /// only this team's
+    /// restrict the list to this team
     #[argh(option)]
     pub(crate) team: Option<String>,
 }
 
-/// Withdraw a key. Open streams that use it are cut off within seconds.
+/// Withdraw a key. Open streams that use it are closed within seconds.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "withdraw")]
 pub(crate) struct WithdrawKey {
@@ -172,12 +172,12 @@
     /// the key's name
     #[argh(positional)]
     pub(crate) name: String,
-    /// the team whose settings hold the customer
+    /// the team whose settings contain the customer
     #[argh(option)]
     pub(crate) team: String,
 }
 
-/// Lots of all customers: list, show, cancel.
+/// Manage lots (batch jobs) of all customers: list, show, cancel.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "lots")]
 pub(crate) struct Lots {
@@ -193,11 +193,11 @@
     Show(ShowLot),
 }
 
-/// List the open lots with their progress, and whether they will be on time.
+/// List open lots with their progress and whether they will meet their deadline.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub(crate) struct ListLots {
-    /// only this customer's
+    /// restrict the list to this customer
     #[argh(option)]
     pub(crate) customer: Option<String>,
 }
@@ -211,7 +211,7 @@
     pub(crate) id: String,
 }
 
-/// Cancel an open lot. What was recorded stays readable.
+/// Cancel an open lot. Results that are already recorded stay readable.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "cancel")]
 pub(crate) struct CancelLot {
@@ -220,7 +220,7 @@
     pub(crate) id: String,
 }
 
-/// Services: list, add, remove.
+/// Manage services: list, add, remove.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "services")]
 pub(crate) struct Services {
@@ -236,29 +236,29 @@
     Remove(RemoveService),
 }
 
-/// Add a service: models on engines, or a plain service under a path prefix.
+/// Add a service: models on engines, or a plain HTTP service under a path prefix.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "add")]
 pub(crate) struct AddService {
     /// the service's name
     #[argh(positional)]
     pub(crate) name: String,
-    /// the team whose settings hold it
+    /// the team whose settings contain it
     #[argh(option)]
     pub(crate) team: String,
-    /// the group of VMs that serves it
+    /// the VM group that runs it
     #[argh(option)]
     pub(crate) group: String,
-    /// a model its engines serve (repeat for more)
+    /// a model that its engines serve (may be repeated)
     #[argh(option)]
     pub(crate) model: Vec<String>,
     /// the path prefix of a plain service
     #[argh(option)]
     pub(crate) prefix: Option<String>,
-    /// how long a request may take in all, in milliseconds
+    /// total timeout of a request, in milliseconds
     #[argh(option, default = "120_000")]
     pub(crate) timeout_ms: u64,
-    /// its servers refuse orders with an old fencing number
+    /// its servers reject requests with an outdated fencing number
     #[argh(switch)]
     pub(crate) checks_fencing: bool,
 }
@@ -267,7 +267,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub(crate) struct ListServices {
-    /// only this team's
+    /// restrict the list to this team
     #[argh(option)]
     pub(crate) team: Option<String>,
 }
@@ -279,12 +279,12 @@
     /// the service's name
     #[argh(positional)]
     pub(crate) name: String,
-    /// the team whose settings hold it
+    /// the team whose settings contain it
     #[argh(option)]
     pub(crate) team: String,
 }
 
-/// A team's whole settings: teams, get, set, check, diff, history.
+/// Manage a team's complete settings: teams, get, set, check, diff, history.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "settings")]
 pub(crate) struct Settings {
@@ -303,19 +303,19 @@
     Teams(ListTeams),
 }
 
-/// Check a file without a running daemon.
+/// Validate a settings file without contacting a daemon.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub(crate) struct CheckSettings {
     /// the file
     #[argh(positional)]
     pub(crate) file: PathBuf,
-    /// it is a daemon's own file, not a team's settings
+    /// the file is a daemon's configuration, not a team's settings
     #[argh(switch)]
     pub(crate) daemon: bool,
 }
 
-/// Show how a file differs from the settings in force.
+/// Show the differences between the settings in force and a file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "diff")]
 pub(crate) struct DiffSettings {
@@ -336,7 +336,7 @@
     pub(crate) team: String,
 }
 
-/// Show who changed a team's settings, when and what, newest first.
+/// Show the changes to a team's settings with author and time, newest first.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 pub(crate) struct ShowHistory {
@@ -345,7 +345,7 @@
     pub(crate) team: String,
 }
 
-/// Replace a team's settings by a file's.
+/// Replace a team's settings with the contents of a file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "set")]
 pub(crate) struct WriteSettings {
@@ -355,8 +355,8 @@
     /// the file
     #[argh(positional)]
     pub(crate) file: PathBuf,
-    /// the revision that the file was made from, 0 for a new team (default:
-    /// the one in force)
+    /// the revision that the file is based on, 0 for a new team (default: the
+    /// revision in force)
     #[argh(option)]
     pub(crate) revision: Option<i64>,
 }
@@ -366,25 +366,25 @@
 #[argh(subcommand, name = "teams")]
 pub(crate) struct ListTeams {}
 
-/// Show the fleet: daemons, servers, age of settings.
+/// Show the state of the fleet: daemons, servers, age of settings.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "status")]
 pub(crate) struct Status {}
 
-/// Tell what became of a request: its class, the servers tried, waits, refusal.
+/// Explain how a request was handled: class, servers attempted, waits, rejection.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct Explain {
-    /// the x-request-id of its answer
+    /// the x-request-id header of its response
     #[argh(positional)]
     pub(crate) request: String,
 }
 
-/// Ask a daemon for a planned stop.
+/// Shut a daemon down after it has finished its requests.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub(crate) struct Drain {
-    /// base URL of the daemon's operators' door
+    /// base URL of the daemon's operator listener
     #[argh(positional)]
     pub(crate) daemon: String,
 }
--- a/crates/tool/src/door.rs
+++ b/crates/tool/src/client.rs
@@ -1,4 +1,4 @@
-//! The daemons' operators' doors, as the tool sees them.
+//! The client of the daemons' operator API.
 
 use std::time::{Duration, Instant};
 
@@ -13,34 +13,34 @@
 
 use crate::{arguments::Arguments, failure::ToolFailure};
 
-/// How long one answer may take.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long the daemons may take to confirm a change.
+/// The timeout of one request to a daemon.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long to wait until all daemons have a change in force.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
-/// The pause between two looks at a daemon's revision.
-const CONFIRM_PAUSE: Duration = Duration::from_millis(50);
-/// How often a change is made again on top of somebody else's.
-const CHANGE_TRIES: usize = 5;
-/// The longest answer.
-const ANSWER_LIMIT: usize = 64 * 1024 * 1024;
+/// The interval at which a daemon's revision is polled.
+const CONFIRM_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How many times a change is attempted while concurrent changes conflict with it.
+const MAX_CHANGE_ATTEMPTS: usize = 5;
+/// The maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// The doors of some daemons. Any of them can answer for the whole fleet.
+/// A client of the named daemons. Any of them can answer for the whole fleet.
 #[derive(Debug)]
-pub(crate) struct OperatorsDoor {
+pub(crate) struct OperatorClient {
     client: HttpClient,
     daemons: Vec<String>,
     token: String,
     operator: Option<String>,
 }
 
-/// A team's settings with their revision.
+/// A team's settings and the revision that they were read at.
 #[derive(Debug, Deserialize)]
 pub(crate) struct TeamSubtree {
     pub(crate) revision: i64,
     pub(crate) settings: TeamSettings,
 }
 
-/// A team's name with the revision of its settings.
+/// A team's name and the revision of its settings.
 #[derive(Debug, Deserialize)]
 pub(crate) struct TeamRevision {
     pub(crate) team: String,
@@ -52,7 +52,7 @@
     teams: Vec<TeamRevision>,
 }
 
-/// An accepted change.
+/// A daemon's response to a change that it wrote to the store.
 #[derive(Debug, Deserialize)]
 pub(crate) struct AcceptedChange {
     pub(crate) revision: i64,
@@ -70,9 +70,10 @@
     findings: FindingList,
 }
 
-impl OperatorsDoor {
-    /// Takes addresses and token from the arguments or the environment.
-    pub(crate) fn open(arguments: &Arguments) -> Result<Self, ToolFailure> {
+impl OperatorClient {
+    /// Creates a client from the addresses and the token in the arguments or,
+    /// where those are missing, in the environment.
+    pub(crate) fn from_arguments(arguments: &Arguments) -> Result<Self, ToolFailure> {
         let named = arguments.operators.clone();
         let daemons = named.or_else(|| std::env::var("COMFREYRAMP_OPERATORS").ok());
         let daemons: Vec<String> = daemons
@@ -91,7 +92,7 @@
             None => std::env::var("COMFREYRAMP_OPERATORS_TOKEN").unwrap_or_default(),
         };
         let token = token.trim().to_owned();
-        Ok(OperatorsDoor {
+        Ok(OperatorClient {
             client: HttpClient::default(),
             daemons,
             token,
@@ -99,28 +100,28 @@
         })
     }
 
-    /// The daemons that were named.
+    /// Returns the base URLs of the named daemons.
     pub(crate) fn daemons(&self) -> &[String] {
         &self.daemons
     }
 
-    /// Reads from the first daemon that answers.
+    /// Reads `path` from the first daemon that can be reached.
     pub(crate) async fn read<T: DeserializeOwned>(&self, path: &str) -> Result<T, ToolFailure> {
-        let mut last = String::new();
+        let mut last_problem = String::new();
         for daemon in &self.daemons {
             match self
                 .call(daemon, Method::GET, path, MessageBody::empty())
                 .await
             {
-                Err(ToolFailure::Unreachable(problem)) => last = problem,
-                Ok(body) => return parse(&body),
+                Err(ToolFailure::Unreachable(problem)) => last_problem = problem,
+                Ok(body) => return parse_body(&body),
                 Err(other) => return Err(other),
             }
         }
-        Err(ToolFailure::Unreachable(last))
+        Err(ToolFailure::Unreachable(last_problem))
     }
 
-    /// Calls one daemon.
+    /// Sends a request to one daemon and returns the response's body.
     pub(crate) async fn call(
         &self,
         daemon: &str,
@@ -146,25 +147,25 @@
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token))
             .body(body)
             .map_err(|it| unreachable(it.to_string()))?;
-        let answer = self.client.send_within(ANSWER_TIMEOUT, request).await;
+        let answer = self.client.send_within(REQUEST_TIMEOUT, request).await;
         let answer = answer.map_err(|it: CallError| unreachable(it.to_string()))?;
         let status = answer.status();
-        let body = collect_limited(answer.into_body(), ANSWER_LIMIT).await;
+        let body = collect_limited(answer.into_body(), MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|it| unreachable(it.to_string()))?;
         if status.is_success() {
             Ok(body)
         } else {
-            Err(failure_of(status, &body, daemon))
+            Err(failure_from_response(status, &body, daemon))
         }
     }
 
-    /// The teams with their revisions.
+    /// Returns all teams with their revisions.
     pub(crate) async fn teams(&self) -> Result<Vec<TeamRevision>, ToolFailure> {
         let list: TeamList = self.read("/settings").await?;
         Ok(list.teams)
     }
 
-    /// One team's settings.
+    /// Returns one team's settings.
     pub(crate) async fn team(&self, team: &str) -> Result<TeamSubtree, ToolFailure> {
         self.read(&format!("/settings/{team}")).await
     }
@@ -182,34 +183,36 @@
         }
         let path = format!("/settings/{team}");
         let id = format!("{:032x}", rand::random::<u128>());
-        let mut last = String::new();
+        let mut last_problem = String::new();
         for daemon in &self.daemons {
             let request = Request::builder()
                 .method(Method::PUT)
                 .header("idempotency-key", &id);
             match self.send(daemon, &path, request, json_body(&change)).await {
-                // A daemon that gave no answer may have written all the same.
-                // By the id the next one tells that this change took effect,
-                // rather than a conflict of the operator with himself.
-                Err(ToolFailure::Unreachable(problem)) => last = problem,
-                Ok(body) => return parse(&body),
+                // A daemon that didn't answer may still have written the change.
+                // The next daemon recognizes the change by its id and reports it
+                // as written; without the id it would report a conflict with the
+                // operator's own write.
+                Err(ToolFailure::Unreachable(problem)) => last_problem = problem,
+                Ok(body) => return parse_body(&body),
                 Err(other) => return Err(other),
             }
         }
-        Err(ToolFailure::Unreachable(last))
+        Err(ToolFailure::Unreachable(last_problem))
     }
 
-    /// Changes a team's settings on top of whatever stands there.
+    /// Edits a team's latest settings and writes them back.
     ///
-    /// Two operators may change one team at once. A change such as "add this
-    /// customer" stays right on top of another's, so it is made again there.
+    /// Two operators may change one team at the same time. An edit such as "add
+    /// this customer" is still valid on top of another change, so a conflict
+    /// makes it run again on the newer settings.
     pub(crate) async fn change<F>(&self, team: &str, mut edit: F) -> Result<i64, ToolFailure>
     where
         F: FnMut(&mut TeamSettings) -> Result<(), ToolFailure>,
     {
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             let mut subtree = match self.team(team).await {
                 Ok(subtree) => subtree,
                 Err(ToolFailure::Missing(_)) => TeamSubtree {
@@ -223,39 +226,39 @@
                 .map_err(|it| ToolFailure::Refused(it.to_string()))?;
             match self.write(team, subtree.revision, &settings).await {
                 Ok(accepted) => return Ok(accepted.revision),
-                Err(ToolFailure::Conflict(_)) if tries < CHANGE_TRIES => {}
+                Err(ToolFailure::Conflict(_)) if attempts < MAX_CHANGE_ATTEMPTS => {}
                 Err(other) => return Err(other),
             }
         }
     }
 
-    /// Waits until every named daemon has a change in force, and says which
-    /// ones do.
+    /// Waits until every named daemon has a revision in force. Otherwise fails
+    /// with the daemons that haven't confirmed it.
     pub(crate) async fn confirm(&self, revision: i64) -> Result<(), ToolFailure> {
         let deadline = Instant::now() + CONFIRM_TIMEOUT;
-        let mut missing: Vec<&String> = self.daemons.iter().collect();
+        let mut pending: Vec<&String> = self.daemons.iter().collect();
         loop {
-            let mut behind = Vec::new();
-            for daemon in missing {
+            let mut unconfirmed = Vec::new();
+            for daemon in pending {
                 if !self.has_revision(daemon, revision).await {
-                    behind.push(daemon);
+                    unconfirmed.push(daemon);
                 }
             }
-            missing = behind;
-            if missing.is_empty() {
+            pending = unconfirmed;
+            if pending.is_empty() {
                 let count = self.daemons.len();
                 eprintln!("revision {revision} is in force on all {count} named daemons");
                 return Ok(());
             }
             if Instant::now() >= deadline {
-                let names: Vec<&str> = missing.iter().map(|it| it.as_str()).collect();
+                let names: Vec<&str> = pending.iter().map(|it| it.as_str()).collect();
                 let text = format!(
                     "revision {revision} is accepted, but not yet confirmed by {}",
                     names.join(", ")
                 );
                 return Err(ToolFailure::Unconfirmed(text));
             }
-            tokio::time::sleep(CONFIRM_PAUSE).await;
+            tokio::time::sleep(CONFIRM_POLL_INTERVAL).await;
         }
     }
 
@@ -271,19 +274,19 @@
     }
 }
 
-/// Who makes the changes, as the history names him.
+/// Returns the name to record as the author of changes in the settings history.
 fn operator_name(arguments: &Arguments) -> Option<String> {
     let user = || std::env::var("USER").or_else(|_| std::env::var("LOGNAME"));
     let name = arguments.by.clone().or_else(|| user().ok());
     name.filter(|it| !it.is_empty())
 }
 
-fn parse<T: DeserializeOwned>(body: &Bytes) -> Result<T, ToolFailure> {
+fn parse_body<T: DeserializeOwned>(body: &Bytes) -> Result<T, ToolFailure> {
     serde_json::from_slice(body)
-        .map_err(|it| ToolFailure::Unreachable(format!("the answer can't be read: {it}")))
+        .map_err(|it| ToolFailure::Unreachable(format!("invalid response body: {it}")))
 }
 
-fn failure_of(status: StatusCode, body: &Bytes, daemon: &str) -> ToolFailure {
+fn failure_from_response(status: StatusCode, body: &Bytes, daemon: &str) -> ToolFailure {
     let fields = serde_json::from_slice::<ErrorBody>(body).map(|it| it.error);
     let (message, findings) = match fields {
         Ok(fields) => (fields.message, fields.findings),
--- a/crates/tool/src/commands/customers.rs
+++ b/crates/tool/src/commands/customers.rs
@@ -1,4 +1,4 @@
-//! Customers: list, add, set, remove.
+//! The `customers` commands: list, add, set, remove.
 
 use comfreyramp_settings::{CustomerSettings, CutPolicy, TeamSettings};
 use serde_json::json;
@@ -10,7 +10,7 @@
     context: &CommandContext,
     action: CustomersAction,
 ) -> Result<(), ToolFailure> {
-    let door = &context.door;
+    let client = &context.client;
     let revision = match action {
         CustomersAction::List(it) => return list(context, it.team.as_deref()).await,
         CustomersAction::Add(it) => {
@@ -23,39 +23,42 @@
                 when_cut: CutPolicy::default(),
                 lots_may_delay_live: false,
             };
-            door.change(&it.team, |team| {
-                if team.customers.iter().any(|it| it.name == customer.name) {
-                    let text = format!("the team has a customer {} already", customer.name);
-                    return Err(ToolFailure::Refused(text));
-                }
-                team.customers.push(customer.clone());
-                Ok(())
-            })
-            .await?
+            client
+                .change(&it.team, |team| {
+                    if team.customers.iter().any(|it| it.name == customer.name) {
+                        let text = format!("the team already has a customer {}", customer.name);
+                        return Err(ToolFailure::Refused(text));
+                    }
+                    team.customers.push(customer.clone());
+                    Ok(())
+                })
+                .await?
         }
         CustomersAction::Set(it) => {
-            door.change(&it.team, |team| {
-                let customer = find_customer(team, &it.name)?;
-                customer.rate = it.rate.unwrap_or(customer.rate);
-                customer.burst = it.burst.unwrap_or(customer.burst);
-                customer.weight = it.weight.unwrap_or(customer.weight);
-                Ok(())
-            })
-            .await?
+            client
+                .change(&it.team, |team| {
+                    let customer = find_customer(team, &it.name)?;
+                    customer.rate = it.rate.unwrap_or(customer.rate);
+                    customer.burst = it.burst.unwrap_or(customer.burst);
+                    customer.weight = it.weight.unwrap_or(customer.weight);
+                    Ok(())
+                })
+                .await?
         }
         CustomersAction::Remove(it) => {
-            door.change(&it.team, |team| {
-                find_customer(team, &it.name)?;
-                team.customers.retain(|customer| customer.name != it.name);
-                Ok(())
-            })
-            .await?
+            client
+                .change(&it.team, |team| {
+                    find_customer(team, &it.name)?;
+                    team.customers.retain(|customer| customer.name != it.name);
+                    Ok(())
+                })
+                .await?
         }
     };
-    door.confirm(revision).await
+    client.confirm(revision).await
 }
 
-/// The customer of a team with this name.
+/// Returns a team's customer by name.
 pub(super) fn find_customer<'a>(
     team: &'a mut TeamSettings,
     name: &str,
@@ -67,11 +70,11 @@
 async fn list(context: &CommandContext, only: Option<&str>) -> Result<(), ToolFailure> {
     let mut rows = Vec::new();
     let mut values = Vec::new();
-    for entry in context.door.teams().await? {
+    for entry in context.client.teams().await? {
         if only.is_some_and(|it| it != entry.team) {
             continue;
         }
-        for customer in context.door.team(&entry.team).await?.settings.customers {
+        for customer in context.client.team(&entry.team).await?.settings.customers {
             rows.push(vec![
                 entry.team.clone(),
                 customer.name.clone(),
--- a/crates/tool/src/commands/explain.rs
+++ b/crates/tool/src/commands/explain.rs
@@ -1,24 +1,25 @@
-//! What became of a request.
+//! The `explain` command: how a request was handled.
 
 use comfreyramp_http::{MessageBody, Method};
 use serde_json::Value;
 
 use super::{CommandContext, print_json};
-use crate::{arguments::Explain, failure::ToolFailure, output::print_line, wall_time::show_time};
+use crate::{arguments::Explain, failure::ToolFailure, output::print_line, wall_time::format_time};
 
-/// Asks the named daemons in turn: only the one that had the request knows it.
+/// Queries the named daemons in turn, since only the daemon that received the
+/// request has a record of it.
 pub(super) async fn run(context: &CommandContext, explain: &Explain) -> Result<(), ToolFailure> {
-    let path = format!("/explain/{}", checked_id(&explain.request)?);
+    let path = format!("/explain/{}", validate_request_id(&explain.request)?);
     let mut unreachable = Vec::new();
-    for daemon in context.door.daemons() {
+    for daemon in context.client.daemons() {
         let answer = context
-            .door
+            .client
             .call(daemon, Method::GET, &path, MessageBody::empty())
             .await;
         match answer {
             Ok(body) => {
                 let view: Value = serde_json::from_slice(&body).unwrap_or_default();
-                show(&view, context.json);
+                print_explanation(&view, context.json);
                 return Ok(());
             }
             Err(ToolFailure::Missing(_)) => {}
@@ -34,8 +35,9 @@
     Err(ToolFailure::Unreachable(unreachable.join("; ")))
 }
 
-/// The id goes into a path; what is no id could name another one.
-fn checked_id(id: &str) -> Result<&str, ToolFailure> {
+/// Validates a request id before it becomes part of a URL path. Other text, such
+/// as `../settings`, could address another path.
+fn validate_request_id(id: &str) -> Result<&str, ToolFailure> {
     let fits = |it: char| it.is_ascii_alphanumeric() || "-_.".contains(it);
     if !id.is_empty() && id.chars().all(fits) {
         return Ok(id);
@@ -44,11 +46,11 @@
     Err(ToolFailure::Refused(text.to_owned()))
 }
 
-fn show(view: &Value, as_json: bool) {
+fn print_explanation(view: &Value, as_json: bool) {
     if as_json {
         return print_json(view);
     }
-    let arrived = view["at_ms"].as_u64().map(show_time).unwrap_or_default();
+    let arrived = view["at_ms"].as_u64().map(format_time).unwrap_or_default();
     let name = |field: &str| view[field].as_str().unwrap_or_default().to_owned();
     let (request, daemon) = (name("request"), name("daemon"));
     print_line(format_args!("{request} arrived at {daemon} at {arrived}"));
--- a/crates/tool/src/commands/keys.rs
+++ b/crates/tool/src/commands/keys.rs
@@ -1,4 +1,4 @@
-//! Keys: list, issue, withdraw.
+//! The `keys` commands: list, issue, withdraw.
 
 use comfreyramp_settings::KeySettings;
 use rand::TryRngCore;
@@ -13,9 +13,9 @@
     table::print_table,
 };
 
-/// Random bytes of a key; nobody guesses 32 of them.
+/// The number of random bytes in a key; 32 bytes can't be guessed.
 const KEY_BYTES: usize = 32;
-/// What every key starts with, so that leaked ones are found by searching.
+/// The common prefix of all keys, which makes leaked keys searchable.
 const KEY_PREFIX: &str = "cfr-";
 
 pub(super) async fn run(context: &CommandContext, action: KeysAction) -> Result<(), ToolFailure> {
@@ -24,7 +24,7 @@
         KeysAction::List(it) => list(context, it.team.as_deref()).await,
         KeysAction::Withdraw(it) => {
             let revision = context
-                .door
+                .client
                 .change(&it.team, |team| {
                     let customer = find_customer(team, &it.customer)?;
                     let before = customer.keys.len();
@@ -36,7 +36,7 @@
                     Ok(())
                 })
                 .await?;
-            context.door.confirm(revision).await
+            context.client.confirm(revision).await
         }
     }
 }
@@ -46,15 +46,15 @@
     let sha256 = hex::encode(Sha256::digest(key.as_bytes()));
     let mut name = String::new();
     let revision = context
-        .door
+        .client
         .change(&issue.team, |team| {
             let customer = find_customer(team, &issue.customer)?;
             name = issue
                 .name
                 .clone()
-                .unwrap_or_else(|| free_name(&customer.keys));
+                .unwrap_or_else(|| unused_name(&customer.keys));
             if customer.keys.iter().any(|it| it.name == name) {
-                let text = format!("{} has a key {name} already", issue.customer);
+                let text = format!("{} already has a key {name}", issue.customer);
                 return Err(ToolFailure::Refused(text));
             }
             customer.keys.push(KeySettings {
@@ -64,8 +64,8 @@
             Ok(())
         })
         .await?;
-    // Shown before the daemons confirm: the key is accepted, and it can't be
-    // shown a second time.
+    // Printed before the daemons confirm the change: the key is already stored
+    // as a hash, so it couldn't be printed later if the confirmation failed.
     if context.json {
         print_json(&json!({ "name": name, "key": key, "revision": revision }));
     } else {
@@ -75,7 +75,7 @@
             issue.customer
         );
     }
-    context.door.confirm(revision).await
+    context.client.confirm(revision).await
 }
 
 fn new_key() -> Result<String, ToolFailure> {
@@ -86,7 +86,7 @@
     Ok(format!("{KEY_PREFIX}{}", hex::encode(bytes)))
 }
 
-fn free_name(keys: &[KeySettings]) -> String {
+fn unused_name(keys: &[KeySettings]) -> String {
     let mut number = keys.len() + 1;
     loop {
         let name = format!("key-{number}");
@@ -100,11 +100,11 @@
 async fn list(context: &CommandContext, only: Option<&str>) -> Result<(), ToolFailure> {
     let mut rows = Vec::new();
     let mut values = Vec::new();
-    for entry in context.door.teams().await? {
+    for entry in context.client.teams().await? {
         if only.is_some_and(|it| it != entry.team) {
             continue;
         }
-        for customer in context.door.team(&entry.team).await?.settings.customers {
+        for customer in context.client.team(&entry.team).await?.settings.customers {
             for key in customer.keys {
                 values.push(json!({
                     "team": entry.team,
--- a/crates/tool/src/commands/lots.rs
+++ b/crates/tool/src/commands/lots.rs
@@ -1,4 +1,4 @@
-//! Lots: list, show, cancel.
+//! The `lots` commands: list, show, cancel.
 
 use comfreyramp_http::{MessageBody, Method};
 use serde_json::{Value, json};
@@ -11,7 +11,7 @@
         LotsAction::Cancel(it) => cancel(context, &it.id).await,
         LotsAction::List(it) => list(context, it.customer.as_deref()).await,
         LotsAction::Show(it) => {
-            let lot: Value = context.door.read(&format!("/lots/{}", it.id)).await?;
+            let lot: Value = context.client.read(&format!("/lots/{}", it.id)).await?;
             print_lots(context, &lot, std::slice::from_ref(&lot));
             Ok(())
         }
@@ -19,24 +19,24 @@
 }
 
 async fn list(context: &CommandContext, customer: Option<&str>) -> Result<(), ToolFailure> {
-    let answer: Value = context.door.read("/lots").await?;
+    let answer: Value = context.client.read("/lots").await?;
     let mut lots = answer["lots"].as_array().cloned().unwrap_or_default();
     lots.retain(|it| customer.is_none_or(|customer| it["customer"] == customer));
     print_lots(context, &json!(lots), &lots);
     Ok(())
 }
 
-/// Cancels through the first daemon that can be reached. A cancel may be sent
-/// twice: the second finds it recorded.
+/// Cancels a lot through the first daemon that can be reached. Repeating the
+/// request on another daemon is safe, since cancelling is idempotent.
 async fn cancel(context: &CommandContext, id: &str) -> Result<(), ToolFailure> {
     let path = format!("/lots/{id}/cancel");
     let mut last = String::new();
-    for daemon in context.door.daemons() {
+    for daemon in context.client.daemons() {
         let body = MessageBody::empty();
-        match context.door.call(daemon, Method::POST, &path, body).await {
+        match context.client.call(daemon, Method::POST, &path, body).await {
             Err(ToolFailure::Unreachable(problem)) => last = problem,
             Ok(_) => {
-                eprintln!("{id} is cancelled; what runs of it stops within seconds");
+                eprintln!("{id} is cancelled; its running items stop within seconds");
                 return Ok(());
             }
             Err(other) => return Err(other),
@@ -82,7 +82,7 @@
     ]
 }
 
-/// How long until a moment, given in seconds since 1970.
+/// Formats the time that is left until `at`, in seconds since the Unix epoch.
 fn due_in(at: u64) -> String {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let left = at.saturating_sub(now.unwrap_or_default().as_secs());
--- a/crates/tool/src/commands/mod.rs
+++ b/crates/tool/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module per subject.
+//! Implementations of the commands, one module per kind of object.
 
 mod customers;
 mod explain;
@@ -12,29 +12,29 @@
 
 use crate::{
     arguments::{Arguments, Command, SettingsAction},
-    door::OperatorsDoor,
+    client::OperatorClient,
     failure::ToolFailure,
     output::print_line,
 };
 
-/// Where a command's output goes.
+/// The client and the output format that all commands use.
 pub(crate) struct CommandContext {
-    /// The daemons.
-    pub(crate) door: OperatorsDoor,
-    /// Whether to print JSON.
+    /// The client of the named daemons.
+    pub(crate) client: OperatorClient,
+    /// Whether to print JSON instead of tables.
     pub(crate) json: bool,
 }
 
-/// Runs a command.
+/// Runs the command that the arguments select.
 pub(crate) async fn run(arguments: Arguments) -> Result<(), ToolFailure> {
     if let Command::Settings(it) = &arguments.command
         && let SettingsAction::Check(check) = &it.action
     {
         return settings::check_file(check, arguments.json);
     }
-    let door = OperatorsDoor::open(&arguments)?;
+    let client = OperatorClient::from_arguments(&arguments)?;
     let context = CommandContext {
-        door,
+        client,
         json: arguments.json,
     };
     match arguments.command {
@@ -52,14 +52,14 @@
 async fn drain(context: &CommandContext, daemon: &str) -> Result<(), ToolFailure> {
     let daemon = daemon.trim_end_matches('/');
     context
-        .door
+        .client
         .call(daemon, Method::POST, "/drain", MessageBody::empty())
         .await?;
-    eprintln!("{daemon} finishes what it has and stops");
+    eprintln!("{daemon} finishes its requests and stops");
     Ok(())
 }
 
-/// Prints a value as JSON.
+/// Prints a value as indented JSON.
 pub(crate) fn print_json(value: &serde_json::Value) {
     print_line(format_args!("{value:#}"));
 }
--- a/crates/tool/src/commands/services.rs
+++ b/crates/tool/src/commands/services.rs
@@ -1,4 +1,4 @@
-//! Services: list, add, remove.
+//! The `services` commands: list, add, remove.
 
 use comfreyramp_settings::{ServiceKind, ServiceSettings};
 use serde_json::json;
@@ -14,39 +14,41 @@
     context: &CommandContext,
     action: ServicesAction,
 ) -> Result<(), ToolFailure> {
-    let door = &context.door;
+    let client = &context.client;
     let revision = match action {
         ServicesAction::List(it) => return list(context, it.team.as_deref()).await,
         ServicesAction::Add(it) => {
             let team = it.team.clone();
-            let service = read_service(it)?;
-            door.change(&team, |team| {
-                if team.services.iter().any(|it| it.name == service.name) {
-                    let text = format!("the team has a service {} already", service.name);
-                    return Err(ToolFailure::Refused(text));
-                }
-                team.services.push(service.clone());
-                Ok(())
-            })
-            .await?
+            let service = build_service(it)?;
+            client
+                .change(&team, |team| {
+                    if team.services.iter().any(|it| it.name == service.name) {
+                        let text = format!("the team already has a service {}", service.name);
+                        return Err(ToolFailure::Refused(text));
+                    }
+                    team.services.push(service.clone());
+                    Ok(())
+                })
+                .await?
         }
         ServicesAction::Remove(it) => {
-            door.change(&it.team, |team| {
-                let before = team.services.len();
-                team.services.retain(|service| service.name != it.name);
-                if team.services.len() == before {
-                    let text = format!("the team has no service {}", it.name);
-                    return Err(ToolFailure::Refused(text));
-                }
-                Ok(())
-            })
-            .await?
+            client
+                .change(&it.team, |team| {
+                    let before = team.services.len();
+                    team.services.retain(|service| service.name != it.name);
+                    if team.services.len() == before {
+                        let text = format!("the team has no service {}", it.name);
+                        return Err(ToolFailure::Refused(text));
+                    }
+                    Ok(())
+                })
+                .await?
         }
     };
-    door.confirm(revision).await
+    client.confirm(revision).await
 }
 
-fn read_service(add: AddService) -> Result<ServiceSettings, ToolFailure> {
+fn build_service(add: AddService) -> Result<ServiceSettings, ToolFailure> {
     let kind = match (add.prefix, add.model.is_empty()) {
         (Some(prefix), true) => ServiceKind::Plain { prefix },
         (None, false) => ServiceKind::Engine { models: add.model },
@@ -67,11 +69,11 @@
 async fn list(context: &CommandContext, only: Option<&str>) -> Result<(), ToolFailure> {
     let mut rows = Vec::new();
     let mut values = Vec::new();
-    for entry in context.door.teams().await? {
+    for entry in context.client.teams().await? {
         if only.is_some_and(|it| it != entry.team) {
             continue;
         }
-        for service in context.door.team(&entry.team).await?.settings.services {
+        for service in context.client.team(&entry.team).await?.settings.services {
             let serves = match &service.kind {
                 ServiceKind::Engine { models } => models.join(", "),
                 ServiceKind::Plain { prefix } => prefix.clone(),
--- a/crates/tool/src/commands/settings.rs
+++ b/crates/tool/src/commands/settings.rs
@@ -1,4 +1,4 @@
-//! A team's whole settings: teams, get, set, check, diff, history.
+//! The `settings` commands: teams, get, set, check, diff, history.
 
 mod history;
 
@@ -23,7 +23,10 @@
         SettingsAction::Check(it) => check_file(&it, context.json),
         SettingsAction::Diff(it) => diff(context, &it).await,
         SettingsAction::Get(it) => {
-            let subtree: Value = context.door.read(&format!("/settings/{}", it.team)).await?;
+            let subtree: Value = context
+                .client
+                .read(&format!("/settings/{}", it.team))
+                .await?;
             if context.json {
                 print_json(&subtree);
             } else {
@@ -38,7 +41,7 @@
     }
 }
 
-/// Checks a file without a daemon.
+/// Validates a settings file without contacting a daemon.
 pub(super) fn check_file(check: &CheckSettings, as_json: bool) -> Result<(), ToolFailure> {
     let text = read_file(&check.file)?;
     let checked = if check.daemon {
@@ -60,22 +63,22 @@
     let settings = TeamSettings::check(&text).map_err(ToolFailure::Findings)?;
     let revision = match write.revision {
         Some(revision) => revision,
-        None => match context.door.team(&write.team).await {
+        None => match context.client.team(&write.team).await {
             Ok(subtree) => subtree.revision,
             Err(ToolFailure::Missing(_)) => 0,
             Err(other) => return Err(other),
         },
     };
     let value = json!(settings);
-    let accepted = context.door.write(&write.team, revision, &value).await?;
+    let accepted = context.client.write(&write.team, revision, &value).await?;
     if context.json {
         print_json(&json!({ "team": write.team, "revision": accepted.revision }));
     }
-    context.door.confirm(accepted.revision).await
+    context.client.confirm(accepted.revision).await
 }
 
 async fn teams(context: &CommandContext) -> Result<(), ToolFailure> {
-    let teams = context.door.teams().await?;
+    let teams = context.client.teams().await?;
     if context.json {
         let values: Vec<Value> = teams
             .iter()
@@ -95,7 +98,7 @@
 async fn diff(context: &CommandContext, diff: &DiffSettings) -> Result<(), ToolFailure> {
     let text = read_file(&diff.file)?;
     let wanted = TeamSettings::check(&text).map_err(ToolFailure::Findings)?;
-    let in_force = match context.door.team(&diff.team).await {
+    let in_force = match context.client.team(&diff.team).await {
         Ok(subtree) => subtree.settings,
         Err(ToolFailure::Missing(_)) => TeamSettings::default(),
         Err(other) => return Err(other),
--- a/crates/tool/src/commands/settings/history.rs
+++ b/crates/tool/src/commands/settings/history.rs
@@ -1,11 +1,11 @@
-//! Who changed a team's settings, when and what.
+//! The `settings history` command.
 
 use comfreyramp_settings::{DifferenceKind, SettingsDifference};
 use serde::Deserialize;
 use serde_json::Value;
 
 use super::{CommandContext, print_json};
-use crate::{failure::ToolFailure, table::print_table, wall_time::show_time};
+use crate::{failure::ToolFailure, table::print_table, wall_time::format_time};
 
 #[derive(Deserialize)]
 struct TeamHistory {
@@ -21,22 +21,23 @@
     more: usize,
 }
 
-/// Prints a team's history.
+/// Prints the changes to a team's settings.
 pub(super) async fn run(context: &CommandContext, team: &str) -> Result<(), ToolFailure> {
     let path = format!("/settings/{team}/history");
     if context.json {
-        let history: Value = context.door.read(&path).await?;
+        let history: Value = context.client.read(&path).await?;
         print_json(&history);
         return Ok(());
     }
-    let history: TeamHistory = context.door.read(&path).await?;
-    let rows: Vec<_> = history.changes.iter().flat_map(rows_of).collect();
+    let history: TeamHistory = context.client.read(&path).await?;
+    let rows: Vec<_> = history.changes.iter().flat_map(change_rows).collect();
     print_table(&["REVISION", "WHEN", "BY", "WHAT"], &rows);
     Ok(())
 }
 
-/// One row for each difference; the first one names the change.
-fn rows_of(change: &HistoryChange) -> Vec<Vec<String>> {
+/// Returns one row per difference. Only the first row shows revision, time and
+/// author of the change.
+fn change_rows(change: &HistoryChange) -> Vec<Vec<String>> {
     let mut lines: Vec<String> = change.differences.iter().map(line).collect();
     if change.more > 0 {
         lines.push(format!("and {} more", change.more));
@@ -46,7 +47,7 @@
     }
     let name = [
         change.revision.to_string(),
-        show_time(change.at_ms),
+        format_time(change.at_ms),
         change.by.clone(),
     ];
     let rows = lines.into_iter().enumerate().map(|(index, line)| {
--- a/crates/tool/src/commands/status.rs
+++ b/crates/tool/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! The fleet on one screen.
+//! The `status` command: an overview of the fleet.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +10,9 @@
 
 pub(super) async fn run(context: &CommandContext) -> Result<(), ToolFailure> {
     let mut views = Vec::new();
-    for daemon in context.door.daemons() {
+    for daemon in context.client.daemons() {
         let answer = context
-            .door
+            .client
             .call(daemon, Method::GET, "/status", MessageBody::empty())
             .await;
         let view = match answer {
@@ -36,51 +36,53 @@
     Ok(())
 }
 
-/// What isn't as it should be, each sentence with the daemons that say so.
+/// Prints the degraded conditions, each with the daemons that report it.
 fn print_degraded(views: &[(String, Value)]) {
-    let mut said: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    for (door, view) in views {
+    let mut conditions: BTreeMap<String, Vec<String>> = BTreeMap::new();
+    for (address, view) in views {
         if view["unreachable"].is_string() {
-            let daemons = said.entry("no answer at this door".to_owned()).or_default();
-            daemons.push(door.clone());
+            let daemons = conditions
+                .entry("no answer at this door".to_owned())
+                .or_default();
+            daemons.push(address.clone());
         }
-        for sentence in list_of(&view["degraded"]) {
-            let daemons = said.entry(shown(sentence)).or_default();
-            daemons.push(shown(&view["daemon"]));
+        for condition in array_items(&view["degraded"]) {
+            let daemons = conditions.entry(cell_text(condition)).or_default();
+            daemons.push(cell_text(&view["daemon"]));
         }
     }
     print_line("");
-    if said.is_empty() {
+    if conditions.is_empty() {
         print_line("nothing is degraded");
         return;
     }
-    let rows: Vec<_> = said
+    let rows: Vec<_> = conditions
         .into_iter()
-        .map(|(sentence, daemons)| vec![sentence, daemons.join(", ")])
+        .map(|(condition, daemons)| vec![condition, daemons.join(", ")])
         .collect();
     print_table(&["DEGRADED", "SEEN BY"], &rows);
 }
 
-fn list_of(value: &Value) -> &[Value] {
+fn array_items(value: &Value) -> &[Value] {
     value.as_array().map(Vec::as_slice).unwrap_or_default()
 }
 
 fn print_daemons(views: &[(String, Value)]) {
     let rows: Vec<_> = views
         .iter()
-        .map(|(door, view)| {
+        .map(|(address, view)| {
             let state = match (&view["unreachable"], view["ready"].as_bool()) {
                 (Value::String(_), _) => "unreachable",
                 (_, Some(true)) => "ready",
                 _ => "not ready",
             };
             vec![
-                shown(&view["daemon"]),
-                shown(&view["zone"]),
+                cell_text(&view["daemon"]),
+                cell_text(&view["zone"]),
                 state.to_owned(),
-                shown(&view["settings_revision"]),
-                shown(&view["settings_age_ms"]),
-                door.clone(),
+                cell_text(&view["settings_revision"]),
+                cell_text(&view["settings_age_ms"]),
+                address.clone(),
             ]
         })
         .collect();
@@ -90,12 +92,12 @@
     );
 }
 
-/// One row for each server. Requests in flight are the daemons' together, the
-/// weight is the lowest that a daemon gives it, and bulk slots are known to its
-/// home daemon.
+/// One table row per server. Requests in flight are summed over all daemons, the
+/// weight is the lowest that any daemon assigns, and bulk slots come from the
+/// server's home daemon.
 #[derive(Debug, Default)]
 struct ServerRow {
-    seen: Value,
+    view: Value,
     in_flight: u64,
     weight: Option<f64>,
     bulk: Option<String>,
@@ -103,10 +105,10 @@
 
 fn print_servers(views: &[(String, Value)]) {
     let mut servers: BTreeMap<(String, String), ServerRow> = BTreeMap::new();
-    for server in views.iter().flat_map(|it| list_of(&it.1["servers"])) {
-        let name = (shown(&server["zone"]), shown(&server["name"]));
+    for server in views.iter().flat_map(|it| array_items(&it.1["servers"])) {
+        let name = (cell_text(&server["zone"]), cell_text(&server["name"]));
         let row = servers.entry(name).or_default();
-        row.take(server);
+        row.merge(server);
     }
     let rows: Vec<_> = servers.values().map(ServerRow::cells).collect();
     let headings = [
@@ -124,9 +126,9 @@
 }
 
 impl ServerRow {
-    fn take(&mut self, server: &Value) {
-        if self.seen.is_null() || server["state"] != "live" {
-            self.seen = server.clone();
+    fn merge(&mut self, server: &Value) {
+        if self.view.is_null() || server["state"] != "live" {
+            self.view = server.clone();
         }
         self.in_flight += server["in_flight"].as_u64().unwrap_or(0);
         if let Some(weight) = server["weight"].as_f64() {
@@ -134,7 +136,7 @@
             self.weight = Some(lowest);
         }
         if let Some(open) = server["bulk"]["open"].as_u64() {
-            let allowed = shown(&server["bulk"]["allowed"]);
+            let allowed = cell_text(&server["bulk"]["allowed"]);
             self.bulk = Some(format!("{open}/{allowed}"));
         }
     }
@@ -143,19 +145,19 @@
         let weight = self.weight.map(|it| format!("{it:.2}"));
         let unknown = || "-".to_owned();
         vec![
-            shown(&self.seen["name"]),
-            shown(&self.seen["zone"]),
-            shown(&self.seen["group"]),
-            shown(&self.seen["state"]),
+            cell_text(&self.view["name"]),
+            cell_text(&self.view["zone"]),
+            cell_text(&self.view["group"]),
+            cell_text(&self.view["state"]),
             self.in_flight.to_string(),
             self.bulk.clone().unwrap_or_else(unknown),
             weight.unwrap_or_else(unknown),
-            shown(&self.seen["address"]),
+            cell_text(&self.view["address"]),
         ]
     }
 }
 
-fn shown(value: &Value) -> String {
+fn cell_text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::String(text) => text.clone(),
--- a/crates/tool/src/failure.rs
+++ b/crates/tool/src/failure.rs
@@ -1,28 +1,30 @@
-//! Why a command failed, and the exit code that tells scripts.
+//! Errors of commands and the exit codes that scripts rely on.
 
 use std::process::ExitCode;
 
 use comfreyramp_settings::FindingList;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ToolFailure {
-    /// Something that was named doesn't exist, or exists already. Exit code 1.
+    /// The request is invalid, for example because the named object doesn't exist
+    /// or already exists. Exit code 1.
     #[error("{0}")]
     Refused(String),
-    /// A team or path that doesn't exist. Exit code 1.
+    /// The team or path doesn't exist. Exit code 1.
     #[error("{0}")]
     Missing(String),
-    /// The settings have findings. Exit code 3.
+    /// The settings failed validation. Exit code 3.
     #[error("the settings were not accepted:\n{0}")]
     Findings(FindingList),
-    /// Somebody else changed the settings meanwhile. Exit code 4.
+    /// The settings were changed concurrently. Exit code 4.
     #[error("{0}")]
     Conflict(String),
-    /// No daemon answered, or the platform didn't. Exit code 5.
+    /// No daemon could be reached, or a daemon couldn't reach the platform.
+    /// Exit code 5.
     #[error("{0}")]
     Unreachable(String),
-    /// A change is accepted, but not every daemon has confirmed it. Exit code 6.
+    /// The change is accepted, but not every daemon has confirmed it. Exit code 6.
     #[error("{0}")]
     Unconfirmed(String),
 }
--- a/crates/tool/src/main.rs
+++ b/crates/tool/src/main.rs
@@ -1,11 +1,11 @@
-//! `comfreyramp`, the operators' command-line tool. See docs/OPERATIONS.md.
+//! `comfreyramp`, the command-line tool for operators. See docs/OPERATIONS.md.
 //!
-//! [`arguments`] is what can be typed, [`door`] talks to the daemons,
-//! [`commands`] holds one module per subject.
+//! [`arguments`] defines the command line, [`client`] sends requests to the
+//! daemons, [`commands`] contains one module per kind of object.
 
 mod arguments;
+mod client;
 mod commands;
-mod door;
 mod failure;
 mod output;
 mod table;
--- a/crates/tool/src/output.rs
+++ b/crates/tool/src/output.rs
@@ -1,12 +1,12 @@
-//! Printing to whoever reads the output.
+//! Printing to standard output.
 
 use std::{fmt::Display, io::Write};
 
-/// Prints a line.
+/// Prints a line and ignores write errors.
 ///
-/// A reader such as `head` may have gone. Printing would then end the tool in
-/// the middle of a command with a trace of calls, before it has waited for the
-/// daemons to confirm a change; what nobody reads is left out instead.
+/// `println!` panics on a broken pipe, for example when `head` has exited. That
+/// would end the tool with a backtrace in the middle of a command, before the
+/// daemons have confirmed a change.
 pub(crate) fn print_line(line: impl Display) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
--- a/crates/tool/src/table.rs
+++ b/crates/tool/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables for people.
+//! Text tables for human-readable output.
 
 use crate::output::print_line;
 
--- a/crates/tool/tests/check_files.rs
+++ b/crates/tool/tests/check_files.rs
@@ -1,4 +1,4 @@
-//! Checking files without a running daemon.
+//! Validation of settings files without a running daemon.
 
 use std::process::{Command, Output};
 
@@ -41,7 +41,7 @@
         .collect()
 }
 
-fn told(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
@@ -54,14 +54,14 @@
     assert!(places(&output).is_empty());
 }
 
-/// A script checks files before a change. It needs the exit code, and each
-/// finding with its place.
+/// Scripts that validate files before a change rely on the exit code and on the
+/// place of each finding.
 #[test]
 fn findings_have_their_own_exit_code() {
     let text = r#"{"customers": [{"name": "press", "rate": -1, "burst": 0}]}"#;
     let output = check(TEAM, text);
     assert_eq!(output.status.code(), Some(3), "{output:?}");
-    let shown = told(&output);
+    let shown = stderr_text(&output);
     assert!(
         shown.contains("customers[0].rate: -1 is out of bounds"),
         "{shown}"
@@ -80,17 +80,20 @@
 fn a_file_that_cant_be_read_is_a_finding() {
     let output = run(&["settings", "check", "/nowhere/at/all.json"]);
     assert_eq!(output.status.code(), Some(3), "{output:?}");
-    assert!(told(&output).contains("/nowhere/at/all.json"), "{output:?}");
+    assert!(
+        stderr_text(&output).contains("/nowhere/at/all.json"),
+        "{output:?}"
+    );
 }
 
-/// The tool is run without the daemons' addresses, with a daemon that is gone,
-/// and with a command that doesn't exist.
+/// Runs the tool without daemon addresses, with an unreachable daemon and with
+/// an unknown command.
 #[test]
-fn without_a_daemon_other_commands_say_so() {
+fn other_commands_fail_without_a_daemon() {
     let output = run(&["settings", "teams"]);
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     assert!(
-        told(&output).contains("COMFREYRAMP_OPERATORS"),
+        stderr_text(&output).contains("COMFREYRAMP_OPERATORS"),
         "{output:?}"
     );
     let output = run(&["--operators", "http://127.0.0.1:1", "settings", "teams"]);
--- a/crates/tool/tests/fleet_commands.rs
+++ b/crates/tool/tests/fleet_commands.rs
@@ -1,4 +1,4 @@
-//! The tool as a process of its own against a small fleet.
+//! The tool as a separate process against a small fleet.
 
 #[path = "../../daemon/tests/support/mod.rs"]
 mod support;
@@ -17,7 +17,7 @@
 use support::{FleetPlan, KEY, PATIENCE, TOKEN, TestFleet, chat, usual_settings, vm};
 use tokio::process::Command;
 
-/// The tool with a fleet's addresses.
+/// Runs the tool with the addresses of a fleet.
 struct Tool {
     operators: String,
     token: &'static str,
@@ -25,8 +25,8 @@
 
 impl Tool {
     fn new(fleet: &TestFleet) -> Self {
-        let doors = fleet.daemons.iter().map(|it| it.addresses.operators);
-        let operators: Vec<String> = doors.map(|it| format!("http://{it}")).collect();
+        let listeners = fleet.daemons.iter().map(|it| it.addresses.operators);
+        let operators: Vec<String> = listeners.map(|it| format!("http://{it}")).collect();
         Tool {
             operators: operators.join(" "),
             token: TOKEN,
@@ -49,7 +49,7 @@
         output.expect("the tool runs")
     }
 
-    /// Runs a command that must end with this code, and returns what it printed.
+    /// Runs a command, checks its exit code and returns its standard output.
     async fn expect(&self, code: i32, arguments: &str) -> String {
         let output = self.run(arguments).await;
         assert_eq!(output.status.code(), Some(code), "{arguments}: {output:?}");
@@ -69,8 +69,8 @@
     }
 }
 
-/// Issues a key, uses it, withdraws it. The key itself must be shown when it is
-/// issued and never again, by no command and in no history.
+/// Issues, uses and withdraws a key. The key must be printed only when it is
+/// issued: a key in the output of another command or in the history would leak.
 #[tokio::test]
 async fn a_key_is_shown_once_and_stops_when_withdrawn() {
     let fleet = TestFleet::start(two_daemons()).await;
@@ -150,7 +150,7 @@
     let changes = history["changes"].as_array().expect("changes");
     assert_eq!(changes.len(), 6, "{history}");
     let names: BTreeSet<&str> = changes.iter().filter_map(|it| it["by"].as_str()).collect();
-    // The first change is the fleet's own, made without a name.
+    // The test fleet makes the first change without an author.
     assert_eq!(names, BTreeSet::from(["ada", "unknown"]));
     tool.expect(0, "--by ben customers set press --team studio --rate 7")
         .await;
@@ -161,8 +161,8 @@
     assert!(newest.contains(change), "{shown}");
 }
 
-/// A file is made from one revision and written after another was. Without the
-/// conflict the change between them would be lost.
+/// Writes a file that is based on an outdated revision. Without the conflict the
+/// change in between would be lost.
 #[tokio::test]
 async fn a_file_made_from_an_old_revision_is_a_conflict() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -173,7 +173,7 @@
     settings.customers[0].rate = 5.0;
     std::fs::write(&path, json!(settings).to_string()).expect("the file can be written");
     let path = path.to_str().expect("a path in UTF-8");
-    let seen = tool.json("settings get studio").await["revision"].clone();
+    let base_revision = tool.json("settings get studio").await["revision"].clone();
     let difference = tool.json(&format!("settings diff studio {path}")).await;
     assert_eq!(
         difference[0]["place"], "customers[press].rate",
@@ -184,12 +184,12 @@
     tool.expect(0, "--by ben customers set market --team studio --rate 9")
         .await;
     let set = format!("settings set studio {path}");
-    let output = tool.run(&format!("{set} --revision {seen}")).await;
+    let output = tool.run(&format!("{set} --revision {base_revision}")).await;
     assert_eq!(output.status.code(), Some(4), "{output:?}");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let printed = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        told.contains("ben changed customers[market].rate"),
-        "{told}"
+        printed.contains("ben changed customers[market].rate"),
+        "{printed}"
     );
 
     let written = tool.json(&set).await;
@@ -204,8 +204,8 @@
     tool.expect(1, "settings history nobody").await;
 }
 
-/// One of the named daemons is gone. The change is accepted, and the operator
-/// must learn which daemon hasn't confirmed it.
+/// Makes a change while one of the named daemons is unreachable. The change is
+/// accepted, and the error must name the daemon that hasn't confirmed it.
 #[tokio::test]
 async fn a_change_that_a_daemon_didnt_confirm_has_its_own_exit_code() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
@@ -213,9 +213,9 @@
     tool.operators = format!("http://127.0.0.1:1 {}", tool.operators);
     let output = tool.run("customers set press --team studio --rate 7").await;
     assert_eq!(output.status.code(), Some(6), "{output:?}");
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let printed = String::from_utf8_lossy(&output.stderr).into_owned();
     let unconfirmed = "accepted, but not yet confirmed by http://127.0.0.1:1";
-    assert!(told.contains(unconfirmed), "{told}");
+    assert!(printed.contains(unconfirmed), "{printed}");
     let history = tool.json("settings history studio").await;
     assert_eq!(
         history["changes"].as_array().map(Vec::len),
@@ -227,30 +227,30 @@
     assert_eq!(status[1]["status"]["ready"], true, "{status}");
 }
 
-/// An operator asks the tool about a request that one of two daemons had.
+/// Only one of two daemons has received the request that is explained.
 #[tokio::test]
 async fn a_request_is_explained_by_the_daemon_that_had_it() {
     let fleet = TestFleet::start(two_daemons()).await;
     let mut tool = Tool::new(&fleet);
     let answer = fleet.chat(1, KEY, &chat("a verse", 1, false)).await;
     let id = answer.headers["x-request-id"].to_str().expect("an id");
-    let told = tool.expect(0, &format!("explain {id}")).await;
-    assert!(told.contains("arrived at daemon-2"), "{told}");
+    let printed = tool.expect(0, &format!("explain {id}")).await;
+    assert!(printed.contains("arrived at daemon-2"), "{printed}");
     assert!(
-        told.contains("The key belongs to customer press."),
-        "{told}"
+        printed.contains("The key belongs to customer press."),
+        "{printed}"
     );
-    assert!(told.contains("It was sent to engine-1"), "{told}");
-    let told = tool.json(&format!("explain {id}")).await;
-    assert_eq!(told["request"], id);
+    assert!(printed.contains("It was sent to engine-1"), "{printed}");
+    let printed = tool.json(&format!("explain {id}")).await;
+    assert_eq!(printed["request"], id);
     tool.expect(1, "explain daemon-2-0-0").await;
     tool.expect(1, "explain ../settings/studio").await;
     tool.operators.push_str(" http://127.0.0.1:1");
     tool.expect(5, "explain daemon-3-0-0").await;
 }
 
-/// How many daemons tell the bulk slots of a server.
-fn homes(status: &Value, server: &str) -> usize {
+/// Counts the daemons that report a server's bulk slots.
+fn count_home_daemons(status: &Value, server: &str) -> usize {
     let views = status.as_array().expect("a list").iter();
     let servers = views.flat_map(|it| it["status"]["servers"].as_array().expect("a list"));
     servers
@@ -266,8 +266,8 @@
     address.expect("the server's address")
 }
 
-/// An operator looks at the fleet: all is well, then two servers are leaving,
-/// one daemon is gone and the platform is down.
+/// Shows the status of a healthy fleet, then with two servers leaving, one daemon
+/// unreachable and the platform down.
 #[tokio::test]
 async fn status_shows_servers_slots_and_what_is_degraded() {
     let mut fleet = TestFleet::start(two_daemons()).await;
@@ -280,12 +280,16 @@
     for name in ["daemon-1", "daemon-2", "engine-1", "engine-2", "service-1"] {
         assert!(shown.contains(name), "{shown}");
     }
-    // Each engine has a home daemon, which knows its bulk slots soon after it
-    // learned of the engine.
+    // Each engine has one home daemon, which reports bulk slots soon after it
+    // discovers the engine.
     let began = Instant::now();
     let status = loop {
         let status = tool.json("status").await;
-        if (homes(&status, "engine-1"), homes(&status, "engine-2")) == (1, 1) {
+        if (
+            count_home_daemons(&status, "engine-1"),
+            count_home_daemons(&status, "engine-2"),
+        ) == (1, 1)
+        {
             break status;
         }
         assert!(began.elapsed() < PATIENCE, "{status}");
@@ -328,9 +332,9 @@
     );
 }
 
-/// The output goes to a program that ends before it has read everything.
+/// The reader of the output exits early. A broken pipe must not abort the command.
 #[tokio::test]
-async fn a_reader_that_is_gone_doesnt_end_a_command() {
+async fn a_closed_output_doesnt_abort_a_command() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
     let tool = Tool::new(&fleet);
     let mut child = tool
@@ -345,7 +349,7 @@
     assert!(output.stderr.is_empty(), "{output:?}");
 }
 
-/// A wrong token must not read as an empty fleet.
+/// A wrong token must cause an error, not the output of an empty fleet.
 #[tokio::test]
 async fn a_wrong_token_is_refused() {
     let fleet = TestFleet::start(FleetPlan::default()).await;
--- a/crates/tool/tests/lot_commands.rs
+++ b/crates/tool/tests/lot_commands.rs
@@ -1,4 +1,4 @@
-//! The tool's view of lots.
+//! The `lots` commands against a running fleet.
 
 #![allow(clippy::unwrap_used, reason = "helpers of tests are tests too")]
 
