--- a/crates/load/src/commands/generate.rs
+++ b/crates/load/src/commands/generate.rs
@@ -1,4 +1,4 @@
-//! `generate`.
+//! The `generate` command.
 
 use std::{
     fs::{self, File},
@@ -11,26 +11,26 @@
 use argh::FromArgs;
 use comfreyramp_load::trace::{PRESET_NAMES, TraceMix, generate_trace, preset_mix};
 
-/// Makes a trace from a mix and a seed.
+/// Generate a trace from a workload mix and a seed.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "generate")]
 pub(crate) struct GenerateCommand {
-    /// a ready mix: live, mixed, overdrive, daemon-loss or engine-loss
+    /// a predefined mix: live, mixed, overdrive, daemon-loss or engine-loss
     #[argh(option)]
     preset: Option<String>,
-    /// a mix in a JSON file
+    /// JSON file that contains a mix
     #[argh(option)]
     mix: Option<PathBuf>,
-    /// how long work arrives in a ready mix, in seconds (default 60)
+    /// how long requests arrive in a predefined mix, in seconds (default 60)
     #[argh(option, default = "60")]
     seconds: u64,
-    /// what the trace's chance is drawn from (default 1)
+    /// seed of the random number generator (default 1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// print the mix and make no trace
+    /// print the mix and generate no trace
     #[argh(switch)]
     print_mix: bool,
-    /// where to write the trace
+    /// output file for the trace (default trace.jsonl)
     #[argh(option, default = "PathBuf::from(\"trace.jsonl\")")]
     out: PathBuf,
 }
--- a/crates/load/src/commands/mod.rs
+++ b/crates/load/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands.
+//! Implementations of the subcommands.
 
 mod generate;
 mod report;
--- a/crates/load/src/commands/report.rs
+++ b/crates/load/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `report`.
+//! The `report` command.
 
 use std::{fs, path::PathBuf};
 
@@ -6,14 +6,14 @@
 use argh::FromArgs;
 use comfreyramp_load::{outcome::RunResult, report::report_page};
 
-/// Puts one or two results on an HTML page with plots.
+/// Render one or two results as an HTML page with plots.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "report")]
 pub(crate) struct ReportCommand {
-    /// one or two results, as `run` writes them
+    /// one or two result files, as `run` writes them
     #[argh(positional)]
     results: Vec<PathBuf>,
-    /// where to write the page
+    /// output file for the page (default report.html)
     #[argh(option, default = "PathBuf::from(\"report.html\")")]
     out: PathBuf,
 }
@@ -29,7 +29,7 @@
             let text = fs::read_to_string(path)
                 .with_context(|| format!("can't read {}", path.display()))?;
             let run = serde_json::from_str(&text)
-                .with_context(|| format!("{} is no result", path.display()))?;
+                .with_context(|| format!("{} is not a valid result file", path.display()))?;
             runs.push(run);
         }
         let runs: Vec<&RunResult> = runs.iter().collect();
--- a/crates/load/src/commands/run.rs
+++ b/crates/load/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`.
+//! The `run` command.
 
 use std::{
     fs::{self, File},
@@ -16,44 +16,45 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Plays a trace against a fleet and keeps the result.
+/// Play a trace against a fleet and write the result to a file.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 pub(crate) struct RunCommand {
-    /// the trace
+    /// trace file to play
     #[argh(option)]
     trace: PathBuf,
-    /// shell lines that name a running fleet, as `scripts/demo --keep` writes
+    /// file with shell variables that describe a running fleet, as
+    /// `scripts/demo --keep` writes it
     #[argh(option)]
     env: Option<PathBuf>,
-    /// base URLs of the callers' doors, with commas between them
+    /// base URLs of the daemons' caller listeners, separated by commas
     #[argh(option)]
     callers: Option<String>,
-    /// one key for each customer of the trace, with commas between them
+    /// one key per customer of the trace, separated by commas
     #[argh(option)]
     keys: Option<String>,
-    /// the model
+    /// name of the model in generation requests
     #[argh(option)]
     model: Option<String>,
-    /// the path prefix of the plain service
+    /// path prefix of the plain HTTP service
     #[argh(option)]
     service: Option<String>,
-    /// what the run is called in a report (default: the trace's file name)
+    /// name of the run in a report (default: the trace's file name)
     #[argh(option)]
     label: Option<String>,
-    /// the longest that one call may take, in seconds (default 120)
+    /// timeout of one call, in seconds (default 120)
     #[argh(option, default = "120")]
     timeout_s: u64,
-    /// how long after its due time a lot is followed, in seconds (default 30)
+    /// how long a lot is polled after its deadline, in seconds (default 30)
     #[argh(option, default = "30")]
     lot_grace_s: u64,
-    /// take answers of engines other than the stand-in, unchecked
+    /// accept the responses of any engine, without checking their text
     #[argh(switch)]
     any_answer: bool,
-    /// show no progress
+    /// print no progress
     #[argh(switch)]
     quiet: bool,
-    /// where to write the result
+    /// output file for the result (default result.json)
     #[argh(option, default = "PathBuf::from(\"result.json\")")]
     out: PathBuf,
 }
@@ -118,7 +119,7 @@
     }
 }
 
-/// Plays a trace; Ctrl-C ends it early and keeps what was measured so far.
+/// Plays a trace. Ctrl-C stops it early and keeps the outcomes recorded so far.
 async fn play_until_interrupt(
     trace: TraceFile,
     targets: RunTargets,
@@ -136,7 +137,7 @@
 
 fn print_summary(result: &RunResult) {
     if result.interrupted {
-        println!("interrupted; what was under way is not counted");
+        println!("interrupted; requests in flight are not counted");
     }
     for engine in &result.engines {
         let error = engine.error.as_deref().unwrap_or("list read");
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,10 +1,11 @@
-//! The load and replay tool.
+//! The load generator: generates traces, plays them against a fleet and reports
+//! the results.
 //!
-//! - [`trace`] is the format of recorded work and its seeded generators: plain
-//!   data, which a replay on virtual time reads as well.
-//! - [`outcome`] turns what happened to each request into a result.
+//! - [`trace`] defines the trace format and seeded generators. Traces are plain
+//!   data, which the simulation on virtual time reads as well.
+//! - [`outcome`] aggregates the outcomes of single requests into a result.
 //! - [`run`] plays a trace against a fleet over HTTP.
-//! - [`report`] puts one or two results on a page with plots.
+//! - [`report`] renders one or two results as an HTML page with plots.
 
 pub mod outcome;
 pub mod report;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,11 +1,11 @@
-//! The load and replay tool's command line.
+//! The command line of the load generator.
 
 mod commands;
 
 use argh::FromArgs;
 
-/// Makes traces of work, plays them against a fleet, and reports what callers
-/// saw.
+/// Generate traces of requests, play them against a fleet, and report the
+/// results that callers observed.
 #[derive(FromArgs)]
 struct LoadArgs {
     #[argh(subcommand)]
--- a/crates/load/src/outcome/call.rs
+++ b/crates/load/src/outcome/call.rs
@@ -1,37 +1,38 @@
-//! What happened to one call.
+//! The outcome of one call.
 
 use std::time::Duration;
 
-/// Which kind of call it was.
+/// The kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// A generation request.
     Live,
-    /// A call of a plain service.
+    /// A call of a plain HTTP service.
     Plain,
 }
 
-/// An answer that refuses.
+/// A response that rejects a call.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Refusal {
-    /// The HTTP status; 200 for a refusal inside a stream that had begun.
+    /// The HTTP status; 200 for an error event in a stream that had begun.
     pub status: u16,
-    /// The word for programs in the error's body, or empty.
+    /// The machine-readable code in the error's body, or empty.
     pub code: String,
-    /// What it says about whether the request ran, or empty.
+    /// What the response states about whether the request ran, such as `no`,
+    /// `partly` or `unknown`, or empty.
     pub ran: String,
-    /// Whether it says when to come back.
+    /// Whether the response states when to retry.
     pub retry_after: bool,
 }
 
 impl Refusal {
-    /// Whether the request got as far as a backend server, or might have.
+    /// Returns whether the request reached a backend server, or may have.
     pub fn may_have_run(&self) -> bool {
         self.status == 200 || matches!(self.ran.as_str(), "partly" | "unknown")
     }
 
-    /// Whether the fleet had no room for it or the customer, rather than that
-    /// something was wrong with the request.
+    /// Returns whether the call was rejected for lack of capacity or for the
+    /// customer's rate, rather than for an error in the request.
     pub fn is_for_capacity(&self) -> bool {
         self.status == 429 || self.status >= 500
     }
@@ -40,40 +41,40 @@
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The whole answer came, and it was the right one.
+    /// The response is complete and correct.
     Done,
-    /// The whole answer came, and it belonged to another request.
+    /// The response is complete, but belongs to another request.
     WrongAnswer,
-    /// An answer came that ended properly, with tokens missing or too many.
+    /// The response ended properly, but has too few or too many tokens.
     WrongLength,
-    /// It was refused, before or after its answer had begun.
+    /// The call was rejected, before or after the response had begun.
     Refused(Refusal),
-    /// The answer began and broke off without a word.
+    /// The response began and was cut off without an error.
     Cut,
-    /// No answer came: no connection, a broken one, or too late.
+    /// No response: the connection failed or the call timed out.
     NoAnswer,
 }
 
-/// One call, with its times counted from the start of the run.
+/// The outcome of one call. All times are relative to the start of the run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// The customer's position in the trace's header.
+    /// The customer's index in the trace's header.
     pub customer: u32,
-    /// Its kind.
+    /// Whether it is a generation request or a plain call.
     pub kind: CallKind,
-    /// When the trace says it is sent. Latencies count from here, so that a
-    /// fleet that slows the sender down doesn't look the better for it.
+    /// The send time in the trace. Latencies count from here, so that a fleet
+    /// that slows the sender down doesn't appear faster (coordinated omission).
     pub intended: Duration,
-    /// When it was sent.
+    /// The time at which it was actually sent.
     pub sent: Duration,
-    /// When its first token, or the head of its answer, came.
+    /// The time of the first token, or of the response head for plain calls.
     pub first: Option<Duration>,
-    /// When it ended.
+    /// The time at which the call ended.
     pub ended: Duration,
-    /// The times between its tokens.
+    /// The intervals between successive tokens.
     pub gaps: Vec<Duration>,
-    /// How many tokens came.
+    /// The number of tokens received.
     pub tokens: u32,
-    /// How it ended.
+    /// The way in which the call ended.
     pub end: CallEnd,
 }
--- a/crates/load/src/outcome/collector.rs
+++ b/crates/load/src/outcome/collector.rs
@@ -1,4 +1,4 @@
-//! From single outcomes to a result.
+//! Aggregation of outcomes into a result.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,7 +13,7 @@
     timeline::RunTimeline,
 };
 
-/// Gathers outcomes in any order.
+/// Collects outcomes, in any order, and aggregates them into a [`RunResult`].
 #[derive(Debug)]
 pub struct OutcomeCollector {
     customers: Vec<CustomerOutcomes>,
@@ -28,12 +28,11 @@
     live: CallOutcomes,
     plain: CallOutcomes,
     lots: Vec<LotOutcome>,
-    /// When each call was intended, whether it was admitted, and whether it
-    /// was refused.
+    /// The intended send time of each call and whether it was admitted.
     admissions: Vec<(Duration, Admission)>,
 }
 
-/// What the fleet did with a call, as far as rates go.
+/// Whether a call passed the fleet's rate limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Admission {
     Admitted,
@@ -47,7 +46,8 @@
             CallEnd::NoAnswer => Admission::Unknown,
             CallEnd::Refused(refusal) if refusal.may_have_run() => Admission::Admitted,
             CallEnd::Refused(refusal) if refusal.is_for_capacity() => Admission::Refused,
-            // A wrong key or a malformed request says nothing about rates.
+            // An invalid key or a malformed request is rejected before the rate
+            // limits apply.
             CallEnd::Refused(_) => Admission::Unknown,
             _ => Admission::Admitted,
         }
@@ -64,7 +64,7 @@
 }
 
 impl OutcomeCollector {
-    /// A collector for these customers.
+    /// Creates a collector for the customers in a trace's header.
     pub fn new(customers: &[TraceCustomer]) -> Self {
         let customers = customers.iter().map(|customer| CustomerOutcomes {
             customer: customer.clone(),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Adds a call; one of an unknown customer is ignored.
+    /// Adds a call. A call of an unknown customer only counts in the timeline.
     pub fn add_call(&mut self, call: &CallOutcome) {
         self.timeline.add_call(call);
         let delay = call.sent.saturating_sub(call.intended);
@@ -97,24 +97,24 @@
         }
     }
 
-    /// Adds a lot; one of an unknown customer is ignored.
+    /// Adds a lot. A lot of an unknown customer is ignored.
     pub fn add_lot(&mut self, lot: LotOutcome) {
         if let Some(outcomes) = self.customers.get_mut(lot.customer as usize) {
             outcomes.lots.push(lot);
         }
     }
 
-    /// Adds what a lot did meanwhile.
+    /// Adds the number of items of a lot that have ended since its last report.
     pub fn add_progress(&mut self, progress: LotProgress) {
         self.timeline.add_progress(progress);
     }
 
-    /// Adds a fault.
+    /// Adds an injected fault.
     pub fn add_fault(&mut self, fault: FaultResult) {
         self.faults.push(fault);
     }
 
-    /// The result of all that was added.
+    /// Returns the result of everything added so far, for a run of length `span`.
     pub fn result(&self, label: &str, span: Duration) -> RunResult {
         let customers = self.customers.iter().map(CustomerOutcomes::result);
         RunResult {
@@ -144,10 +144,10 @@
         admissions.sort_unstable();
         let mut reference = RateReference::new(self.customer.rate, self.customer.burst);
         for (at, admission) in admissions {
-            let verdict = reference.judge(at, admission == Admission::Admitted);
+            let decision = reference.check(at, admission == Admission::Admitted);
             if admission == Admission::Refused {
-                result.wrongful_refusals += u64::from(verdict.inside);
-                result.clearly_wrongful_refusals += u64::from(verdict.clearly_inside);
+                result.wrongful_refusals += u64::from(decision.inside);
+                result.clearly_wrongful_refusals += u64::from(decision.clearly_inside);
             }
         }
         result.overshoot = reference.overshoot();
@@ -205,7 +205,7 @@
     let mut acknowledgement = LatencyHistogram::default();
     let mut duration = LatencyHistogram::default();
     let mut refusals = BTreeMap::new();
-    // A resent job is one job, so its items count once.
+    // A resent job is still one job, so its items count once.
     let mut ids: BTreeMap<&str, &str> = BTreeMap::new();
     for lot in lots {
         result.sent += 1;
--- a/crates/load/src/outcome/latency.rs
+++ b/crates/load/src/outcome/latency.rs
@@ -1,22 +1,22 @@
-//! Latencies.
+//! Latency histograms.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// The quantiles that a summary keeps as its curve.
+/// The quantiles in the curve of a [`LatencySummary`].
 pub const QUANTILES: [f64; 21] = [
     0.0, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.75, 0.8, 0.85, 0.9, 0.925, 0.95, 0.975, 0.99, 0.995,
     0.999, 0.9995, 0.9999, 1.0,
 ];
 
-/// The longest latency that is told apart: an hour, in microseconds.
+/// The highest trackable latency, in microseconds: one hour.
 const HIGHEST_MICROS: u64 = 3_600_000_000;
-/// The digits that are told apart.
+/// The number of significant decimal digits that the histogram preserves.
 const DIGITS: u8 = 3;
 
-/// A histogram of latencies.
+/// A histogram of latencies with microsecond resolution.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram {
     histogram: Histogram<u64>,
@@ -31,13 +31,13 @@
 }
 
 impl LatencyHistogram {
-    /// Adds a latency.
+    /// Records a latency. Values above the maximum count as the maximum.
     pub fn record(&mut self, latency: Duration) {
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.histogram.saturating_record(micros.max(1));
     }
 
-    /// Its figures in milliseconds.
+    /// Returns count, mean, quantiles and maximum.
     pub fn summary(&self) -> LatencySummary {
         if self.histogram.is_empty() {
             return LatencySummary::default();
@@ -55,21 +55,21 @@
     }
 }
 
-/// The figures of a histogram.
+/// The statistics of a [`LatencyHistogram`], in milliseconds.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LatencySummary {
-    /// How many latencies; all else is zero if there are none.
+    /// The number of latencies. All other values are zero if there are none.
     pub count: u64,
-    /// The mean.
+    /// The arithmetic mean.
     pub mean_ms: f64,
     /// The median.
     pub p50_ms: f64,
-    /// 95 in 100 are no longer.
+    /// The 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are no longer.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub max_ms: f64,
-    /// One value for each of [`QUANTILES`].
+    /// The latency at each of the [`QUANTILES`].
     pub curve_ms: Vec<f64>,
 }
--- a/crates/load/src/outcome/lot.rs
+++ b/crates/load/src/outcome/lot.rs
@@ -1,4 +1,4 @@
-//! What happened to one lot.
+//! The outcome of one lot.
 
 use std::time::Duration;
 
@@ -7,71 +7,71 @@
 /// How a lot ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LotEnd {
-    /// It has the given final state, and its results were read.
+    /// The lot reached a final state and its results were downloaded.
     Ended {
-        /// The state as the fleet names it, such as `completed`.
+        /// The final state in the API, such as `completed`.
         status: String,
     },
-    /// It was refused when it was handed in.
+    /// The submission was rejected.
     Refused(Refusal),
-    /// It could not be handed in: no answer came in time.
+    /// The submission failed: no response in time.
     NoAnswer,
-    /// It was acknowledged, and had no final state when the run was over.
+    /// The lot was acknowledged, but had no final state at the end of the run.
     Unfinished,
 }
 
-/// One lot, with its times counted from the start of the run.
+/// The outcome of one lot. All times are relative to the start of the run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LotOutcome {
-    /// The customer's position in the trace's header.
+    /// The customer's index in the trace's header.
     pub customer: u32,
-    /// The caller's job key.
+    /// The caller's idempotency key for the job.
     pub job: String,
-    /// The id it was given, once acknowledged.
+    /// The lot's id, once acknowledged.
     pub id: Option<String>,
-    /// Whether the same job was handed in before.
+    /// Whether the same job was already submitted before.
     pub resent: bool,
-    /// When the trace says it is handed in.
+    /// The submission time in the trace.
     pub intended: Duration,
-    /// When it was acknowledged.
+    /// The time at which the fleet acknowledged the lot.
     pub acknowledged: Option<Duration>,
-    /// When it was seen to have its final state.
+    /// The time at which polling first returned a final state.
     pub ended: Option<Duration>,
-    /// When it is due, counted from its arrival.
+    /// The deadline, relative to `intended`.
     pub due: Duration,
-    /// How many items it holds.
+    /// The number of items in the lot.
     pub items: u32,
-    /// Items with the right answer.
+    /// Items with a correct response.
     pub done: u32,
     /// Items with a recorded error.
     pub failed: u32,
     /// Items with more than one result.
     pub repeated: u32,
-    /// Items with the answer of another.
+    /// Items with the response of another item.
     pub wrong: u32,
-    /// How it ended.
+    /// The way in which the lot ended.
     pub end: LotEnd,
 }
 
 impl LotOutcome {
-    /// Items without any result.
+    /// Returns the number of items without any result.
     pub fn missing(&self) -> u32 {
         self.items
             .saturating_sub(self.done + self.failed + self.wrong)
     }
 
-    /// Whether all its results were there before it was due.
+    /// Returns whether all results were available before the deadline.
     pub fn is_on_time(&self) -> bool {
         let due = self.intended + self.due;
         self.ended.is_some_and(|it| it <= due) && self.missing() == 0
     }
 }
 
-/// How many items of a lot had ended at a time.
+/// Progress of a lot between two polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LotProgress {
-    /// When, counted from the start of the run.
+    /// The time of the poll, relative to the start of the run.
     pub at: Duration,
-    /// How many ended since the last report on the same lot.
+    /// The number of items that ended since the last report on the same lot.
     pub items: u32,
 }
--- a/crates/load/src/outcome/mod.rs
+++ b/crates/load/src/outcome/mod.rs
@@ -1,4 +1,4 @@
-//! What happened to each request, and the result of a whole run.
+//! Outcomes of single requests and the result of a whole run.
 
 mod call;
 mod collector;
@@ -12,7 +12,7 @@
 pub use collector::OutcomeCollector;
 pub use latency::{LatencyHistogram, LatencySummary, QUANTILES};
 pub use lot::{LotEnd, LotOutcome, LotProgress};
-pub use rate_reference::{RateReference, RateVerdict};
+pub use rate_reference::{RateDecision, RateReference};
 pub use result::{
     CallResult, CustomerResult, EngineResult, FaultResult, LotResult, RefusalCount, RunResult,
     TimelineRow,
--- a/crates/load/src/outcome/rate_reference.rs
+++ b/crates/load/src/outcome/rate_reference.rs
@@ -1,61 +1,62 @@
-//! What a customer may send, by one bucket that sees everything.
+//! A reference for rate limits: one token bucket that sees every call of a
+//! customer, which the decisions of the distributed fleet are compared with.
 
 use std::time::Duration;
 
-/// What an ideal admission would say about a call.
+/// The decision of the ideal rate limiter about a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RateVerdict {
-    /// It is inside the rate and burst.
+pub struct RateDecision {
+    /// The call is within the rate and burst.
     pub inside: bool,
-    /// It is inside nine tenths of the rate and burst, so that a refusal can't
-    /// be put down to the time between the sender and the daemon.
+    /// The call is within nine tenths of the rate and burst, so that network
+    /// delay between the sender and the daemon can't explain a rejection.
     pub clearly_inside: bool,
 }
 
-/// The share of the rate and burst for [`RateVerdict::clearly_inside`].
-const CLEAR_SHARE: f64 = 0.9;
+/// The fraction of the rate and burst for [`RateDecision::clearly_inside`].
+const CLEAR_FRACTION: f64 = 0.9;
 
-/// The ideal admission of one customer.
+/// The ideal rate limiter of one customer.
 ///
-/// Calls must be shown in the order of their intended times.
+/// Calls must be passed in the order of their intended times.
 #[derive(Clone, Debug)]
 pub struct RateReference {
-    whole: TokenBucket,
-    clear: TokenBucket,
-    admitted: FillGauge,
+    full_size: TokenBucket,
+    reduced: TokenBucket,
+    admitted: LeakyBucket,
 }
 
 impl RateReference {
-    /// A customer with this rate a second and burst, after a long pause.
+    /// Creates a limiter with full buckets. `rate` is in calls per second.
     pub fn new(rate: f64, burst: u32) -> Self {
         let burst = f64::from(burst);
         RateReference {
-            whole: TokenBucket::full(rate, burst),
-            clear: TokenBucket::full(rate * CLEAR_SHARE, (burst * CLEAR_SHARE).max(1.0)),
-            admitted: FillGauge::new(rate, burst),
+            full_size: TokenBucket::full(rate, burst),
+            reduced: TokenBucket::full(rate * CLEAR_FRACTION, (burst * CLEAR_FRACTION).max(1.0)),
+            admitted: LeakyBucket::new(rate, burst),
         }
     }
 
-    /// Judges a call that was intended at `at`, and notes whether the fleet
-    /// admitted it.
-    pub fn judge(&mut self, at: Duration, admitted: bool) -> RateVerdict {
+    /// Decides about a call that was intended at `at`, and records whether the
+    /// fleet admitted it.
+    pub fn check(&mut self, at: Duration, admitted: bool) -> RateDecision {
         if admitted {
             self.admitted.add(at);
         }
-        let inside = self.whole.take(at);
-        // The smaller bucket turns more calls away, and so may have room for a
-        // later one that the whole bucket has not.
-        let clearly_inside = self.clear.take(at) && inside;
-        RateVerdict {
+        let inside = self.full_size.take(at);
+        // The smaller bucket rejects more calls, so it may still have a token for
+        // a later call that the full-size bucket rejects.
+        let clearly_inside = self.reduced.take(at) && inside;
+        RateDecision {
             inside,
             clearly_inside,
         }
     }
 
-    /// By how many calls the fleet exceeded the rate and burst at worst, over
-    /// any part of the run.
+    /// Returns the maximum number of calls by which the fleet exceeded the rate
+    /// and burst, over any interval of the run.
     pub fn overshoot(&self) -> f64 {
-        self.admitted.worst
+        self.admitted.max_excess
     }
 }
 
@@ -78,8 +79,8 @@
     }
 
     fn take(&mut self, at: Duration) -> bool {
-        let passed = at.saturating_sub(self.last).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.rate).min(self.burst);
+        let elapsed = at.saturating_sub(self.last).as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.rate).min(self.burst);
         self.last = at;
         let enough = self.tokens >= 1.0;
         if enough {
@@ -89,33 +90,33 @@
     }
 }
 
-/// How full a bucket gets that leaks at the rate and takes each admitted call.
-/// Above the burst, more was admitted than allowed over the time since it was
-/// last empty.
+/// A leaky bucket that drains at the rate and is filled by each admitted call. A
+/// level above the burst means that more calls were admitted than allowed since
+/// the bucket was last empty.
 #[derive(Clone, Debug)]
-struct FillGauge {
+struct LeakyBucket {
     rate: f64,
     burst: f64,
     level: f64,
     last: Duration,
-    worst: f64,
+    max_excess: f64,
 }
 
-impl FillGauge {
+impl LeakyBucket {
     fn new(rate: f64, burst: f64) -> Self {
-        FillGauge {
+        LeakyBucket {
             rate,
             burst,
             level: 0.0,
             last: Duration::ZERO,
-            worst: 0.0,
+            max_excess: 0.0,
         }
     }
 
     fn add(&mut self, at: Duration) {
-        let passed = at.saturating_sub(self.last).as_secs_f64();
-        self.level = (self.level - passed * self.rate).max(0.0) + 1.0;
+        let elapsed = at.saturating_sub(self.last).as_secs_f64();
+        self.level = (self.level - elapsed * self.rate).max(0.0) + 1.0;
         self.last = at;
-        self.worst = self.worst.max(self.level - self.burst);
+        self.max_excess = self.max_excess.max(self.level - self.burst);
     }
 }
--- a/crates/load/src/outcome/result.rs
+++ b/crates/load/src/outcome/result.rs
@@ -1,130 +1,134 @@
-//! The result of a run, as it is kept in a file.
+//! The result of a run, as it is stored in a file.
 
 use serde::{Deserialize, Serialize};
 
 use super::{call::Refusal, latency::LatencySummary};
 
-/// The result of a run. All times are counted from the intended send time.
+/// The result of a run. All latencies count from the intended send time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunResult {
-    /// What the run is called on a page.
+    /// The run's name in a report.
     pub label: String,
-    /// How long the run took, with the wait for what was under way, in seconds.
+    /// The duration of the run in seconds, including the wait for requests in
+    /// flight at its end.
     pub seconds: f64,
-    /// Whether it was stopped before its end.
+    /// Whether the run was stopped early.
     pub interrupted: bool,
-    /// How late calls were sent, by the tool's own fault. If this isn't far
-    /// below the latencies, the machine was too busy and the run says little.
+    /// The delay between intended and actual send times, which the load
+    /// generator itself causes. If it isn't far below the latencies, the machine
+    /// was overloaded and the result is unreliable.
     pub send_delay: LatencySummary,
-    /// By customer.
+    /// The results per customer.
     pub customers: Vec<CustomerResult>,
-    /// Second by second.
+    /// Counts for each second of the run.
     pub timeline: Vec<TimelineRow>,
-    /// The faults that were set off.
+    /// The injected faults.
     pub faults: Vec<FaultResult>,
-    /// What the engine stand-ins saw, if the run knew them.
+    /// The requests that the engine stand-ins recorded, if the run has their URLs.
     pub engines: Vec<EngineResult>,
-    /// Prompts that got more than one whole answer from the engines together.
+    /// The number of prompts that received more than one complete response,
+    /// counted over all engines.
     pub prompts_answered_twice: u64,
 }
 
-/// What one engine stand-in saw of a run.
+/// The requests of a run that one engine stand-in recorded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineResult {
-    /// Its base URL.
+    /// The engine's base URL.
     pub url: String,
-    /// Why its list could not be read, such as that it was killed on the way;
-    /// all counts are zero then.
+    /// The reason why the engine's request log could not be read, for example
+    /// because the engine was killed. All counts are zero then.
     pub error: Option<String>,
-    /// Requests, counting each try.
+    /// Requests received, counting each attempt.
     pub requests: u64,
-    /// Those it answered whole.
+    /// Requests with a complete response.
     pub done: u64,
-    /// Those that were cancelled.
+    /// Requests that were cancelled.
     pub cancelled: u64,
-    /// Those that a fault switch broke.
+    /// Requests that an injected fault aborted.
     pub broken: u64,
-    /// Those it refused.
+    /// Requests that the engine rejected.
     pub refused: u64,
-    /// Those without an end.
+    /// Requests that had not ended.
     pub open: u64,
-    /// Tokens it produced.
+    /// Tokens generated.
     pub tokens: u64,
-    /// Requests in which a caller's key could be seen; any is a fault.
+    /// Requests that contained a caller's key. Behind daemons this must be zero,
+    /// since daemons must not forward keys.
     pub keys_seen: u64,
 }
 
-/// What one customer got.
+/// The result of one customer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CustomerResult {
-    /// Its name.
+    /// The customer's name.
     pub name: String,
-    /// Requests a second that it may send.
+    /// The customer's rate limit in requests per second.
     pub rate: f64,
-    /// Requests that it may send at once after a pause.
+    /// The number of requests that may arrive at once after an idle period.
     pub burst: u32,
-    /// Its generation requests.
+    /// The result of generation requests.
     pub live: CallResult,
-    /// Its calls of a plain service.
+    /// The result of calls of a plain HTTP service.
     pub plain: CallResult,
-    /// Its lots.
+    /// The result of lots.
     pub lots: LotResult,
-    /// Calls that were refused although one bucket over the whole fleet would
-    /// have admitted them.
+    /// Calls that were rejected although one token bucket for the whole fleet
+    /// would have admitted them.
     pub wrongful_refusals: u64,
-    /// Those of them that nine tenths of the rate and burst would have
-    /// admitted too.
+    /// The subset of `wrongful_refusals` that nine tenths of the rate and burst
+    /// would have admitted too.
     pub clearly_wrongful_refusals: u64,
-    /// By how many calls the rate and burst were exceeded at worst.
+    /// The maximum number of calls by which the rate and burst were exceeded.
     pub overshoot: f64,
 }
 
-/// The calls of one kind.
+/// The result of the calls of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CallResult {
-    /// All.
+    /// Calls sent.
     pub sent: u64,
-    /// With the whole and right answer.
+    /// Calls with a complete and correct response.
     pub done: u64,
-    /// Refused, by reason.
+    /// Rejected calls by reason.
     pub refusals: Vec<RefusalCount>,
-    /// Cut off without a word.
+    /// Calls whose response was cut off without an error.
     pub cut: u64,
-    /// Without any answer.
+    /// Calls without any response.
     pub no_answer: u64,
-    /// With the answer to another request.
+    /// Calls with the response to another request.
     pub wrong_answers: u64,
-    /// With tokens missing or too many in an answer that looks complete.
+    /// Calls with too few or too many tokens in a response that looks complete.
     pub wrong_lengths: u64,
     /// Tokens received.
     pub tokens: u64,
-    /// Time to the first token, or to the head of a plain answer.
+    /// Time to the first token, or to the response head of a plain call.
     pub ttft: LatencySummary,
-    /// Time between tokens.
+    /// Time between successive tokens.
     pub inter_token: LatencySummary,
-    /// Time to the end of the whole answer.
+    /// Time to the end of a complete and correct response.
     pub duration: LatencySummary,
 }
 
 impl CallResult {
-    /// All refusals.
+    /// Returns the number of rejected calls over all reasons.
     pub fn refused(&self) -> u64 {
         self.refusals.iter().map(|it| it.count).sum()
     }
 }
 
-/// How often calls were refused for one reason.
+/// The number of calls that were rejected for the same reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusalCount {
-    /// The HTTP status.
+    /// The HTTP status of the response.
     pub status: u16,
-    /// The word for programs.
+    /// The machine-readable error code.
     pub code: String,
-    /// Whether the request ran, as the answer says.
+    /// What the response states about whether the request ran.
     pub ran: String,
-    /// Whether the answer says when to come back.
+    /// Whether the response states when to retry.
     pub retry_after: bool,
-    /// How often.
+    /// The number of calls.
     pub count: u64,
 }
 
@@ -140,30 +144,30 @@
     }
 }
 
-/// The lots of one customer.
+/// The result of the lots of one customer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LotResult {
-    /// Handed in, resent ones included.
+    /// Lots submitted, including resubmissions.
     pub sent: u64,
-    /// Acknowledged, each job once.
+    /// Lots acknowledged, counting each job once.
     pub acknowledged: u64,
-    /// Refused.
+    /// Lots whose submission was rejected.
     pub refused: u64,
-    /// Refused, by reason.
+    /// Rejected lots by reason.
     pub refusals: Vec<RefusalCount>,
-    /// Without any answer.
+    /// Lots whose submission got no response.
     pub no_answer: u64,
-    /// With all results.
+    /// Lots that reached a final state.
     pub ended: u64,
-    /// With all results before they were due.
+    /// Lots whose results were all available before the deadline.
     pub on_time: u64,
-    /// Still without a final state at the end of the run.
+    /// Lots without a final state at the end of the run.
     pub unfinished: u64,
-    /// Resent jobs that became a second lot.
+    /// Resubmitted jobs that created a second lot.
     pub doubled: u64,
     /// Items of acknowledged jobs.
     pub items: u64,
-    /// Items with the right answer.
+    /// Items with a correct response.
     pub items_done: u64,
     /// Items with a recorded error.
     pub items_failed: u64,
@@ -171,9 +175,10 @@
     pub items_missing: u64,
     /// Items with more than one result.
     pub items_repeated: u64,
-    /// Items with the answer of another.
+    /// Items with the response of another item.
     pub items_wrong: u64,
-    /// Items with a result, a second, from the first hand-in to the last end.
+    /// Items with a result per second, from the first submission to the end of
+    /// the last lot.
     pub items_per_second: f64,
     /// Time to the acknowledgement.
     pub acknowledgement: LatencySummary,
@@ -181,34 +186,34 @@
     pub duration: LatencySummary,
 }
 
-/// One second of a run.
+/// The counts of one second of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TimelineRow {
-    /// The second, from zero.
+    /// The second, starting at zero.
     pub second: usize,
-    /// Calls that were intended in it.
+    /// Calls whose intended send time is in this second.
     pub sent: u32,
-    /// Those that were done.
+    /// Calls with a complete and correct response.
     pub done: u32,
-    /// Those that were refused.
+    /// Calls that were rejected.
     pub refused: u32,
-    /// Those that ended in any other way.
+    /// Calls that ended in any other way.
     pub broken: u32,
-    /// Items of lots that ended in it.
+    /// Items of lots that ended in this second.
     pub lot_items: u32,
-    /// The median time to the first token of its generation requests.
+    /// The median time to the first token of the generation requests.
     pub ttft_p50_ms: Option<f64>,
-    /// The same for 95 in 100.
+    /// The 95th percentile of the time to the first token.
     pub ttft_p95_ms: Option<f64>,
 }
 
-/// A fault that was set off.
+/// An injected fault.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FaultResult {
-    /// When, in seconds from the start.
+    /// The time of the fault, in seconds since the start of the run.
     pub at_s: f64,
-    /// What.
+    /// A description of the fault.
     pub what: String,
-    /// Why it could not be set off; absent if it was.
+    /// The reason why the fault could not be injected, if it failed.
     pub error: Option<String>,
 }
--- a/crates/load/src/outcome/timeline.rs
+++ b/crates/load/src/outcome/timeline.rs
@@ -1,4 +1,4 @@
-//! A run second by second.
+//! Counts for each second of a run.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     result::TimelineRow,
 };
 
-/// The longest run that is told second by second.
+/// The maximum number of rows. Later events count in the last row.
 const MAX_SECONDS: usize = 24 * 3600;
 
 #[derive(Debug, Default)]
@@ -28,7 +28,7 @@
 }
 
 impl RunTimeline {
-    /// Counts a call in the second for which it was intended.
+    /// Counts a call in the second of its intended send time.
     pub(crate) fn add_call(&mut self, call: &CallOutcome) {
         let counts = self.second(call.intended);
         counts.sent += 1;
--- a/crates/load/src/report/mod.rs
+++ b/crates/load/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! One or two results on a page.
+//! HTML reports of one or two results.
 
 mod page;
 mod plots;
--- a/crates/load/src/report/page.rs
+++ b/crates/load/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The page itself.
+//! The HTML page.
 
 use std::fmt::Write as _;
 
@@ -14,7 +14,7 @@
     td,th{border:1px solid #ccc;padding:.25em .6em;text-align:left}\
     svg{margin:.3em}";
 
-/// An HTML page that puts one or two results side by side.
+/// Renders an HTML page that shows one or two results side by side.
 pub fn report_page(runs: &[&RunResult]) -> Result<String, PlotError> {
     let mut body = String::new();
     for table in figure_tables(runs) {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Latency over the share of calls, which shows the tail of both runs at once.
+/// Plots latency over percentile, which shows the tails of both runs in one plot.
 fn curve_plot(
     runs: &[&RunResult],
     customer: &str,
--- a/crates/load/src/report/plots.rs
+++ b/crates/load/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of runs, as SVG.
+//! SVG plots of runs.
 
 use plotters::prelude::{
     BLACK, ChartBuilder, Color, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend,
@@ -7,10 +7,10 @@
 
 /// The size of a plot in pixels.
 const PLOT_SIZE: (u32, u32) = (640, 320);
-/// One colour for each run.
+/// The line colour of each run.
 const RUN_COLOURS: [RGBColor; 2] = [RGBColor(31, 119, 180), RGBColor(214, 39, 40)];
 
-/// A plot could not be drawn.
+/// An error in drawing a plot.
 #[derive(Debug, thiserror::Error)]
 #[error("the plot `{title}` could not be drawn: {message}")]
 pub struct PlotError {
@@ -18,7 +18,7 @@
     message: String,
 }
 
-/// Lines of one or two runs over a common axis.
+/// A line plot with one line per run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LinePlot {
     pub(crate) title: String,
@@ -27,7 +27,7 @@
     pub(crate) lines: Vec<PlotLine>,
 }
 
-/// One run's line.
+/// The line of one run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlotLine {
     pub(crate) label: String,
@@ -35,12 +35,12 @@
 }
 
 impl LinePlot {
-    /// Whether there is nothing to draw.
+    /// Returns whether no line has enough points to draw.
     pub(crate) fn is_empty(&self) -> bool {
         self.lines.iter().all(|it| it.points.len() < 2)
     }
 
-    /// The plot as an SVG element.
+    /// Draws the plot as an SVG element.
     pub(crate) fn draw(&self) -> Result<String, PlotError> {
         let mut svg = String::new();
         let drawn = self.draw_into(&mut svg);
@@ -86,7 +86,7 @@
     fn highest(&self, axis: impl Fn(&(f64, f64)) -> f64) -> f64 {
         let points = self.lines.iter().flat_map(|it| &it.points);
         let highest = points.map(axis).fold(0.0, f64::max);
-        // An axis of no length can't be drawn.
+        // An axis of length zero can't be drawn.
         if highest > 0.0 { highest * 1.05 } else { 1.0 }
     }
 }
--- a/crates/load/src/report/table.rs
+++ b/crates/load/src/report/table.rs
@@ -1,27 +1,27 @@
-//! The figures of runs side by side.
+//! Tables that compare the values of runs.
 
 use crate::outcome::{
     CallResult, CustomerResult, EngineResult, LatencySummary, LotResult, RefusalCount, RunResult,
 };
 
-/// A table whose first column names the figure and whose others are runs.
+/// A table with one row per value and one column per run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct FigureTable {
     pub(crate) title: String,
     pub(crate) rows: Vec<FigureRow>,
 }
 
-/// One figure, for each run.
+/// One value for each run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct FigureRow {
     pub(crate) name: String,
     pub(crate) values: Vec<String>,
 }
 
-/// Reads one figure of a run; none if the run lacks it.
+/// Extracts a value from a result, or none if the result lacks it.
 type Figure<'a, T> = &'a dyn Fn(&T) -> Option<String>;
 
-/// The tables of a page: the runs as wholes, then each customer.
+/// Returns the tables of a page: one for the whole runs, then one per customer.
 pub(crate) fn figure_tables(runs: &[&RunResult]) -> Vec<FigureTable> {
     let mut tables = vec![run_table(runs)];
     for name in customer_names(runs) {
@@ -30,7 +30,8 @@
     tables
 }
 
-/// The customers of all runs, each once, in the order of their first run.
+/// Returns the names of the customers of all runs without duplicates, in order of
+/// first occurrence.
 pub(crate) fn customer_names(runs: &[&RunResult]) -> Vec<String> {
     let mut names: Vec<String> = Vec::new();
     for customer in runs.iter().flat_map(|it| &it.customers) {
@@ -57,18 +58,19 @@
         let note = if it.interrupted { ", interrupted" } else { "" };
         Some(format!("{:.1}{note}", it.seconds))
     });
-    add("sent late by the tool, p99 (ms)", &|it| {
+    add("send delay of the load generator, p99 (ms)", &|it| {
         Some(millis(it.send_delay.p99_ms))
     });
     add("worst customer's TTFT p95 (ms)", &|it| worst_ttft(it));
-    add("TTFT p95 over the first run's, worst customer", &|it| {
-        worst_growth(runs.first()?, it)
-    });
+    add(
+        "TTFT p95 relative to the first run, worst customer",
+        &|it| worst_ttft_ratio(runs.first()?, it),
+    );
     add("wrongful refusals", &|it| {
         let refusals = it.customers.iter().map(|it| it.wrongful_refusals);
         Some(refusals.sum::<u64>().to_string())
     });
-    add("lot items a second", &|it| {
+    add("lot items per second", &|it| {
         let rates = it.customers.iter().map(|it| it.lots.items_per_second);
         Some(format!("{:.1}", rates.sum::<f64>()))
     });
@@ -79,7 +81,7 @@
         known.then(|| format!("{requests}, {cancelled}, {}", sum(|it| it.tokens)))
     });
     add(
-        "prompts that engines answered twice, keys they saw",
+        "prompts with two complete responses, requests with a key",
         &|it| {
             let keys: u64 = it.engines.iter().map(|it| it.keys_seen).sum();
             let known = !it.engines.is_empty();
@@ -96,7 +98,7 @@
     table
 }
 
-/// The customer whose callers wait longest, and how long.
+/// Formats the highest TTFT p95 of a customer, with its name.
 fn worst_ttft(run: &RunResult) -> Option<String> {
     let customers = run.customers.iter().filter(|it| it.live.ttft.count > 0);
     let worst = customers.max_by(|a, b| a.live.ttft.p95_ms.total_cmp(&b.live.ttft.p95_ms))?;
@@ -104,16 +106,16 @@
     Some(format!("{latency} ({})", worst.name))
 }
 
-/// By how much the callers of the customer that lost most wait longer than in
-/// another run: the harm that the work added to this run does.
-fn worst_growth(first: &RunResult, run: &RunResult) -> Option<String> {
-    let growths = run.customers.iter().filter_map(|customer| {
+/// Formats the highest ratio between the TTFT p95 of a customer in this run and in
+/// the first run, which shows the impact of the work that this run adds.
+fn worst_ttft_ratio(first: &RunResult, run: &RunResult) -> Option<String> {
+    let ratios = run.customers.iter().filter_map(|customer| {
         let before = &customer_of(first, &customer.name)?.live.ttft;
         let after = &customer.live.ttft;
         let both = before.count > 0 && after.count > 0;
         both.then(|| (after.p95_ms / before.p95_ms, &customer.name))
     });
-    let worst = growths.max_by(|a, b| a.0.total_cmp(&b.0))?;
+    let worst = ratios.max_by(|a, b| a.0.total_cmp(&b.0))?;
     Some(format!("{:.2}× ({})", worst.0, worst.1))
 }
 
@@ -127,16 +129,16 @@
     let mut add = |name: &str, figure: Figure<'_, CustomerResult>| {
         table.add(name, customers.iter().map(|it| it.and_then(figure)));
     };
-    add("rate a second, burst", &|it| {
+    add("rate per second, burst", &|it| {
         Some(format!("{}, {}", it.rate, it.burst))
     });
     add("wrongful refusals", &|it| {
         Some(it.wrongful_refusals.to_string())
     });
-    add("of these clear ones", &|it| {
+    add("clearly wrongful refusals", &|it| {
         Some(it.clearly_wrongful_refusals.to_string())
     });
-    add("most calls above rate and burst", &|it| {
+    add("maximum calls above rate and burst", &|it| {
         Some(format!("{:.1}", it.overshoot))
     });
     table.add_calls("live", &customers, |it| &it.live);
@@ -146,7 +148,7 @@
 }
 
 impl FigureTable {
-    /// Adds a row, unless no run has the figure.
+    /// Adds a row, unless no run has the value.
     fn add(&mut self, name: &str, values: impl Iterator<Item = Option<String>>) {
         let values: Vec<Option<String>> = values.collect();
         if values.iter().all(Option::is_none) {
@@ -175,17 +177,17 @@
         add("sent", &|it| Some(it.sent.to_string()));
         add("done", &|it| Some(it.done.to_string()));
         add("refused", &|it| Some(refusal_text(&it.refusals)));
-        add("cut, without answer", &|it| {
+        add("cut off, no response", &|it| {
             Some(format!("{}, {}", it.cut, it.no_answer))
         });
-        add("wrong answer, wrong length", &|it| {
+        add("wrong response, wrong length", &|it| {
             Some(format!("{}, {}", it.wrong_answers, it.wrong_lengths))
         });
         add("TTFT p50 / p95 / p99 (ms)", &|it| latency_text(&it.ttft));
         add("between tokens p50 / p95 / p99 (ms)", &|it| {
             latency_text(&it.inter_token)
         });
-        add("whole p50 / p95 / p99 (ms)", &|it| {
+        add("duration p50 / p95 / p99 (ms)", &|it| {
             latency_text(&it.duration)
         });
     }
@@ -199,7 +201,7 @@
             self.add(&format!("lots: {name}"), values);
         };
         add("sent", &|it| Some(it.sent.to_string()));
-        add("jobs acknowledged, refused, without answer", &|it| {
+        add("jobs acknowledged, refused, no response", &|it| {
             Some(format!(
                 "{}, {}, {}",
                 it.acknowledged, it.refused, it.no_answer
@@ -211,7 +213,7 @@
         add("ended, on time, unfinished", &|it| {
             Some(format!("{}, {}, {}", it.ended, it.on_time, it.unfinished))
         });
-        add("resent jobs that became a second lot", &|it| {
+        add("resent jobs that created a second lot", &|it| {
             Some(it.doubled.to_string())
         });
         add("items, done, failed", &|it| {
@@ -224,13 +226,13 @@
             let (missing, repeated) = (it.items_missing, it.items_repeated);
             Some(format!("{missing}, {repeated}, {}", it.items_wrong))
         });
-        add("items a second", &|it| {
+        add("items per second", &|it| {
             Some(format!("{:.1}", it.items_per_second))
         });
-        add("acknowledged after p50 / p95 / p99 (ms)", &|it| {
+        add("time to acknowledgement p50 / p95 / p99 (ms)", &|it| {
             latency_text(&it.acknowledgement)
         });
-        add("ended after p50 / p95 / p99 (ms)", &|it| {
+        add("time to final state p50 / p95 / p99 (ms)", &|it| {
             latency_text(&it.duration)
         });
     }
--- a/crates/load/src/run/call_sender.rs
+++ b/crates/load/src/run/call_sender.rs
@@ -1,4 +1,4 @@
-//! Calls to any daemon of the fleet.
+//! Sending calls to the daemons of a fleet.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -11,7 +11,7 @@
 
 use super::targets::RunTargets;
 
-/// How long an engine stand-in may take to answer the tool itself.
+/// The timeout of a request to an engine stand-in itself.
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A call before it is sent.
@@ -44,7 +44,7 @@
     }
 }
 
-/// Sends calls to the callers' doors in turn, as a balancer would.
+/// Sends calls to the daemons in round-robin order, as a load balancer does.
 #[derive(Debug)]
 pub(crate) struct CallSender {
     client: HttpClient,
@@ -65,33 +65,33 @@
         &self.targets
     }
 
-    /// Sends a call with the customer's key. One that can't have left goes to
-    /// the next door, since a balancer passes a dead daemon by.
+    /// Sends a call with the customer's key. A call that was certainly not sent is
+    /// retried on the next daemon, since a load balancer skips dead daemons.
     pub(crate) async fn send(
         &self,
         customer: u32,
         call: &OutgoingCall,
     ) -> Result<Response<Incoming>, CallError> {
-        let doors = &self.targets.callers;
+        let daemons = &self.targets.callers;
         let first = self.next.fetch_add(1, Ordering::Relaxed);
-        let mut last = CallError::NotSent("there is no door".to_owned());
-        for offset in 0..doors.len() {
-            let door = &doors[(first + offset) % doors.len()];
-            match self.send_to(door, customer, call).await {
-                Err(error) if error.is_not_sent() => last = error,
+        let mut last_error = CallError::NotSent("no daemon is configured".to_owned());
+        for offset in 0..daemons.len() {
+            let daemon = &daemons[(first + offset) % daemons.len()];
+            match self.send_to(daemon, customer, call).await {
+                Err(error) if error.is_not_sent() => last_error = error,
                 answer => return answer,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     async fn send_to(
         &self,
-        door: &str,
+        daemon: &str,
         customer: u32,
         call: &OutgoingCall,
     ) -> Result<Response<Incoming>, CallError> {
-        let uri = format!("{}{}", door.trim_end_matches('/'), call.path);
+        let uri = format!("{}{}", daemon.trim_end_matches('/'), call.path);
         let mut request = Request::builder().method(call.method.clone()).uri(uri);
         if let Some(key) = self.targets.key(customer) {
             request = request.header(header::AUTHORIZATION, format!("Bearer {key}"));
@@ -104,7 +104,7 @@
         self.client.send(request).await
     }
 
-    /// Calls an engine stand-in directly, past the fleet.
+    /// Sends a request to an engine stand-in directly, bypassing the daemons.
     pub(crate) async fn call_engine(
         &self,
         engine: &str,
--- a/crates/load/src/run/engine_lists.rs
+++ b/crates/load/src/run/engine_logs.rs
@@ -1,4 +1,4 @@
-//! What the engine stand-ins saw of a run.
+//! The request logs of the engine stand-ins.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,9 @@
 
 use crate::outcome::EngineResult;
 
-use super::{answer_reader::MAX_ANSWER_BYTES, call_sender::CallSender};
+use super::{call_sender::CallSender, response_reader::MAX_RESPONSE_BYTES};
 
-/// One request in a stand-in's list.
+/// One request in a stand-in's log.
 #[derive(Debug, Deserialize)]
 struct EngineRecord {
     index: u64,
@@ -20,30 +20,30 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct EngineList {
+struct EngineLog {
     requests: Vec<EngineRecord>,
 }
 
-/// The lists of all engines, from where they stood when the run began.
+/// The position in the log of each engine at which the run began.
 #[derive(Debug, Default)]
-pub(crate) struct EngineLists {
+pub(crate) struct EngineLogs {
     starts: Vec<u64>,
 }
 
-impl EngineLists {
-    /// Notes where the lists stand, so that earlier work doesn't count.
-    pub(crate) async fn begin(sender: &CallSender) -> Self {
+impl EngineLogs {
+    /// Records the current ends of the logs, so that earlier requests don't count.
+    pub(crate) async fn record_start(sender: &CallSender) -> Self {
         let mut starts = Vec::new();
         for engine in &sender.targets().engines {
-            let list = read_list(sender, engine).await.unwrap_or_default();
+            let list = read_log(sender, engine).await.unwrap_or_default();
             starts.push(list.last().map_or(0, |it| it.index + 1));
         }
-        EngineLists { starts }
+        EngineLogs { starts }
     }
 
-    /// What each engine saw since then, and how many prompts got more than one
-    /// whole answer from them together.
-    pub(crate) async fn end(&self, sender: &CallSender) -> (Vec<EngineResult>, u64) {
+    /// Returns what each engine has recorded since then, and the number of prompts
+    /// that received more than one complete response over all engines.
+    pub(crate) async fn results(&self, sender: &CallSender) -> (Vec<EngineResult>, u64) {
         let mut results = Vec::new();
         let mut answers: BTreeMap<String, u64> = BTreeMap::new();
         let engines = sender.targets().engines.iter();
@@ -52,7 +52,7 @@
                 url: engine.clone(),
                 ..EngineResult::default()
             };
-            match read_list(sender, engine).await {
+            match read_log(sender, engine).await {
                 Err(error) => result.error = Some(error),
                 Ok(list) => {
                     for record in list.into_iter().filter(|it| it.index >= *start) {
@@ -70,13 +70,13 @@
     }
 }
 
-async fn read_list(sender: &CallSender, engine: &str) -> Result<Vec<EngineRecord>, String> {
+async fn read_log(sender: &CallSender, engine: &str) -> Result<Vec<EngineRecord>, String> {
     let response = sender
         .call_engine(engine, Method::GET, "/stand-in/requests", String::new())
         .await?;
-    let body = collect_limited(response.into_body(), MAX_ANSWER_BYTES).await;
+    let body = collect_limited(response.into_body(), MAX_RESPONSE_BYTES).await;
     let body = body.map_err(|it| it.to_string())?;
-    let list: EngineList = serde_json::from_slice(&body).map_err(|it| it.to_string())?;
+    let list: EngineLog = serde_json::from_slice(&body).map_err(|it| it.to_string())?;
     Ok(list.requests)
 }
 
@@ -90,9 +90,9 @@
         "refused" => result.refused += 1,
         _ => result.open += 1,
     }
-    let shows = |key: &String| {
+    let contains_key = |key: &String| {
         let mut values = record.headers.values();
         values.any(|it| it.contains(key.as_str())) || record.prompt.contains(key.as_str())
     };
-    result.keys_seen += u64::from(keys.iter().any(shows));
+    result.keys_seen += u64::from(keys.iter().any(contains_key));
 }
--- a/crates/load/src/run/event_stream.rs
+++ b/crates/load/src/run/event_stream.rs
@@ -1,19 +1,19 @@
 //! Server-sent events.
 
-/// Cuts a stream of bytes into the data of its events.
+/// An incremental parser of server-sent events.
 #[derive(Debug, Default)]
 pub struct EventStream {
     buffer: Vec<u8>,
 }
 
 impl EventStream {
-    /// Adds bytes as they came.
+    /// Appends received bytes. They may end anywhere within an event.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The data of the next whole event; comments and other fields are left
-    /// out.
+    /// Returns the data of the next complete event. Comments and other fields are
+    /// ignored.
     pub fn next_event(&mut self) -> Option<String> {
         loop {
             let end = self.buffer.windows(2).position(|it| it == b"\n\n")?;
--- a/crates/load/src/run/faults.rs
+++ b/crates/load/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Sets off faults.
+//! Fault injection.
 
 use comfreyramp_http::Method;
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,7 +10,7 @@
 
 use super::{player::RunContext, targets::RunTargets};
 
-/// Sets off a fault and tells how that went.
+/// Injects a fault and returns whether that succeeded.
 pub(crate) async fn run_fault(context: &RunContext, fault: &FaultEvent) -> FaultResult {
     let at = context.elapsed();
     let done = match &fault.action {
@@ -26,7 +26,7 @@
                     let answer = context.sender.call_engine(engine, Method::PUT, path, body);
                     answer.await.map(drop)
                 }
-                None => Err("only an engine in the list has switches".to_owned()),
+                None => Err("fault switches need an engine with a known URL".to_owned()),
             }
         }
     };
@@ -43,9 +43,9 @@
         FaultTarget::Daemon(index) => targets.daemon_pids.get(index),
         FaultTarget::Engine(index) => targets.engine_pids.get(index),
     };
-    // Zero and negative ids stand for whole groups of processes.
+    // Zero and negative ids would signal whole process groups.
     let pid = pid.filter(|it| **it > 1).and_then(|it| Pid::from_raw(*it));
-    let pid = pid.ok_or("no process id is known for it")?;
+    let pid = pid.ok_or("the process id of the target is unknown")?;
     kill_process(pid, signal).map_err(|it| it.to_string())
 }
 
--- a/crates/load/src/run/item_tally.rs
+++ b/crates/load/src/run/item_tally.rs
@@ -1,37 +1,39 @@
-//! Whether each item of a lot has one result, and its own.
+//! Checks that each item of a lot has exactly one result, and its own.
 
 use serde_json::Value;
 
 use crate::trace::{LotEvent, item_prompt};
 
-use super::answer_reader::{belongs_to, token_count};
+use super::response_reader::{belongs_to, token_count};
 
-/// What an item of a lot is called in its file.
+/// The prefix of `custom_id` in a lot's input file.
 const ITEM_PREFIX: &str = "item-";
 
-/// The id of an item in its file.
+/// Returns the `custom_id` of an item in the lot's input file.
 pub(crate) fn item_id(index: u32) -> String {
     format!("{ITEM_PREFIX}{index}")
 }
 
-/// Counts the results of a lot.
+/// Counts correct, failed, repeated and wrong results of a lot.
 #[derive(Debug)]
 pub struct ItemTally<'a> {
     lot: &'a LotEvent,
     check_answers: bool,
     seen: Vec<bool>,
-    /// Items with the right answer.
+    /// Items with a correct response.
     pub done: u32,
     /// Items with a recorded error.
     pub failed: u32,
-    /// Results of an item that already had one.
+    /// Results of items that already had one.
     pub repeated: u32,
-    /// Items with the answer of another, and results that name no item.
+    /// Items with the response of another item, and results with an unknown
+    /// `custom_id`.
     pub wrong: u32,
 }
 
 impl<'a> ItemTally<'a> {
-    /// No result yet.
+    /// Creates a tally without results. With `check_answers`, responses must be
+    /// those of the engine stand-in.
     pub fn new(lot: &'a LotEvent, check_answers: bool) -> Self {
         ItemTally {
             lot,
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Adds the lines of an output or error file.
+    /// Adds the results in an output or error file, one JSON object per line.
     pub fn add_file(&mut self, text: &str) {
         for line in text.lines().filter(|it| !it.trim().is_empty()) {
             self.add_line(line);
--- a/crates/load/src/run/live.rs
+++ b/crates/load/src/run/live.rs
@@ -1,4 +1,4 @@
-//! One generation request.
+//! Sending one generation request.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 };
 
 use super::{
-    answer_reader::{belongs_to, read_json, read_refusal, refusal_from_json, token_count},
     call_sender::OutgoingCall,
     event_stream::EventStream,
     player::RunContext,
+    response_reader::{belongs_to, read_json, read_refusal, refusal_from_json, token_count},
 };
 
-/// Sends a request and follows its answer to the end.
+/// Sends a generation request and reads its response to the end.
 pub(crate) async fn run_live(
     context: &RunContext,
     live: &LiveEvent,
@@ -130,7 +130,7 @@
         self.text.push_str(text);
     }
 
-    /// Judges the answer. `end` is none if it took too long.
+    /// Checks the response. `end` is none if the call timed out.
     fn finish(
         mut self,
         end: Option<CallEnd>,
--- a/crates/load/src/run/lot.rs
+++ b/crates/load/src/run/lot.rs
@@ -1,4 +1,4 @@
-//! One lot from its upload to its results.
+//! Running one lot from its upload to its results.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     player::{RunContext, RunMessage},
 };
 
-/// Hands in a lot, follows it, and reads its results.
+/// Submits a lot, polls it until it ends, and checks its results.
 pub(crate) async fn run_lot(
     context: &RunContext,
     lot: &LotEvent,
@@ -42,14 +42,14 @@
         client,
         reported: 0,
     };
-    if let Err(error) = run.hand_in().await {
+    if let Err(error) = run.submit().await {
         run.outcome.end = match error {
             LotCallError::Refused(refusal) => LotEnd::Refused(refusal),
             LotCallError::NoAnswer => LotEnd::NoAnswer,
         };
         return run.outcome;
     }
-    if let Some(batch) = run.follow().await {
+    if let Some(batch) = run.poll_until_final().await {
         run.read_results(&batch).await;
     }
     run.outcome
@@ -62,7 +62,7 @@
 }
 
 impl LotRun<'_> {
-    async fn hand_in(&mut self) -> Result<(), LotCallError> {
+    async fn submit(&mut self) -> Result<(), LotCallError> {
         let file = self.client.upload().await?;
         let id = self.client.create(&file).await?;
         self.outcome.acknowledged = Some(self.client.context.elapsed());
@@ -70,20 +70,20 @@
         Ok(())
     }
 
-    /// Asks for the lot's state until it is a final one; none if that takes
-    /// too long.
-    async fn follow(&mut self) -> Option<Value> {
+    /// Polls the lot until it reaches a final state. Returns none if it doesn't
+    /// within the grace period after its deadline.
+    async fn poll_until_final(&mut self) -> Option<Value> {
         let id = self.outcome.id.clone()?;
         let context = self.client.context;
         let options = &context.options;
         let last = self.outcome.intended + self.outcome.due + options.lot_grace;
         while context.elapsed() < last {
             tokio::time::sleep(options.poll_interval).await;
-            // A daemon that is gone or has no time is no final state.
+            // An unreachable or overloaded daemon says nothing about the lot.
             let Ok(batch) = self.client.state(&id).await else {
                 continue;
             };
-            self.report(&batch);
+            self.report_progress(&batch);
             let status = batch["status"].as_str().unwrap_or_default();
             if matches!(status, "completed" | "cancelled" | "failed" | "expired") {
                 return Some(batch);
@@ -92,9 +92,9 @@
         None
     }
 
-    /// Tells how many items ended since the last time. A resent job is the
-    /// same lot, which its first sender reports on.
-    fn report(&mut self, batch: &Value) {
+    /// Reports the number of items that ended since the last poll. A resent job is
+    /// the same lot, so only its first submission reports progress.
+    fn report_progress(&mut self, batch: &Value) {
         let counts = &batch["request_counts"];
         let count = |name: &str| counts[name].as_u64().unwrap_or(0) as u32;
         let ended = count("completed") + count("failed");
@@ -102,7 +102,9 @@
         if items > 0 && !self.outcome.resent {
             let at = self.client.context.elapsed();
             let progress = LotProgress { at, items };
-            self.client.context.tell(RunMessage::Progress(progress));
+            self.client
+                .context
+                .send_message(RunMessage::Progress(progress));
         }
         self.reported = self.reported.max(ended);
     }
@@ -117,7 +119,7 @@
                 continue;
             };
             let Ok(content) = self.client.content(file).await else {
-                // Results that can't be read count as missing.
+                // Items whose results can't be downloaded count as missing.
                 continue;
             };
             tally.add_file(&content);
--- a/crates/load/src/run/lot_client.rs
+++ b/crates/load/src/run/lot_client.rs
@@ -1,4 +1,4 @@
-//! Files and lots, as a client library of the published API calls them.
+//! A client of the files and batches API.
 
 use std::time::Duration;
 
@@ -11,29 +11,29 @@
 };
 
 use super::{
-    answer_reader::{MAX_ANSWER_BYTES, read_json, read_refusal},
     call_sender::OutgoingCall,
     item_tally::item_id,
     player::RunContext,
+    response_reader::{MAX_RESPONSE_BYTES, read_json, read_refusal},
 };
 
-/// How often a call is tried that fails in a way that may pass.
-const MAX_TRIES: u32 = 6;
-/// The wait before a second try.
-const FIRST_WAIT: Duration = Duration::from_millis(250);
-/// The longest wait before another try, whatever the answer asks for.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
-/// What separates the parts of an upload; no item contains it.
+/// The maximum number of attempts of a call that fails with a transient error.
+const MAX_ATTEMPTS: u32 = 6;
+/// The delay before the second attempt. It doubles with each further attempt.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// The maximum delay between attempts, even if `retry-after` is longer.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// The multipart boundary of an upload, which no item contains.
 const BOUNDARY: &str = "comfreyramp-load-7d1f0c52";
 
-/// Why a lot's call failed for good.
+/// The final error of a call, after all attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LotCallError {
     Refused(Refusal),
     NoAnswer,
 }
 
-/// Calls on behalf of one customer's lot.
+/// Sends the calls of one lot, with the key of its customer.
 pub(crate) struct LotClient<'a> {
     pub(crate) context: &'a RunContext,
     pub(crate) lot: &'a LotEvent,
@@ -67,17 +67,17 @@
         id_of(&batch)
     }
 
-    /// The lot as it stands.
+    /// Returns the lot's current state.
     pub(crate) async fn state(&self, id: &str) -> Result<Value, LotCallError> {
         let call = OutgoingCall::new(Method::GET, format!("/v1/batches/{id}"));
         self.call_json(&call).await
     }
 
-    /// A file's content.
+    /// Returns the content of a file.
     pub(crate) async fn content(&self, file: &str) -> Result<String, LotCallError> {
         let call = OutgoingCall::new(Method::GET, format!("/v1/files/{file}/content"));
         let response = self.call(&call).await?;
-        let body = collect_limited(response.into_body(), MAX_ANSWER_BYTES).await;
+        let body = collect_limited(response.into_body(), MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|_| LotCallError::NoAnswer)?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
@@ -113,37 +113,38 @@
             .map_err(|_| LotCallError::NoAnswer)
     }
 
-    /// Sends a call again as client libraries do: all of these calls carry a
-    /// job key or only read, so that a second one does no harm.
+    /// Sends a call and retries transient errors with exponential backoff, as
+    /// client libraries do. Retries are safe, since all of these calls either carry
+    /// an idempotency key or only read.
     async fn call(&self, call: &OutgoingCall) -> Result<Response<Incoming>, LotCallError> {
-        let mut wait = FIRST_WAIT;
-        let mut tries = 0;
+        let mut backoff = INITIAL_BACKOFF;
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             let sent = self.context.sender.send(self.lot.customer, call);
             let answer = tokio::time::timeout(self.context.options.timeout, sent).await;
             let error = match answer {
                 Ok(Ok(response)) if response.status().is_success() => return Ok(response),
                 Ok(Ok(response)) => {
-                    wait = wait.max(asked_wait(&response));
+                    backoff = backoff.max(retry_after(&response));
                     LotCallError::Refused(read_refusal(response).await)
                 }
                 Ok(Err(_)) | Err(_) => LotCallError::NoAnswer,
             };
-            let may_pass = match &error {
+            let is_transient = match &error {
                 LotCallError::Refused(refusal) => refusal.is_for_capacity(),
                 LotCallError::NoAnswer => true,
             };
-            if !may_pass || tries == MAX_TRIES {
+            if !is_transient || attempts == MAX_ATTEMPTS {
                 return Err(error);
             }
-            tokio::time::sleep(wait.min(LONGEST_WAIT)).await;
-            wait *= 2;
+            tokio::time::sleep(backoff.min(MAX_BACKOFF)).await;
+            backoff *= 2;
         }
     }
 }
 
-fn asked_wait(response: &Response<Incoming>) -> Duration {
+fn retry_after(response: &Response<Incoming>) -> Duration {
     let value = response.headers().get("retry-after");
     let seconds = value.and_then(|it| it.to_str().ok()?.parse().ok());
     Duration::from_secs(seconds.unwrap_or(0))
--- a/crates/load/src/run/mod.rs
+++ b/crates/load/src/run/mod.rs
@@ -1,8 +1,7 @@
 //! Plays a trace against a fleet over HTTP.
 
-mod answer_reader;
 mod call_sender;
-mod engine_lists;
+mod engine_logs;
 mod event_stream;
 mod faults;
 mod item_tally;
@@ -12,6 +11,7 @@
 mod plain;
 mod player;
 mod progress;
+mod response_reader;
 mod targets;
 
 pub use event_stream::EventStream;
--- a/crates/load/src/run/plain.rs
+++ b/crates/load/src/run/plain.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service.
+//! Sending one call of a plain HTTP service.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 };
 
 use super::{
-    answer_reader::{MAX_ANSWER_BYTES, read_refusal},
     call_sender::OutgoingCall,
     player::RunContext,
+    response_reader::{MAX_RESPONSE_BYTES, read_refusal},
 };
 
-/// Sends a call that the service echoes, and checks the echo.
+/// Sends a call that the service echoes, and checks that the echo is identical.
 pub(crate) async fn run_plain(
     context: &RunContext,
     plain: &PlainEvent,
@@ -58,7 +58,7 @@
         return CallEnd::Refused(read_refusal(response).await);
     }
     outcome.first = Some(context.elapsed());
-    let answer = collect_limited(response.into_body(), MAX_ANSWER_BYTES).await;
+    let answer = collect_limited(response.into_body(), MAX_RESPONSE_BYTES).await;
     match answer {
         Err(_) => CallEnd::Cut,
         Ok(answer) if context.options.check_answers && answer != body => CallEnd::WrongAnswer,
@@ -66,10 +66,10 @@
     }
 }
 
-/// The header that marks a call that may not be repeated.
+/// The header that marks a call that must not be retried.
 const ONCE_HEADER: (&str, &str) = ("x-comfreyramp-run-once", "true");
 
-/// A body of the stated length that no other call has.
+/// Returns a body of the length in the event, which is unique to this call.
 fn plain_body(plain: &PlainEvent) -> Bytes {
     let mut body = format!("call {:016x} ", plain.text).into_bytes();
     body.resize(plain.body_bytes as usize, b'.');
--- a/crates/load/src/run/player.rs
+++ b/crates/load/src/run/player.rs
@@ -1,4 +1,4 @@
-//! Sends each event of a trace at its time.
+//! Plays the events of a trace at their times.
 
 use std::{
     sync::{
@@ -20,24 +20,24 @@
 };
 
 use super::{
-    call_sender::CallSender, engine_lists::EngineLists, faults::run_fault, live::run_live,
+    call_sender::CallSender, engine_logs::EngineLogs, faults::run_fault, live::run_live,
     lot::run_lot, plain::run_plain, progress::RunProgress, targets::RunTargets,
 };
 
-/// How a trace is played.
+/// Options for playing a trace.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// What the run is called on a page.
+    /// The run's name in a report.
     pub label: String,
-    /// The longest that one call may take.
+    /// The timeout of one call.
     pub timeout: Duration,
-    /// How long after its due time a lot is still followed.
+    /// How long a lot is still polled after its deadline.
     pub lot_grace: Duration,
-    /// The time between two looks at a lot.
+    /// The interval at which the state of a lot is polled.
     pub poll_interval: Duration,
-    /// Whether answers must be those of the engine stand-in.
+    /// Whether responses must be those of the engine stand-in.
     pub check_answers: bool,
-    /// Whether to show no progress.
+    /// Whether to print no progress.
     pub quiet: bool,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// What a task of the run tells.
+/// A message from a task of the run to the collector.
 #[derive(Debug)]
 pub(crate) enum RunMessage {
     Call(CallOutcome),
@@ -63,7 +63,7 @@
     Fault(FaultResult),
 }
 
-/// What all tasks of a run share.
+/// The state that all tasks of a run share.
 #[derive(Debug)]
 pub(crate) struct RunContext {
     pub(crate) sender: CallSender,
@@ -75,14 +75,14 @@
 }
 
 impl RunContext {
-    /// The time since the start of the run.
+    /// Returns the time since the start of the run.
     pub(crate) fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Passes a message to the collector.
-    pub(crate) fn tell(&self, message: RunMessage) {
-        // The collector stays until the last task is gone.
+    /// Sends a message to the collector.
+    pub(crate) fn send_message(&self, message: RunMessage) {
+        // This can't fail: the collector outlives all tasks.
         let _ = self.messages.send(message);
     }
 
@@ -100,29 +100,29 @@
         match &event.kind {
             EventKind::Live(live) => {
                 let call = run_live(self, live, intended).await;
-                self.tell(RunMessage::Call(call));
+                self.send_message(RunMessage::Call(call));
             }
             EventKind::Plain(plain) => {
                 let call = run_plain(self, plain, intended).await;
-                self.tell(RunMessage::Call(call));
+                self.send_message(RunMessage::Call(call));
             }
             EventKind::Lot(lot) => {
                 let lot = run_lot(self, lot, intended).await;
-                self.tell(RunMessage::Lot(lot));
+                self.send_message(RunMessage::Lot(lot));
             }
             EventKind::Fault(fault) => {
                 let fault = run_fault(self, fault).await;
-                self.tell(RunMessage::Fault(fault));
+                self.send_message(RunMessage::Fault(fault));
             }
         }
     }
 }
 
-/// Plays a trace and waits for the end of all it sent.
+/// Plays a trace and waits until all of its calls and lots have ended.
 ///
-/// Arrivals are open-loop: each event is sent at its time, however many earlier
-/// ones are still without an answer. Once `stop` is cancelled, nothing more is
-/// sent, and what is under way is dropped and not counted.
+/// Arrivals are open-loop: each event is sent at its time, regardless of how many
+/// earlier requests are still in flight. Once `stop` is cancelled, nothing more is
+/// sent, and requests in flight are dropped and not counted.
 pub async fn play_trace(
     trace: TraceFile,
     targets: RunTargets,
@@ -131,7 +131,7 @@
 ) -> RunResult {
     let (messages, receiver) = mpsc::unbounded_channel();
     let sender = CallSender::new(targets.clone());
-    let lists = EngineLists::begin(&sender).await;
+    let logs = EngineLogs::record_start(&sender).await;
     let label = options.label.clone();
     let quiet = options.quiet;
     let open = Arc::new(AtomicUsize::new(0));
@@ -144,21 +144,22 @@
         messages,
         open: open.clone(),
     });
-    let collecting = RunCollecting {
+    let run_collector = RunCollector {
         receiver,
         collector: OutcomeCollector::new(&trace.customers),
         progress: RunProgress::new(quiet),
         start,
         open,
     };
-    // A task of its own, so that counting never delays a send.
+    // Sending runs in a separate task, so that aggregation never delays it.
     tokio::spawn(send_events(context, trace.events));
-    // The last context ends with the last task, and that ends the collecting.
-    let collector = collecting.collect().await;
+    // The last task drops the last context, which closes the channel and ends the
+    // collection.
+    let collector = run_collector.collect().await;
     let mut result = collector.result(&label, start.elapsed());
     result.interrupted = stop.is_cancelled();
     let sender = CallSender::new(targets);
-    (result.engines, result.prompts_answered_twice) = lists.end(&sender).await;
+    (result.engines, result.prompts_answered_twice) = logs.results(&sender).await;
     result
 }
 
@@ -173,8 +174,8 @@
     }
 }
 
-/// Takes what the tasks tell until the last of them is gone.
-struct RunCollecting {
+/// Aggregates the messages of the tasks until the last task has ended.
+struct RunCollector {
     receiver: mpsc::UnboundedReceiver<RunMessage>,
     collector: OutcomeCollector,
     progress: RunProgress,
@@ -182,27 +183,27 @@
     open: Arc<AtomicUsize>,
 }
 
-impl RunCollecting {
+impl RunCollector {
     async fn collect(mut self) -> OutcomeCollector {
         let mut ticks = interval(Duration::from_secs(1));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
         loop {
             tokio::select! {
                 message = self.receiver.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle(message),
                     None => break,
                 },
                 _ = ticks.tick() => {
                     let open = self.open.load(Ordering::Relaxed);
-                    self.progress.show(self.start.elapsed(), open);
+                    self.progress.print(self.start.elapsed(), open);
                 }
             }
         }
-        self.progress.end();
+        self.progress.finish();
         self.collector
     }
 
-    fn take(&mut self, message: RunMessage) {
+    fn handle(&mut self, message: RunMessage) {
         match message {
             RunMessage::Call(call) => {
                 self.progress.add_call(&call);
--- a/crates/load/src/run/progress.rs
+++ b/crates/load/src/run/progress.rs
@@ -1,4 +1,4 @@
-//! How far a run is, on a terminal.
+//! The progress line of a run.
 
 use std::{
     io::{IsTerminal, Write, stderr},
@@ -7,7 +7,7 @@
 
 use crate::outcome::{CallEnd, CallOutcome};
 
-/// Counts what the line shows, and shows it.
+/// Counts ended calls and lots and prints them as a progress line.
 #[derive(Debug, Default)]
 pub(crate) struct RunProgress {
     quiet: bool,
@@ -42,9 +42,9 @@
         self.lot_items += u64::from(items);
     }
 
-    /// Writes the line over the one before on a terminal, and on a line of its
-    /// own elsewhere.
-    pub(crate) fn show(&self, elapsed: Duration, open: usize) {
+    /// Prints the progress. On a terminal it overwrites the previous line, elsewhere
+    /// it appends a new one.
+    pub(crate) fn print(&self, elapsed: Duration, open: usize) {
         if self.quiet {
             return;
         }
@@ -58,7 +58,7 @@
             self.lot_items
         );
         let mut output = stderr().lock();
-        // A terminal that is gone is no reason to end the run.
+        // A closed output must not abort the run.
         let _ = if output.is_terminal() {
             write!(output, "\r{line}\x1b[K")
         } else {
@@ -66,8 +66,8 @@
         };
     }
 
-    /// Ends the line on a terminal.
-    pub(crate) fn end(&self) {
+    /// Terminates the progress line on a terminal.
+    pub(crate) fn finish(&self) {
         let mut output = stderr().lock();
         if !self.quiet && output.is_terminal() {
             let _ = writeln!(output);
--- a/crates/load/src/run/answer_reader.rs
+++ b/crates/load/src/run/response_reader.rs
@@ -1,4 +1,4 @@
-//! What is common to reading all answers.
+//! Helpers for reading responses.
 
 use comfreyramp_http::{BodyError, Incoming, Response, collect_limited};
 use serde_json::Value;
@@ -6,16 +6,17 @@
 
 use crate::outcome::Refusal;
 
-/// The longest answer that is read whole, in bytes.
-pub(crate) const MAX_ANSWER_BYTES: usize = 512 << 20;
+/// The maximum size of a response body, in bytes.
+pub(crate) const MAX_RESPONSE_BYTES: usize = 512 << 20;
 
-/// The header that says whether a refused request ran.
+/// The header that states whether a rejected request ran.
 const RAN_HEADER: &str = "x-comfreyramp-ran";
 
-/// How many hex digits of the prompt's hash open a stand-in's answer.
-const OPENING_DIGITS: usize = 16;
+/// The number of hex digits of the prompt's hash at the start of a stand-in's
+/// response.
+const HASH_PREFIX_DIGITS: usize = 16;
 
-/// Reads the answer to a call that was refused.
+/// Reads the response to a call that was rejected.
 pub(crate) async fn read_refusal(response: Response<Incoming>) -> Refusal {
     let status = response.status().as_u16();
     let header_text = |name: &str| {
@@ -24,7 +25,7 @@
     };
     let ran = header_text(RAN_HEADER);
     let retry_after = header_text("retry-after").is_some();
-    let body = collect_limited(response.into_body(), MAX_ANSWER_BYTES).await;
+    let body = collect_limited(response.into_body(), MAX_RESPONSE_BYTES).await;
     let error: Value = body
         .ok()
         .and_then(|it| serde_json::from_slice(&it).ok())
@@ -35,7 +36,7 @@
     refusal
 }
 
-/// Reads an error object in the published shape.
+/// Reads an error object in the format of the API.
 pub(crate) fn refusal_from_json(status: u16, error: &Value) -> Refusal {
     let text = |name: &str| {
         let text = error["error"][name].as_str();
@@ -49,20 +50,20 @@
     }
 }
 
-/// Reads a whole JSON answer.
+/// Reads a complete JSON response. Invalid JSON becomes `null`.
 pub(crate) async fn read_json(response: Response<Incoming>) -> Result<Value, BodyError> {
-    let body = collect_limited(response.into_body(), MAX_ANSWER_BYTES).await?;
+    let body = collect_limited(response.into_body(), MAX_RESPONSE_BYTES).await?;
     Ok(serde_json::from_slice(&body).unwrap_or_default())
 }
 
-/// Whether a stand-in's answer belongs to this prompt.
+/// Returns whether a stand-in's response belongs to this prompt.
 pub(crate) fn belongs_to(answer: &str, prompt: &str) -> bool {
-    let mut opening = hex::encode(Sha256::digest(prompt.as_bytes()));
-    opening.truncate(OPENING_DIGITS);
-    answer.starts_with(&opening)
+    let mut hash_prefix = hex::encode(Sha256::digest(prompt.as_bytes()));
+    hash_prefix.truncate(HASH_PREFIX_DIGITS);
+    answer.starts_with(&hash_prefix)
 }
 
-/// How many tokens a stand-in's answer has: words with one space between.
+/// Counts the tokens of a stand-in's response: words separated by single spaces.
 pub(crate) fn token_count(answer: &str) -> u32 {
     if answer.is_empty() {
         return 0;
--- a/crates/load/src/run/targets.rs
+++ b/crates/load/src/run/targets.rs
@@ -1,28 +1,29 @@
-//! What a run is played against.
+//! The fleet that a trace is played against.
 
 use std::collections::BTreeMap;
 
-/// The processes of a fleet, as a run needs them.
+/// The addresses, keys and processes of a fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunTargets {
-    /// Base URLs of the callers' doors; calls go to each in turn.
+    /// Base URLs of the daemons' caller listeners, which receive calls in
+    /// round-robin order.
     pub callers: Vec<String>,
-    /// One key for each customer of the trace; none to call without one.
+    /// One key per customer of the trace, or empty to send calls without a key.
     pub keys: Vec<String>,
-    /// The model that generation requests name.
+    /// The model name in generation requests.
     pub model: String,
-    /// The path prefix of the plain service.
+    /// The path prefix of the plain HTTP service.
     pub service: String,
-    /// The daemons' process ids, for faults.
+    /// The daemons' process ids, for fault injection.
     pub daemon_pids: Vec<i32>,
-    /// Base URLs of the engine stand-ins, for faults.
+    /// Base URLs of the engine stand-ins, for fault injection and request logs.
     pub engines: Vec<String>,
-    /// Their process ids, for faults.
+    /// The engine stand-ins' process ids, for fault injection.
     pub engine_pids: Vec<i32>,
 }
 
 impl RunTargets {
-    /// Reads the shell lines that the demo writes for a fleet it leaves
+    /// Parses the shell variables that the demo writes for a fleet that it leaves
     /// running, such as `export COMFREYRAMP_MODEL='m'`.
     pub fn from_shell(text: &str) -> Self {
         let values: BTreeMap<&str, &str> = text.lines().filter_map(shell_value).collect();
@@ -50,24 +51,24 @@
         }
     }
 
-    /// The key of a customer.
+    /// Returns the key of a customer, if one is configured.
     pub fn key(&self, customer: u32) -> Option<&str> {
         self.keys.get(customer as usize).map(String::as_str)
     }
 
-    /// All that keeps a trace with so many customers from being played, each
-    /// with the option that gives it.
+    /// Returns everything that is missing to play a trace with this number of
+    /// customers, each prefixed with the name of the option that provides it.
     pub fn check(&self, customers: usize) -> Vec<String> {
         let mut findings = Vec::new();
         if self.callers.is_empty() {
-            findings.push("callers: at least one base URL is needed".to_owned());
+            findings.push("callers: at least one base URL is required".to_owned());
         }
         if self.model.is_empty() {
-            findings.push("model: a name is needed".to_owned());
+            findings.push("model: a name is required".to_owned());
         }
         if !self.keys.is_empty() && self.keys.len() < customers {
             findings.push(format!(
-                "keys: the trace has {customers} customers, and only {} keys are given",
+                "keys: the trace has {customers} customers, but only {} keys are given",
                 self.keys.len()
             ));
         }
@@ -75,7 +76,7 @@
     }
 }
 
-/// The name and value of a line `[export ]NAME=VALUE`, quotes removed.
+/// Parses a line `[export ]NAME=VALUE` and strips quotes from the value.
 fn shell_value(line: &str) -> Option<(&str, &str)> {
     let line = line.trim();
     let line = line.strip_prefix("export ").unwrap_or(line);
--- a/crates/load/src/trace/arrivals.rs
+++ b/crates/load/src/trace/arrivals.rs
@@ -1,4 +1,4 @@
-//! Random arrival times at a rate that changes.
+//! Random arrival times with a time-dependent rate.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 
 use super::mix::{BurstMix, OverdriveMix};
 
-/// A time in which the rate is a multiple of the usual one.
+/// A period in which the base rate is multiplied by a factor.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RateSpell {
+pub(crate) struct RatePeriod {
     pub(crate) from: Duration,
     pub(crate) until: Duration,
     pub(crate) factor: f64,
 }
 
-impl From<OverdriveMix> for RateSpell {
+impl From<OverdriveMix> for RatePeriod {
     fn from(mix: OverdriveMix) -> Self {
-        RateSpell {
+        RatePeriod {
             from: mix.from,
             until: mix.from + mix.span,
             factor: mix.factor,
@@ -24,64 +24,71 @@
     }
 }
 
-/// The bursts of a span, at exponential distances from end to start.
-pub(crate) fn burst_spells(mix: BurstMix, span: Duration, random: &mut impl Rng) -> Vec<RateSpell> {
-    let mut spells = Vec::new();
-    let mut from = exponential(mix.every, random);
+/// Generates the bursts within a span. The gaps from the end of one burst to the
+/// start of the next are exponentially distributed.
+pub(crate) fn burst_periods(
+    mix: BurstMix,
+    span: Duration,
+    random: &mut impl Rng,
+) -> Vec<RatePeriod> {
+    let mut periods = Vec::new();
+    let mut from = draw_exponential(mix.every, random);
     while from < span {
         let until = from + mix.span;
-        spells.push(RateSpell {
+        periods.push(RatePeriod {
             from,
             until,
             factor: mix.factor,
         });
-        from = until + exponential(mix.every, random);
+        from = until + draw_exponential(mix.every, random);
     }
-    spells
+    periods
 }
 
-/// Poisson arrivals within a span at `rate` a second, times the factors of the
-/// spells that an arrival falls into.
+/// Generates Poisson arrivals within a span, at `rate` per second times the factors
+/// of the periods that are active at each time.
 pub(crate) fn arrival_times(
     rate: f64,
-    spells: &[RateSpell],
+    periods: &[RatePeriod],
     span: Duration,
     random: &mut impl Rng,
 ) -> Vec<Duration> {
-    // Thinning: candidates come at the highest rate, and each is kept with the
-    // share that the rate of its time has of that.
-    let highest = highest_factor(spells);
+    // Thinning: candidates are drawn at the highest rate, and each is kept with
+    // the probability `current rate / highest rate`.
+    let highest = highest_factor(periods);
     let gap = Duration::from_secs_f64(1.0 / (rate * highest));
     let mut times = Vec::new();
-    let mut at = exponential(gap, random);
+    let mut at = draw_exponential(gap, random);
     while at < span {
-        if random.random_bool((factor_at(spells, at) / highest).min(1.0)) {
+        if random.random_bool((factor_at(periods, at) / highest).min(1.0)) {
             times.push(whole_micros(at));
         }
-        at += exponential(gap, random);
+        at += draw_exponential(gap, random);
     }
     times
 }
 
-/// The factor of the rate at a time; spells that overlap multiply.
-fn factor_at(spells: &[RateSpell], at: Duration) -> f64 {
-    let inside = spells.iter().filter(|it| it.from <= at && at < it.until);
-    inside.map(|it| it.factor).product()
+/// Returns the rate factor at a time. Overlapping periods multiply.
+fn factor_at(periods: &[RatePeriod], at: Duration) -> f64 {
+    let active = periods.iter().filter(|it| it.from <= at && at < it.until);
+    active.map(|it| it.factor).product()
 }
 
-/// The factor changes only where a spell begins or ends.
-fn highest_factor(spells: &[RateSpell]) -> f64 {
-    let changes = spells.iter().flat_map(|it| [it.from, it.until]);
-    let factors = changes.map(|at| factor_at(spells, at));
+/// Returns the highest rate factor, which is at least 1. The factor changes only
+/// where a period begins or ends, so it is enough to check these times.
+fn highest_factor(periods: &[RatePeriod]) -> f64 {
+    let changes = periods.iter().flat_map(|it| [it.from, it.until]);
+    let factors = changes.map(|at| factor_at(periods, at));
     factors.fold(1.0, f64::max)
 }
 
-/// A file holds whole microseconds; a trace must not differ from its file.
+/// Truncates to whole microseconds, the resolution of a trace file, so that a
+/// generated trace equals the trace that is read back from its file.
 fn whole_micros(at: Duration) -> Duration {
     Duration::from_micros(at.as_micros() as u64)
 }
 
-fn exponential(mean: Duration, random: &mut impl Rng) -> Duration {
+fn draw_exponential(mean: Duration, random: &mut impl Rng) -> Duration {
     let uniform: f64 = random.random();
     mean.mul_f64(-(1.0 - uniform).ln())
 }
--- a/crates/load/src/trace/event.rs
+++ b/crates/load/src/trace/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a trace, and when.
+//! The events of a trace.
 
 use std::time::Duration;
 
@@ -6,35 +6,35 @@
 use serde_json::{Map, Value};
 use serde_with::{DurationMicroSeconds, serde_as};
 
-/// One line of a trace.
+/// One event, which is one line of a trace file.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TraceEvent {
-    /// When, since the start of the trace; in microseconds in the file.
+    /// The time since the start of the trace, in microseconds in the file.
     #[serde_as(as = "DurationMicroSeconds<u64>")]
     #[serde(rename = "at_us")]
     pub at: Duration,
-    /// What.
+    /// The kind of the event and its parameters.
     #[serde(flatten)]
     pub kind: EventKind,
 }
 
-/// What happens.
+/// The kind of an event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum EventKind {
     /// A customer sends a generation request.
     Live(LiveEvent),
-    /// A customer calls a plain service.
+    /// A customer calls a plain HTTP service.
     Plain(PlainEvent),
-    /// A customer hands in a lot.
+    /// A customer submits a lot.
     Lot(LotEvent),
-    /// Something fails, or recovers.
+    /// A process fails or recovers.
     Fault(FaultEvent),
 }
 
 impl EventKind {
-    /// Whose event it is; none for a fault.
+    /// Returns the index of the customer, or none for a fault.
     pub fn customer(&self) -> Option<u32> {
         match self {
             EventKind::Live(live) => Some(live.customer),
@@ -48,84 +48,84 @@
 /// A generation request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LiveEvent {
-    /// The customer's position in the trace's header.
+    /// The customer's index in the trace's header.
     pub customer: u32,
-    /// Tells its prompt from all others.
+    /// A random number that makes the prompt unique.
     pub text: u64,
-    /// Which of the customer's shared prompt prefixes it begins with.
+    /// The index of the shared prompt prefix, among those of the customer.
     pub prefix: u32,
-    /// The length of that prefix in tokens.
+    /// The length of the prefix in tokens.
     pub prefix_tokens: u32,
     /// The length of the rest of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The length of the answer in tokens.
+    /// The length of the response in tokens.
     pub max_tokens: u32,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// A text that the prompt contains, such as one that crashes an engine.
+    /// A special text in the prompt, such as one that crashes an engine.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub marker: Option<String>,
 }
 
-/// A call of a plain service.
+/// A call of a plain HTTP service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainEvent {
-    /// The customer's position in the trace's header.
+    /// The customer's index in the trace's header.
     pub customer: u32,
-    /// Tells its body from all others.
+    /// A random number that makes the body unique.
     pub text: u64,
-    /// The length of its body in bytes.
+    /// The length of the body in bytes.
     pub body_bytes: u32,
-    /// Whether the call may not be repeated.
+    /// Whether the call must not be retried.
     pub once: bool,
 }
 
-/// A lot handed in.
+/// The submission of a lot.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LotEvent {
-    /// The customer's position in the trace's header.
+    /// The customer's index in the trace's header.
     pub customer: u32,
-    /// The caller's job key; a resent job carries the same one, and the same
-    /// items.
+    /// The caller's idempotency key for the job. A resent job has the same key and
+    /// the same items.
     pub job: String,
-    /// How many items it holds.
+    /// The number of items.
     pub items: u32,
     /// The length of each prompt in tokens.
     pub prompt_tokens: u32,
-    /// The length of each answer in tokens.
+    /// The length of each response in tokens.
     pub max_tokens: u32,
-    /// When it is due, counted from its arrival; in seconds in the file.
+    /// The deadline, relative to the submission; in seconds in the file.
     #[serde_as(as = "serde_with::DurationSeconds<u64>")]
     #[serde(rename = "due_s")]
     pub due: Duration,
-    /// How many of its items, from the first, contain the marker.
+    /// The number of items that contain the marker. These are the first items.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub marked_items: u32,
-    /// A text that these items' prompts contain.
+    /// A special text in the prompts of these items.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub marker: Option<String>,
-    /// Whether the same job was handed in before.
+    /// Whether the same job was already submitted before.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub resent: bool,
 }
 
-// The signature is serde's.
+// Serde requires this signature.
 #[allow(clippy::trivially_copy_pass_by_ref)]
 fn is_zero(count: &u32) -> bool {
     *count == 0
 }
 
-/// Something that fails, or recovers.
+/// An injected fault, or the recovery from one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultEvent {
-    /// What it happens to.
+    /// The affected process.
     pub target: FaultTarget,
-    /// What happens.
+    /// The change to the process.
     pub action: FaultAction,
 }
 
-/// A process that a fault happens to, by its position in the run's lists.
+/// A process, by its index in the process lists of the run's targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultTarget {
@@ -135,18 +135,18 @@
     Engine(usize),
 }
 
-/// What happens to a process.
+/// A change to a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultAction {
-    /// It is asked to end (SIGTERM).
+    /// Requests termination (SIGTERM).
     Terminate,
-    /// It is ended at once (SIGKILL).
+    /// Kills the process (SIGKILL).
     Kill,
-    /// It is paused (SIGSTOP).
+    /// Pauses the process (SIGSTOP).
     Freeze,
-    /// It goes on after a pause (SIGCONT).
+    /// Resumes a paused process (SIGCONT).
     Resume,
-    /// A stand-in's fault switches are set to this.
+    /// Sets the fault switches of an engine stand-in.
     Switches(Map<String, Value>),
 }
--- a/crates/load/src/trace/file.rs
+++ b/crates/load/src/trace/file.rs
@@ -1,4 +1,4 @@
-//! A trace as JSON lines.
+//! Trace files in JSON Lines format.
 
 use std::io::{BufRead, Write};
 
@@ -6,17 +6,17 @@
 
 use super::event::TraceEvent;
 
-/// The word in a header that tells a trace from other JSON lines.
+/// The format identifier in the header, which includes the version.
 const FORMAT: &str = "comfreyramp-trace-1";
 
-/// A customer that a trace's events name by its position.
+/// A customer. The events of a trace refer to it by index.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TraceCustomer {
-    /// Its name.
+    /// The customer's name.
     pub name: String,
-    /// Requests a second that it may send, over the whole fleet.
+    /// The rate limit in requests per second, over the whole fleet.
     pub rate: f64,
-    /// Requests that it may send at once after a pause.
+    /// The number of requests that may arrive at once after an idle period.
     pub burst: u32,
 }
 
@@ -27,36 +27,36 @@
     customers: Vec<TraceCustomer>,
 }
 
-/// Recorded work.
+/// A trace of requests and faults.
 ///
-/// In a file, the first line names the customers and each further line is one
-/// [`TraceEvent`], sorted by time.
+/// In a file, the first line is a header with the customers. Each further line is
+/// one [`TraceEvent`], sorted by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TraceFile {
-    /// The customers, in the order in which events count them.
+    /// The customers. Events refer to them by index.
     pub customers: Vec<TraceCustomer>,
     /// The events, sorted by time.
     pub events: Vec<TraceEvent>,
 }
 
-/// What is wrong with a trace.
+/// An error in reading or writing a trace.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
-    /// It can't be read or written.
+    /// An I/O error.
     #[error("the trace can't be read or written: {0}")]
     Io(#[from] std::io::Error),
-    /// A line is not what it should be.
+    /// A line is invalid.
     #[error("line {line}: {message}")]
     Line {
-        /// The line, from one.
+        /// The line number, starting at one.
         line: usize,
-        /// What is wrong with it.
+        /// A description of the error.
         message: String,
     },
 }
 
 impl TraceFile {
-    /// Reads a trace and checks each line.
+    /// Reads a trace and validates each line.
     pub fn read(input: impl BufRead) -> Result<Self, TraceError> {
         let mut lines = input.lines().enumerate();
         let Some((_, first)) = lines.next() else {
@@ -82,7 +82,7 @@
         Ok(trace)
     }
 
-    /// Writes a trace in the form that [`TraceFile::read`] takes.
+    /// Writes a trace in the format that [`TraceFile::read`] reads.
     pub fn write(&self, mut output: impl Write) -> Result<(), TraceError> {
         let header = TraceHeader {
             format: FORMAT.to_owned(),
@@ -98,11 +98,14 @@
 
     fn check_event(&self, index: usize, event: &TraceEvent) -> Result<(), TraceError> {
         if self.events.last().is_some_and(|it| it.at > event.at) {
-            return Err(line_error(index, "at_us is before the line above"));
+            return Err(line_error(
+                index,
+                "at_us is earlier than in the previous line",
+            ));
         }
         let customer = event.kind.customer();
         if customer.is_some_and(|it| it as usize >= self.customers.len()) {
-            let message = "customer is no position in the header's list";
+            let message = "customer is not an index of the header's list";
             return Err(line_error(index, message));
         }
         Ok(())
--- a/crates/load/src/trace/generator.rs
+++ b/crates/load/src/trace/generator.rs
@@ -1,28 +1,28 @@
-//! Traces from a mix and a seed.
+//! Generation of traces from a workload mix and a seed.
 
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 use super::{
-    arrivals::{RateSpell, arrival_times, burst_spells},
+    arrivals::{RatePeriod, arrival_times, burst_periods},
     event::{EventKind, LiveEvent, LotEvent, PlainEvent, TraceEvent},
     file::{TraceCustomer, TraceFile},
     mix::{CustomerMix, LiveMix, LotMix, MarkerMix, PlainMix, TraceMix},
 };
 
-/// Which part of a customer's work a random source is for.
+/// A kind of work of a customer, which selects its random number generator.
 #[derive(Clone, Copy)]
-enum WorkPart {
+enum WorkKind {
     Live = 1,
     Plain = 2,
     Lots = 3,
 }
 
-/// Makes the trace that a mix and a seed describe.
+/// Generates a trace. The same mix and seed give the same trace.
 ///
-/// Each part of each customer's work has a random source of its own, so that a
-/// change to one leaves the others as they were.
+/// Each kind of work of each customer has a separate random number generator, so
+/// that changing one of them leaves the others unchanged.
 pub fn generate_trace(mix: &TraceMix, seed: u64) -> TraceFile {
     let mut trace = TraceFile::default();
     for (index, customer) in mix.customers.iter().enumerate() {
@@ -31,12 +31,12 @@
             rate: customer.rate,
             burst: customer.burst,
         });
-        let work = CustomerWork {
+        let generator = CustomerGenerator {
             index: index as u32,
             span: mix.span,
             seed,
         };
-        work.generate(customer, &mut trace.events);
+        generator.generate(customer, &mut trace.events);
     }
     let faults = mix.faults.iter().map(|it| TraceEvent {
         at: it.at,
@@ -47,13 +47,13 @@
     trace
 }
 
-struct CustomerWork {
+struct CustomerGenerator {
     index: u32,
     span: Duration,
     seed: u64,
 }
 
-impl CustomerWork {
+impl CustomerGenerator {
     fn generate(&self, mix: &CustomerMix, events: &mut Vec<TraceEvent>) {
         if let Some(live) = &mix.live {
             self.live(live, events);
@@ -66,21 +66,22 @@
         }
     }
 
-    fn random(&self, part: WorkPart) -> StdRng {
+    fn random(&self, kind_of_work: WorkKind) -> StdRng {
         let mut bytes = [0; 32];
         bytes[..8].copy_from_slice(&self.seed.to_le_bytes());
         bytes[8..12].copy_from_slice(&self.index.to_le_bytes());
-        bytes[12] = part as u8;
+        bytes[12] = kind_of_work as u8;
         StdRng::from_seed(bytes)
     }
 
     fn live(&self, mix: &LiveMix, events: &mut Vec<TraceEvent>) {
-        let mut random = self.random(WorkPart::Live);
-        let mut spells: Vec<RateSpell> = mix.overdrive.into_iter().map(RateSpell::from).collect();
+        let mut random = self.random(WorkKind::Live);
+        let mut periods: Vec<RatePeriod> =
+            mix.overdrive.into_iter().map(RatePeriod::from).collect();
         if let Some(bursts) = mix.bursts {
-            spells.extend(burst_spells(bursts, self.span, &mut random));
+            periods.extend(burst_periods(bursts, self.span, &mut random));
         }
-        for at in arrival_times(mix.rate, &spells, self.span, &mut random) {
+        for at in arrival_times(mix.rate, &periods, self.span, &mut random) {
             let live = LiveEvent {
                 customer: self.index,
                 text: random.random(),
@@ -94,8 +95,8 @@
             let marked = live.marker.is_some();
             let marker = mix.marker.as_ref().filter(|_| marked);
             let resends = marker.map_or(0, |it| it.resends);
-            let pause = marker.map_or(Duration::ZERO, |it| it.resend_after);
-            let times = (0..=resends).map(|it| at + pause * it);
+            let resend_delay = marker.map_or(Duration::ZERO, |it| it.resend_after);
+            let times = (0..=resends).map(|it| at + resend_delay * it);
             events.extend(times.map(|at| TraceEvent {
                 at,
                 kind: EventKind::Live(live.clone()),
@@ -104,7 +105,7 @@
     }
 
     fn plain(&self, mix: &PlainMix, events: &mut Vec<TraceEvent>) {
-        let mut random = self.random(WorkPart::Plain);
+        let mut random = self.random(WorkKind::Plain);
         for at in arrival_times(mix.rate, &[], self.span, &mut random) {
             let plain = PlainEvent {
                 customer: self.index,
@@ -118,7 +119,7 @@
     }
 
     fn lots(&self, mix: &LotMix, name: &str, events: &mut Vec<TraceEvent>) {
-        let mut random = self.random(WorkPart::Lots);
+        let mut random = self.random(WorkKind::Lots);
         let mut at = mix.first;
         while at < self.span {
             let lot = self.lot(mix, name, &mut random);
--- a/crates/load/src/trace/mix.rs
+++ b/crates/load/src/trace/mix.rs
@@ -1,4 +1,4 @@
-//! What a generated trace is made of.
+//! The workload mix that a trace is generated from.
 
 use std::time::Duration;
 
@@ -8,54 +8,54 @@
 
 use super::event::FaultEvent;
 
-/// The work of several customers, and faults on the way.
+/// The workload of several customers, and faults during the run.
 ///
-/// All durations are in seconds in a file.
+/// In a file, all durations are in seconds.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceMix {
-    /// How long work arrives.
+    /// The period during which requests arrive.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(rename = "span_s")]
     pub span: Duration,
-    /// The customers.
+    /// The workload of each customer.
     pub customers: Vec<CustomerMix>,
-    /// The faults.
+    /// The faults to inject.
     #[serde(default)]
     pub faults: Vec<FaultMix>,
 }
 
-/// A fault at a time.
+/// A fault at a fixed time.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultMix {
-    /// When, since the start.
+    /// The time since the start of the run.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(rename = "at_s")]
     pub at: Duration,
-    /// What.
+    /// The fault.
     pub fault: FaultEvent,
 }
 
-/// One customer's work.
+/// The workload of one customer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerMix {
-    /// Its name.
+    /// The customer's name.
     pub name: String,
-    /// Requests a second that it may send.
+    /// The rate limit in requests per second.
     pub rate: f64,
-    /// Requests that it may send at once after a pause.
+    /// The number of requests that may arrive at once after an idle period.
     pub burst: u32,
-    /// Its generation requests.
+    /// Generation requests.
     #[serde(default)]
     pub live: Option<LiveMix>,
-    /// Its calls of a plain service.
+    /// Calls of a plain HTTP service.
     #[serde(default)]
     pub plain: Option<PlainMix>,
-    /// Its lots.
+    /// Lots.
     #[serde(default)]
     pub lots: Option<LotMix>,
 }
@@ -64,153 +64,154 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LiveMix {
-    /// Requests a second outside bursts.
+    /// The base rate in requests per second, outside bursts and overdrive.
     pub rate: f64,
-    /// Short spells of more.
+    /// Short, recurring periods of a higher rate.
     #[serde(default)]
     pub bursts: Option<BurstMix>,
-    /// One spell of several times as much.
+    /// One long period of a higher rate.
     #[serde(default)]
     pub overdrive: Option<OverdriveMix>,
-    /// Prompt lengths in tokens, the shared prefix left out.
+    /// Prompt lengths in tokens, without the shared prefix.
     pub prompt_tokens: SizeRange,
-    /// Answer lengths in tokens.
+    /// Response lengths in tokens.
     pub max_tokens: SizeRange,
-    /// How many prefixes the prompts share; each request takes one.
+    /// The number of shared prompt prefixes. Each request uses one of them.
     pub prefixes: u32,
     /// The length of a shared prefix in tokens.
     pub prefix_tokens: u32,
-    /// The share of requests that are streamed, from 0 to 1.
+    /// The fraction of requests that are streamed, from 0 to 1.
     pub stream_share: f64,
-    /// Prompts with a special text among them.
+    /// Adds a special text to some of the prompts.
     #[serde(default)]
     pub marker: Option<MarkerMix>,
 }
 
-/// Short spells of more requests, at random times.
+/// Short periods of a higher rate, at random times.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BurstMix {
-    /// The mean time from one to the next.
+    /// The mean gap from the end of one burst to the start of the next.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(rename = "every_s")]
     pub every: Duration,
-    /// How long each lasts.
+    /// The duration of each burst.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(rename = "span_s")]
     pub span: Duration,
-    /// How many times the usual rate.
+    /// The factor that multiplies the base rate.
     pub factor: f64,
 }
 
-/// One spell of several times the usual rate.
+/// One period of a higher rate.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverdriveMix {
-    /// When it begins.
+    /// The start, since the start of the run.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(rename = "from_s")]
     pub from: Duration,
-    /// How long it lasts.
+    /// The duration.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(rename = "span_s")]
     pub span: Duration,
-    /// How many times the usual rate.
+    /// The factor that multiplies the base rate.
     pub factor: f64,
 }
 
-/// Prompts that contain a special text, such as one that crashes an engine.
+/// Adds a special text to prompts, such as one that crashes an engine.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MarkerMix {
     /// The text.
     pub text: String,
-    /// The share of prompts with it, from 0 to 1.
+    /// The fraction of prompts that contain it, from 0 to 1.
     pub share: f64,
-    /// How often the caller of such a live request sends it again, since it
-    /// got no answer.
+    /// How many times a caller resends such a live request, as after a missing
+    /// response.
     #[serde(default)]
     pub resends: u32,
-    /// The time between two of them.
+    /// The time between two resends.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(default, rename = "resend_after_s")]
     pub resend_after: Duration,
 }
 
-/// Calls of a plain service at random times.
+/// Calls of a plain HTTP service at random times.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainMix {
-    /// Calls a second.
+    /// The rate in calls per second.
     pub rate: f64,
     /// Body lengths in bytes.
     pub body_bytes: SizeRange,
-    /// The share of calls that may not be repeated, from 0 to 1.
+    /// The fraction of calls that must not be retried, from 0 to 1.
     pub once_share: f64,
 }
 
-/// Lots at regular times.
+/// Lots at regular intervals.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LotMix {
-    /// When the first arrives.
+    /// The submission time of the first lot.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(rename = "first_s")]
     pub first: Duration,
-    /// The time from one to the next.
+    /// The interval between submissions.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(rename = "every_s")]
     pub every: Duration,
-    /// How many items each holds.
+    /// The number of items per lot.
     pub items: SizeRange,
-    /// Prompt lengths in tokens, one length for a whole lot.
+    /// Prompt lengths in tokens. All items of a lot have the same length.
     pub prompt_tokens: SizeRange,
-    /// Answer lengths in tokens, one length for a whole lot.
+    /// Response lengths in tokens. All items of a lot have the same length.
     pub max_tokens: SizeRange,
-    /// When it is due after its arrival, at least a second.
+    /// The deadline relative to the submission, at least one second.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(rename = "due_s")]
     pub due: Duration,
-    /// The share of lots that are sent a second time, from 0 to 1.
+    /// The fraction of lots that are submitted a second time, from 0 to 1.
     #[serde(default)]
     pub resent_share: f64,
-    /// How long after the first time.
+    /// The delay between the two submissions.
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     #[serde(default, rename = "resent_after_s")]
     pub resent_after: Duration,
-    /// Items with a special text among them.
+    /// Adds a special text to some of the items.
     #[serde(default)]
     pub marker: Option<MarkerMix>,
 }
 
-/// A size drawn evenly from a range, both ends included.
+/// A range of sizes, both ends included. Sizes are drawn uniformly.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SizeRange {
-    /// The smallest.
+    /// The minimum.
     pub min: u32,
-    /// The largest.
+    /// The maximum.
     pub max: u32,
 }
 
 impl SizeRange {
-    /// A range.
+    /// Creates a range that includes both ends.
     pub const fn new(min: u32, max: u32) -> Self {
         SizeRange { min, max }
     }
 
-    /// Draws a size.
+    /// Draws a random size.
     pub fn draw(self, random: &mut impl Rng) -> u32 {
         random.random_range(self.min..=self.max.max(self.min))
     }
 }
 
 impl TraceMix {
-    /// All that is wrong with a mix, each with its place.
+    /// Validates the mix. Returns all errors, each prefixed with the path of the
+    /// invalid field.
     pub fn check(&self) -> Vec<String> {
         let mut findings = FindingList::default();
         findings.positive("span_s", self.span.as_secs_f64());
@@ -270,7 +271,7 @@
         findings.range(&format!("{place}.max_tokens"), self.max_tokens);
         findings.share(&format!("{place}.resent_share"), self.resent_share);
         if self.due < Duration::from_secs(1) {
-            findings.add(&format!("{place}.due_s"), "at least 1 is needed");
+            findings.add(&format!("{place}.due_s"), "must be at least 1");
         }
         if let Some(marker) = &self.marker {
             findings.share(&format!("{place}.marker.share"), marker.share);
@@ -290,13 +291,13 @@
 
     fn positive(&mut self, place: &str, number: f64) {
         if !(number.is_finite() && number > 0.0) {
-            self.add(place, "a number above 0 is needed");
+            self.add(place, "must be a number greater than 0");
         }
     }
 
     fn share(&mut self, place: &str, share: f64) {
         if !(0.0..=1.0).contains(&share) {
-            self.add(place, "a share from 0 to 1 is needed");
+            self.add(place, "must be a fraction from 0 to 1");
         }
     }
 
--- a/crates/load/src/trace/mod.rs
+++ b/crates/load/src/trace/mod.rs
@@ -1,4 +1,4 @@
-//! Recorded work: its format, and generators for it.
+//! The trace format and generators of traces.
 
 mod arrivals;
 mod event;
--- a/crates/load/src/trace/preset.rs
+++ b/crates/load/src/trace/preset.rs
@@ -1,4 +1,4 @@
-//! Mixes for the usual questions.
+//! Predefined workload mixes.
 
 use std::time::Duration;
 
@@ -10,15 +10,16 @@
     },
 };
 
-/// The names that [`preset_mix`] knows.
+/// The names that [`preset_mix`] accepts.
 pub const PRESET_NAMES: [&str; 5] = ["live", "mixed", "overdrive", "daemon-loss", "engine-loss"];
 
-/// A mix by its name, for two customers and so long.
+/// Returns a predefined mix of two customers by its name, or none if the name is
+/// unknown. Requests arrive during `span`.
 ///
-/// - `live`: bursts of live requests alone, the yardstick for the others.
-/// - `mixed`: the same live requests, with plain calls and bulk lots beside
-///   them, a part of which is sent twice.
-/// - `overdrive`: one customer sends five times its rate for a while.
+/// - `live`: live requests in bursts, without lots; the baseline for the others.
+/// - `mixed`: the same live requests and plain calls, with additional lots, some
+///   of which are submitted twice.
+/// - `overdrive`: one customer sends at five times its rate limit for a while.
 /// - `daemon-loss`: `mixed`, and the last of two daemons is killed halfway.
 /// - `engine-loss`: `mixed`, and an engine is killed halfway.
 pub fn preset_mix(name: &str, span: Duration) -> Option<TraceMix> {
@@ -71,7 +72,8 @@
     }
 }
 
-/// A customer that is well inside its rate, with a person behind each request.
+/// A customer that stays well within its rate limit, with interactive requests and
+/// plain calls.
 fn live_customer() -> CustomerMix {
     CustomerMix {
         name: "first".to_owned(),
@@ -87,7 +89,7 @@
     }
 }
 
-/// A customer with some live requests and bulk lots.
+/// A customer with some live requests and with lots.
 fn lot_customer(span: Duration) -> CustomerMix {
     CustomerMix {
         name: "second".to_owned(),
@@ -112,7 +114,7 @@
     }
 }
 
-/// A customer that sends five times its rate for the middle third.
+/// A customer that sends at five times its rate limit in the middle third.
 fn overdriven_customer(span: Duration) -> CustomerMix {
     let rate = 10.0;
     CustomerMix {
--- a/crates/load/src/trace/prompt.rs
+++ b/crates/load/src/trace/prompt.rs
@@ -1,20 +1,20 @@
-//! The prompts that events stand for.
+//! The prompts of events.
 
 use super::event::{LiveEvent, LotEvent};
 
-/// How many bytes the engine stand-in counts as one token.
+/// The number of bytes that the engine stand-in counts as one token.
 const TOKEN_BYTES: usize = 4;
 
-/// A prompt's two messages.
+/// The two messages of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventPrompt {
     /// The system message, which requests with the same prefix share.
     pub system: String,
-    /// The user message, which no other event has.
+    /// The user message, which is unique to the event or item.
     pub user: String,
 }
 
-/// The prompt of a generation request.
+/// Returns the prompt of a generation request.
 pub fn live_prompt(live: &LiveEvent) -> EventPrompt {
     let opening = format!("house style {} of customer {}:", live.prefix, live.customer);
     let marker = live.marker.as_deref().unwrap_or_default();
@@ -25,7 +25,7 @@
     }
 }
 
-/// The prompt of item `index` of a lot.
+/// Returns the prompt of item `index` of a lot.
 pub fn item_prompt(lot: &LotEvent, index: u32) -> EventPrompt {
     let marker = match &lot.marker {
         Some(marker) if index < lot.marked_items => marker,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Lengthens a text to so many tokens; a longer one stays as it is.
+/// Pads a text to a length in tokens. A longer text stays unchanged.
 fn pad(mut text: String, tokens: u32) -> String {
     let bytes = tokens as usize * TOKEN_BYTES;
     if text.len() >= bytes {
@@ -47,7 +47,7 @@
     while text.len() < bytes {
         text.push_str(" and");
     }
-    // All of what was added is ASCII, so that any place is a boundary.
+    // The padding is ASCII, so truncating within it is on a character boundary.
     text.truncate(bytes);
     text
 }
--- a/crates/load/tests/outcome.rs
+++ b/crates/load/tests/outcome.rs
@@ -1,14 +1,14 @@
-//! From single outcomes to a result.
+//! Aggregation of outcomes into results.
 
-// The exemption of the lints covers test functions and not their helpers.
+// The lints exempt test functions only, not their helpers.
 #![allow(clippy::panic, clippy::unwrap_used)]
 
 use std::time::Duration;
 
 use comfreyramp_load::{
     outcome::{
-        CallEnd, CallKind, CallOutcome, LotEnd, LotOutcome, OutcomeCollector, RateReference,
-        RateVerdict, Refusal, RunResult,
+        CallEnd, CallKind, CallOutcome, LotEnd, LotOutcome, OutcomeCollector, RateDecision,
+        RateReference, Refusal, RunResult,
     },
     report::report_page,
     run::{EventStream, ItemTally, RunTargets},
@@ -65,35 +65,35 @@
     let mut reference = RateReference::new(10.0, 2);
     let inside: Vec<bool> = [0, 0, 0, 100, 150, 200]
         .iter()
-        .map(|at| reference.judge(millis(*at), false).inside)
+        .map(|at| reference.check(millis(*at), false).inside)
         .collect();
     assert_eq!(inside, [true, true, false, true, false, true]);
     assert_eq!(reference.overshoot(), 0.0);
     let mut reference = RateReference::new(10.0, 2);
-    let first = reference.judge(millis(0), true);
-    let whole = RateVerdict {
+    let first = reference.check(millis(0), true);
+    let whole = RateDecision {
         inside: true,
         clearly_inside: true,
     };
     assert_eq!(first, whole);
-    // The second call needs the whole burst; nine tenths of it don't do.
-    assert!(!reference.judge(millis(0), true).clearly_inside);
-    reference.judge(millis(0), true);
-    reference.judge(millis(100), true);
+    // The second call needs the whole burst; nine tenths of it don't suffice.
+    assert!(!reference.check(millis(0), true).clearly_inside);
+    reference.check(millis(0), true);
+    reference.check(millis(100), true);
     assert_eq!(reference.overshoot(), 1.0);
-    reference.judge(millis(1000), true);
+    reference.check(millis(1000), true);
     assert_eq!(reference.overshoot(), 1.0);
 }
 
 #[test]
 fn what_is_clearly_inside_is_inside() {
     let mut reference = RateReference::new(10.0, 20);
-    let verdicts: Vec<RateVerdict> = (0..2000)
-        .map(|it| reference.judge(millis(it * 35), false))
+    let decisions: Vec<RateDecision> = (0..2000)
+        .map(|it| reference.check(millis(it * 35), false))
         .collect();
-    let clear = verdicts.iter().filter(|it| it.clearly_inside).count();
+    let clear = decisions.iter().filter(|it| it.clearly_inside).count();
     assert!(clear > 0);
-    assert!(verdicts.iter().all(|it| it.inside || !it.clearly_inside));
+    assert!(decisions.iter().all(|it| it.inside || !it.clearly_inside));
 }
 
 #[test]
@@ -101,9 +101,9 @@
     let result = result_of(&[
         call(0, refusal(429, "no")),
         call(0, CallEnd::Done),
-        // Outside: the burst of two is used up by the two before.
+        // Outside the burst of two, which the two calls above use up.
         call(10, refusal(429, "no")),
-        // Inside, and each no refusal for want of room.
+        // Inside the rate, but none of them is a rejection for lack of capacity.
         call(1000, refusal(401, "no")),
         call(2000, refusal(200, "partly")),
         call(3000, refusal(502, "unknown")),
@@ -112,7 +112,7 @@
     ]);
     let customer = &result.customers[0];
     assert_eq!(customer.wrongful_refusals, 2);
-    // The one at 0 was the last of the burst, so not a clear one.
+    // The rejected call at 0 was the last of the burst, so it isn't a clear case.
     assert_eq!(customer.clearly_wrongful_refusals, 1);
     assert_eq!(customer.live.refused(), 6);
     assert_eq!(customer.live.no_answer, 1);
@@ -125,9 +125,9 @@
     assert_eq!(counts, [(200, 1), (401, 1), (429, 2), (502, 1), (503, 1)]);
 }
 
-/// A fleet that hangs for two seconds keeps a sender from sending. Were the
-/// latency counted from when the call left at last, the calls that a caller
-/// would have waited for longest would look like the fastest.
+/// Guards against coordinated omission: a fleet that hangs for two seconds also
+/// blocks the sender. If latency counted from the actual send time, the calls with
+/// the longest wait would appear to be the fastest.
 #[test]
 fn latency_counts_from_the_intended_time() {
     let mut late = call(0, CallEnd::Done);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_resent_job_counts_once_and_a_second_lot_for_it_is_told() {
+fn a_resent_job_counts_once_and_a_second_lot_for_it_is_reported() {
     let mut collector = OutcomeCollector::new(&customers());
     collector.add_lot(lot("x", "1", false));
     collector.add_lot(lot("x", "1", true));
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn events_are_cut_from_any_pieces() {
+fn events_are_parsed_from_any_chunks() {
     let text = ": hello\n\ndata: one\n\ndata:two\ndata: more\n\ndata: [DONE]\n\ndata: half";
     for size in [1, 3, 1000] {
         let mut stream = EventStream::default();
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn the_demos_shell_lines_name_a_fleet() {
+fn the_demos_shell_variables_describe_a_fleet() {
     let targets = RunTargets::from_shell(
         "export COMFREYRAMP_CALLERS=\"http://a:1 http://b:2\"\nCOMFREYRAMP_PIDS='7 8'\n\
          COMFREYRAMP_KEY=k1\nCOMFREYRAMP_SECOND_KEY=\"k2\"\nCOMFREYRAMP_MODEL=m\n\
--- a/crates/load/tests/play.rs
+++ b/crates/load/tests/play.rs
@@ -1,6 +1,6 @@
-//! Traces played against stand-ins.
+//! Playing traces against stand-ins.
 
-// The exemption of the lints covers test functions and not their helpers.
+// The lints exempt test functions only, not their helpers.
 #![allow(clippy::panic, clippy::unwrap_used)]
 
 use std::{
@@ -90,10 +90,10 @@
 }
 
 #[tokio::test]
-async fn live_calls_are_followed_to_their_end() {
+async fn live_calls_are_read_to_their_end() {
     let (engine, url) = start_engine().await;
     let targets = RunTargets {
-        // Nobody listens at the first door; a balancer would pass it by.
+        // Nothing listens on the first address; a load balancer would skip it.
         callers: vec!["http://127.0.0.1:1".to_owned(), url.clone()],
         engines: vec![url],
         keys: vec!["secret".to_owned()],
@@ -113,7 +113,7 @@
     let records = engine.log().list();
     let key = |it: &str| it == "Bearer secret";
     assert!(records.iter().all(|it| key(&it.headers["authorization"])));
-    // Called directly, the engine sees the keys; behind daemons it must not.
+    // Without daemons in between, the engine receives the keys.
     let seen = &result.engines[0];
     assert_eq!((seen.requests, seen.done, seen.tokens), (10, 10, 60));
     assert_eq!((seen.keys_seen, result.prompts_answered_twice), (10, 0));
@@ -130,10 +130,10 @@
     assert_eq!((refusals[0].status, refusals[0].count), (404, 1));
 }
 
-/// Answers that break off look complete to a caller that doesn't look for the
-/// end, and a result that counted them as done would hide lost tokens.
+/// A response that is cut off looks complete to a caller that doesn't check for the
+/// end marker. Counting it as done would hide lost tokens.
 #[tokio::test]
-async fn faults_are_set_off_on_cue_and_their_effect_is_told() {
+async fn faults_are_injected_on_time_and_their_effect_is_reported() {
     let (_, url) = start_engine().await;
     let mut victim = Command::new("sleep").arg("1000").spawn().unwrap();
     let targets = RunTargets {
@@ -218,9 +218,9 @@
     assert_eq!(result.customers[0].live.done, 1);
 }
 
-/// A fleet that mixes up two callers, or loses a token when it resumes an
-/// answer elsewhere, gives answers that end properly. Each caller would take
-/// what it got for its own whole answer.
+/// A fleet that mixes up two callers, or that loses a token when it resumes a stream
+/// on another server, returns responses that end properly. Only a comparison with
+/// the expected response detects this.
 #[tokio::test]
 async fn a_well_formed_answer_is_not_taken_for_the_right_one() {
     let (listener, url) = listen().await;
@@ -242,8 +242,8 @@
     assert_eq!(live_calls.wrong_lengths, 2);
 }
 
-/// Streams all tokens of the answer to another prompt; gives plain answers
-/// that lack the last token.
+/// Streams the complete response to another prompt. Responses that aren't streamed
+/// belong to the right prompt, but lack the last token.
 async fn answer_wrongly(request: Request<Incoming>) -> Response<MessageBody> {
     let body = collect_limited(request.into_body(), 1 << 20).await.unwrap();
     let request: Value = serde_json::from_slice(&body).unwrap();
@@ -262,15 +262,15 @@
     Response::new((events + "data: [DONE]\n\n").into())
 }
 
-/// Files and lots in memory, which answers each item as the engine would.
+/// An in-memory files and batches API that answers each item as the engine would.
 #[derive(Debug, Default)]
-struct LotDoor {
+struct LotApi {
     files: BTreeMap<String, String>,
     lots: BTreeMap<String, Value>,
     refusals: u32,
 }
 
-impl LotDoor {
+impl LotApi {
     fn answer(&mut self, method: &Method, path: &str, job: &str, body: &str) -> (u16, String) {
         let parts: Vec<&str> = path.split('/').skip(2).collect();
         match (method.as_str(), parts.as_slice()) {
@@ -316,17 +316,14 @@
     json!({ "custom_id": item["custom_id"], "response": response }).to_string() + "\n"
 }
 
-async fn answer_lots(
-    door: Arc<Mutex<LotDoor>>,
-    request: Request<Incoming>,
-) -> Response<MessageBody> {
+async fn answer_lots(api: Arc<Mutex<LotApi>>, request: Request<Incoming>) -> Response<MessageBody> {
     let (head, body) = request.into_parts();
     let body = collect_limited(body, 1 << 20).await.unwrap();
     let body = std::str::from_utf8(&body).unwrap();
     let job = head.headers.get("idempotency-key");
     let job = job.map_or("", |it| it.to_str().unwrap());
     let path = head.uri.path().to_owned();
-    let (status, text) = door.lock().unwrap().answer(&head.method, &path, job, body);
+    let (status, text) = api.lock().unwrap().answer(&head.method, &path, job, body);
     let mut response = Response::new(MessageBody::from(text));
     if status != 200 {
         response = Response::new(json_body(&json!({ "error": { "code": "busy" } })));
@@ -336,13 +333,13 @@
 }
 
 #[tokio::test]
-async fn a_lot_is_handed_in_followed_and_read() {
-    let door = Arc::new(Mutex::new(LotDoor {
+async fn a_lot_is_submitted_polled_and_read() {
+    let api = Arc::new(Mutex::new(LotApi {
         refusals: 1,
-        ..LotDoor::default()
+        ..LotApi::default()
     }));
     let (listener, url) = listen().await;
-    let shared = door.clone();
+    let shared = api.clone();
     tokio::spawn(serve(
         listener,
         ServeLimits::default(),
@@ -375,6 +372,6 @@
     assert_eq!((lots.sent, lots.acknowledged, lots.doubled), (2, 1, 0));
     assert_eq!((lots.ended, lots.on_time), (1, 1));
     assert_eq!((lots.items_done, lots.items_missing), (4, 0));
-    let told: u32 = result.timeline.iter().map(|it| it.lot_items).sum();
-    assert_eq!(told, 4);
+    let reported: u32 = result.timeline.iter().map(|it| it.lot_items).sum();
+    assert_eq!(reported, 4);
 }
--- a/crates/load/tests/trace.rs
+++ b/crates/load/tests/trace.rs
@@ -1,6 +1,6 @@
-//! Traces: their generators and their file.
+//! Trace generation and the trace file format.
 
-// The exemption of the lints covers test functions and not their helpers.
+// The lints exempt test functions only, not their helpers.
 #![allow(clippy::panic, clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn arrivals_follow_the_rate_and_its_spells() {
+fn arrivals_follow_the_rate_and_its_factors() {
     let steady = generate_trace(&mix_of(live_mix(20.0)), 1);
     assert!((1850..2150).contains(&steady.events.len()));
     let overdriven = LiveMix {
@@ -84,9 +84,10 @@
         ..live_mix(20.0)
     };
     let trace = generate_trace(&mix_of(overdriven), 1);
-    let (usual, spell) = (count_between(&trace, 0, 40), count_between(&trace, 40, 60));
-    // Twice the time at the usual rate against five times the rate.
-    let ratio = spell as f64 / (usual as f64 / 2.0);
+    let (base_count, overdrive_count) =
+        (count_between(&trace, 0, 40), count_between(&trace, 40, 60));
+    // The base rate applies for twice as long as the fivefold rate.
+    let ratio = overdrive_count as f64 / (base_count as f64 / 2.0);
     assert!((4.5..5.5).contains(&ratio), "{ratio}");
     let bursty = LiveMix {
         bursts: Some(BurstMix {
@@ -125,7 +126,7 @@
     assert_eq!(trace.events.len(), 20);
     let lots = trace.events.iter().map(|it| match &it.kind {
         EventKind::Lot(lot) => (it.at, lot.clone()),
-        _ => panic!("only lots were asked for"),
+        _ => panic!("expected only lots"),
     });
     let (resent, first): (Vec<_>, Vec<_>) = lots.partition(|(_, it)| it.resent);
     for ((at, lot), (resent_at, resent)) in first.iter().zip(resent) {
@@ -177,7 +178,7 @@
     let mut systems = Vec::new();
     for event in &trace.events {
         let EventKind::Live(live) = &event.kind else {
-            panic!("only live requests were asked for");
+            panic!("expected only live requests");
         };
         let prompt = live_prompt(live);
         let tokens = prompt.user.len().div_ceil(4) as u32;
