--- a/crates/demo/src/caller.rs
+++ b/crates/demo/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: a door, a key, and the published shapes.
+//! A client of one daemon, and helpers for its requests and responses.
 
 use std::time::Duration;
 
@@ -10,43 +10,43 @@
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 
-/// How long one step may take.
+/// The timeout of one request, and of reading its response.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest answer.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
+/// The maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A caller of one daemon.
+/// A client that calls one daemon with a key.
 #[derive(Debug)]
 pub(crate) struct DemoCaller {
-    pub(crate) door: String,
+    pub(crate) base_url: String,
     pub(crate) key: String,
     client: HttpClient,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
-pub(crate) struct WholeAnswer {
+pub(crate) struct CompleteResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl WholeAnswer {
+impl CompleteResponse {
     pub(crate) fn json(&self) -> anyhow::Result<Value> {
-        serde_json::from_slice(&self.body).context("the answer is no JSON")
+        serde_json::from_slice(&self.body).context("the response is not valid JSON")
     }
 }
 
 impl DemoCaller {
-    pub(crate) fn new(door: String, key: String) -> Self {
+    pub(crate) fn new(base_url: String, key: String) -> Self {
         DemoCaller {
-            door,
+            base_url,
             key,
             client: HttpClient::default(),
         }
     }
 
-    pub(crate) async fn open(
+    pub(crate) async fn send(
         &self,
         method: Method,
         path: &str,
@@ -55,7 +55,7 @@
     ) -> anyhow::Result<Response<Incoming>> {
         let request = Request::builder()
             .method(method)
-            .uri(format!("{}{path}", self.door))
+            .uri(format!("{}{path}", self.base_url))
             .header(header::AUTHORIZATION, format!("Bearer {}", self.key))
             .header(header::CONTENT_TYPE, content_type)
             .body(body.into())?;
@@ -68,14 +68,14 @@
         path: &str,
         content_type: &str,
         body: impl Into<MessageBody>,
-    ) -> anyhow::Result<WholeAnswer> {
+    ) -> anyhow::Result<CompleteResponse> {
         let (head, body) = self
-            .open(method, path, content_type, body)
+            .send(method, path, content_type, body)
             .await?
             .into_parts();
         let body =
-            tokio::time::timeout(STEP_TIMEOUT, collect_limited(body, ANSWER_LIMIT)).await??;
-        Ok(WholeAnswer {
+            tokio::time::timeout(STEP_TIMEOUT, collect_limited(body, MAX_RESPONSE_BYTES)).await??;
+        Ok(CompleteResponse {
             status: head.status,
             headers: head.headers,
             body,
@@ -83,7 +83,7 @@
     }
 }
 
-/// The body of a chat request.
+/// Returns the body of a chat request.
 pub(crate) fn chat_body(model: &str, prompt: &str, tokens: u32, stream: bool) -> Value {
     json!({
         "model": model,
@@ -93,12 +93,14 @@
     })
 }
 
-/// What an engine stand-in's answer to a prompt starts with.
+/// Returns the start of the engine stand-in's response to a prompt, which is a hash
+/// of the prompt.
 pub(crate) fn expected_start(prompt: &str) -> String {
     hex::encode(&Sha256::digest(prompt.as_bytes())[..8])
 }
 
-/// The text and the number of tokens of a streamed answer, which must be whole.
+/// Returns the text and the number of tokens of a streamed response. Fails if the
+/// stream has no end marker.
 pub(crate) fn read_events(body: &Bytes) -> anyhow::Result<(String, usize)> {
     let text = std::str::from_utf8(body)?;
     let events: Vec<&str> = text
--- a/crates/demo/src/lot.rs
+++ b/crates/demo/src/lot.rs
@@ -1,4 +1,4 @@
-//! A lot from its upload to its results.
+//! Steps that run a lot, from its upload to its results.
 
 use std::time::{Duration, Instant};
 
@@ -7,23 +7,23 @@
 use comfreyramp_http::Method;
 use serde_json::{Value, json};
 
-use crate::caller::{DemoCaller, WholeAnswer, chat_body, expected_start};
+use crate::caller::{CompleteResponse, DemoCaller, chat_body, expected_start};
 
-/// How long a lot may take, with a daemon lost on the way: its segments are
-/// free again once its lease has lapsed.
+/// The timeout of a lot. A daemon may be lost during the run, and its segments only
+/// become free again once its lease has expired.
 const LOT_TIMEOUT: Duration = Duration::from_secs(60);
-/// The pause between two looks.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How many items must run for a lot to be under way.
-const ENOUGH_RUNNING: usize = 3;
-/// What stands between the fields of the form.
+/// The interval between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The number of items that must run for a lot to count as started.
+const MIN_RUNNING: usize = 3;
+/// The multipart boundary of the upload.
 const BOUNDARY: &str = "demo-between-fields";
 
 /// Upload a file of items and create a lot; prints the lot's id.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "lot-create")]
 pub(crate) struct CreateLot {
-    /// base URL of a daemon's callers' door
+    /// base URL of a daemon's caller listener
     #[argh(option)]
     door: String,
     /// the caller's key
@@ -32,10 +32,10 @@
     /// the model
     #[argh(option)]
     model: String,
-    /// how many items
+    /// number of items
     #[argh(option)]
     items: usize,
-    /// tokens to generate for each
+    /// tokens to generate for each item (default 24)
     #[argh(option, default = "24")]
     tokens: u32,
 }
@@ -44,7 +44,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "lot-finish")]
 pub(crate) struct FinishLot {
-    /// base URL of a daemon's callers' door
+    /// base URL of a daemon's caller listener
     #[argh(option)]
     door: String,
     /// the caller's key
@@ -53,7 +53,7 @@
     /// the lot's id
     #[argh(option)]
     lot: String,
-    /// how many items it has
+    /// number of items in the lot
     #[argh(option)]
     items: usize,
 }
@@ -67,28 +67,30 @@
     engine: String,
 }
 
-/// Uploads the items and creates the lot.
+/// Uploads the items, creates the lot and returns its id.
 pub(crate) async fn create(lot: CreateLot) -> anyhow::Result<String> {
     let caller = DemoCaller::new(lot.door, lot.key);
     let items = (0..lot.items).map(|it| item(it, &lot.model, lot.tokens));
-    let kind = format!("multipart/form-data; boundary={BOUNDARY}");
+    let content_type = format!("multipart/form-data; boundary={BOUNDARY}");
     let form = form(&items.collect::<String>());
-    let answer = caller.call(Method::POST, "/v1/files", &kind, form).await?;
+    let answer = caller
+        .call(Method::POST, "/v1/files", &content_type, form)
+        .await?;
     let file = read(&answer)?;
     let body = json!({
         "input_file_id": file["id"],
         "endpoint": "/v1/chat/completions",
         "completion_window": "1h",
     });
-    let kind = "application/json";
-    let answer = caller.call(Method::POST, "/v1/batches", kind, body.to_string());
+    let content_type = "application/json";
+    let answer = caller.call(Method::POST, "/v1/batches", content_type, body.to_string());
     let lot = read(&answer.await?)?;
     let id = lot["id"].as_str().context("the lot has no id")?;
     Ok(id.to_owned())
 }
 
 /// Waits until enough items run on the engine.
-pub(crate) async fn begun(wait: AwaitLot) -> anyhow::Result<String> {
+pub(crate) async fn await_running(wait: AwaitLot) -> anyhow::Result<String> {
     let begun = Instant::now();
     let caller = DemoCaller::new(wait.engine, String::new());
     loop {
@@ -97,11 +99,11 @@
         let requests = answer.await?.json()?;
         let requests = requests["requests"].as_array().cloned().unwrap_or_default();
         let running = requests.iter().filter(|it| runs_for_lot(it)).count();
-        if running >= ENOUGH_RUNNING {
-            return Ok(format!("{running} of its items run"));
+        if running >= MIN_RUNNING {
+            return Ok(format!("{running} of its items are running"));
         }
-        ensure!(begun.elapsed() < LOT_TIMEOUT, "nothing of it runs");
-        tokio::time::sleep(PAUSE).await;
+        ensure!(begun.elapsed() < LOT_TIMEOUT, "too few items are running");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -110,25 +112,34 @@
     id.starts_with("batch_req_") && request["end"] == "running"
 }
 
-/// Waits for the lot's end and checks that each item was answered once, with
-/// the answer to its own prompt.
+/// Waits until the lot has ended and checks that each item has exactly one result,
+/// with the response to its own prompt.
 pub(crate) async fn finish(wait: FinishLot) -> anyhow::Result<String> {
     let caller = DemoCaller::new(wait.door, wait.key);
     let begun = Instant::now();
     let lot = loop {
-        let lot = look(&caller, &wait.lot).await?;
+        let lot = fetch_lot(&caller, &wait.lot).await?;
         if lot["status"] == "completed" {
             break lot;
         }
-        ensure!(begun.elapsed() < LOT_TIMEOUT, "it never ended: {lot}");
-        tokio::time::sleep(PAUSE).await;
+        ensure!(
+            begun.elapsed() < LOT_TIMEOUT,
+            "the lot did not end in time: {lot}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     };
     ensure!(lot["request_counts"]["completed"] == wait.items, "{lot}");
-    let output = lot["output_file_id"].as_str().context("no output file")?;
+    let output = lot["output_file_id"]
+        .as_str()
+        .context("the lot has no output file")?;
     let path = format!("/v1/files/{output}/content");
     let answer = caller.call(Method::GET, &path, "text/plain", String::new());
     let answer = answer.await?;
-    ensure!(answer.status.is_success(), "the results: {}", answer.status);
+    ensure!(
+        answer.status.is_success(),
+        "reading the results failed: {}",
+        answer.status
+    );
     check_results(std::str::from_utf8(&answer.body)?, wait.items)?;
     let seconds = begun.elapsed().as_secs_f64();
     Ok(format!(
@@ -143,25 +154,33 @@
         let line: Value = serde_json::from_str(line)?;
         let id = line["custom_id"].as_str().unwrap_or_default();
         let number: usize = id.trim_start_matches("item-").parse()?;
-        let count = seen.get_mut(number).context("an item nobody sent")?;
+        let count = seen
+            .get_mut(number)
+            .context("a result for an unknown item")?;
         *count += 1;
         let choice = &line["response"]["body"]["choices"][0];
         let text = choice["message"]["content"].as_str().unwrap_or_default();
         let start = expected_start(&prompt(number));
-        ensure!(text.starts_with(&start), "{id} has another's answer");
+        ensure!(
+            text.starts_with(&start),
+            "{id} has the response to another prompt"
+        );
     }
     let wrong = seen.iter().position(|&it| it != 1);
-    ensure!(wrong.is_none(), "item {wrong:?} isn't there just once");
+    ensure!(
+        wrong.is_none(),
+        "item {wrong:?} does not have exactly one result"
+    );
     Ok(())
 }
 
-async fn look(caller: &DemoCaller, lot: &str) -> anyhow::Result<Value> {
+async fn fetch_lot(caller: &DemoCaller, lot: &str) -> anyhow::Result<Value> {
     let path = format!("/v1/batches/{lot}");
     let answer = caller.call(Method::GET, &path, "text/plain", String::new());
     read(&answer.await?)
 }
 
-fn read(answer: &WholeAnswer) -> anyhow::Result<Value> {
+fn read(answer: &CompleteResponse) -> anyhow::Result<Value> {
     let shown = String::from_utf8_lossy(&answer.body);
     ensure!(answer.status.is_success(), "{}: {shown}", answer.status);
     answer.json()
--- a/crates/demo/src/main.rs
+++ b/crates/demo/src/main.rs
@@ -1,5 +1,5 @@
-//! The client that the demo walks with: each subcommand does one step as a
-//! caller would, checks what came back, and fails if it is not what it should be.
+//! The client of the demo script. Each subcommand performs one step as a caller
+//! would, checks the response, and fails if it isn't as expected.
 
 mod caller;
 mod lot;
@@ -10,7 +10,7 @@
 
 use argh::FromArgs;
 
-/// One step of the demo.
+/// Run one step of the demo.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
--- a/crates/demo/src/platform.rs
+++ b/crates/demo/src/platform.rs
@@ -1,10 +1,10 @@
-//! The platform stand-in's VM list.
+//! Registration of VMs with the platform stand-in.
 
 use anyhow::ensure;
 use comfreyramp_http::{HttpClient, Method, Request, json_body};
 use serde_json::json;
 
-/// A VM to be listed.
+/// A VM to add to the platform's VM list.
 #[derive(Debug)]
 pub(crate) struct NewVm<'a> {
     pub(crate) name: &'a str,
@@ -13,7 +13,7 @@
     pub(crate) address: &'a str,
 }
 
-/// Puts a VM on the list.
+/// Adds a VM to the VM list, in state `live`.
 pub(crate) async fn register(platform: &str, vm: &NewVm<'_>) -> anyhow::Result<()> {
     let body = json!({
         "name": vm.name,
--- a/crates/demo/src/steps.rs
+++ b/crates/demo/src/steps.rs
@@ -1,4 +1,4 @@
-//! The steps.
+//! The steps of the demo.
 
 use std::time::{Duration, Instant};
 
@@ -12,12 +12,12 @@
     platform::{self, NewVm},
 };
 
-/// How long a daemon may take to become ready.
+/// The timeout for a daemon to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a withdrawal may take to be in force.
+/// The timeout for the withdrawal of a key to take effect.
 const WITHDRAWAL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The pause between two looks.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The interval between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
@@ -32,11 +32,11 @@
     Register(Register),
 }
 
-/// Send a chat request and check that the whole answer came.
+/// Send a chat request and check that the response is complete.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "chat")]
 pub(crate) struct Chat {
-    /// base URL of a daemon's callers' door
+    /// base URL of a daemon's caller listener
     #[argh(option)]
     door: String,
     /// the caller's key
@@ -45,22 +45,22 @@
     /// the model
     #[argh(option)]
     model: String,
-    /// what to say
+    /// the text of the prompt
     #[argh(option)]
     prompt: String,
-    /// tokens to generate
+    /// tokens to generate (default 24)
     #[argh(option, default = "24")]
     tokens: u32,
-    /// ask for a stream
+    /// request a streamed response
     #[argh(switch)]
     stream: bool,
 }
 
-/// Call a plain service.
+/// Call a plain HTTP service.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plain")]
 pub(crate) struct Plain {
-    /// base URL of a daemon's callers' door
+    /// base URL of a daemon's caller listener
     #[argh(option)]
     door: String,
     /// the caller's key
@@ -75,16 +75,16 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "ready")]
 pub(crate) struct Ready {
-    /// base URL of the daemon's operators' door
+    /// base URL of the daemon's operator listener
     #[argh(option)]
     operators: String,
 }
 
-/// Check that a key is refused within seconds.
+/// Check that a withdrawn key is rejected within seconds.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "refused")]
 pub(crate) struct Refused {
-    /// base URL of a daemon's callers' door
+    /// base URL of a daemon's caller listener
     #[argh(option)]
     door: String,
     /// the withdrawn key
@@ -92,7 +92,7 @@
     key: String,
 }
 
-/// Put a VM on the platform stand-in's list.
+/// Add a VM to the VM list of the platform stand-in.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "register")]
 pub(crate) struct Register {
@@ -102,23 +102,23 @@
     /// the VM's name
     #[argh(option)]
     name: String,
-    /// its zone
+    /// the VM's availability zone
     #[argh(option)]
     zone: String,
-    /// its group
+    /// the VM's group
     #[argh(option)]
     group: String,
-    /// its ip:port
+    /// the VM's ip:port
     #[argh(option)]
     address: String,
 }
 
-/// Runs a step and returns what happened.
+/// Runs a step and returns a line that describes its outcome.
 pub(crate) async fn run(step: Step) -> anyhow::Result<String> {
     match step {
         Step::Chat(it) => chat(it).await,
         Step::CreateLot(it) => lot::create(it).await,
-        Step::AwaitLot(it) => lot::begun(it).await,
+        Step::AwaitLot(it) => lot::await_running(it).await,
         Step::FinishLot(it) => lot::finish(it).await,
         Step::Plain(it) => plain(it).await,
         Step::Ready(it) => ready(&it.operators).await,
@@ -158,14 +158,17 @@
         (text.to_owned(), tokens as usize)
     };
     let start = expected_start(&chat.prompt);
-    ensure!(text.starts_with(&start), "somebody else's answer: {text}");
+    ensure!(
+        text.starts_with(&start),
+        "response to another prompt: {text}"
+    );
     ensure!(
         tokens == chat.tokens as usize,
-        "{tokens} tokens of {}: {text}",
+        "received {tokens} of {} tokens: {text}",
         chat.tokens
     );
     Ok(format!(
-        "{tokens} tokens, the whole answer to the caller's own prompt ({start}…)"
+        "{tokens} tokens, the complete response to the caller's own prompt ({start}…)"
     ))
 }
 
@@ -183,7 +186,7 @@
     ensure!(answer.status.is_success(), "{}: {shown}", answer.status);
     ensure!(
         !shown.contains(&caller.key),
-        "the backend server saw the key"
+        "the backend server received the key"
     );
     Ok(format!(
         "answered with {}, {} bytes",
@@ -207,7 +210,7 @@
         if Instant::now() > deadline {
             bail!("{operators} is not ready after {READY_TIMEOUT:?}");
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -219,7 +222,10 @@
             .call(Method::GET, "/v1/models", "text/plain", String::new())
             .await?;
         if answer.status.as_u16() == 401 {
-            ensure!(answer.headers.contains_key("retry-after"), "no Retry-After");
+            ensure!(
+                answer.headers.contains_key("retry-after"),
+                "the response has no Retry-After"
+            );
             return Ok(format!(
                 "refused {} ms after the withdrawal",
                 begun.elapsed().as_millis()
@@ -229,6 +235,6 @@
             begun.elapsed() < WITHDRAWAL_TIMEOUT,
             "the withdrawn key still works"
         );
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
