--- a/crates/tool/src/commands/status.rs
+++ b/crates/tool/src/commands/status.rs
@@ -42,7 +42,7 @@
     for (address, view) in views {
         if view["unreachable"].is_string() {
             let daemons = conditions
-                .entry("no answer at this door".to_owned())
+                .entry("no answer at this address".to_owned())
                 .or_default();
             daemons.push(address.clone());
         }
--- a/crates/tool/tests/fleet_commands.rs
+++ b/crates/tool/tests/fleet_commands.rs
@@ -309,7 +309,7 @@
     let degraded = [
         "server engine-2 is leaving and gets no new work",
         "no server of group proofs can take a request for proofs",
-        "no answer at this door",
+        "no answer at this address",
     ];
     let began = Instant::now();
     loop {
