--- a/crates/replay/src/bulk_state.rs
+++ b/crates/replay/src/bulk_state.rs
@@ -13,7 +13,7 @@
 
 /// A number of slots that never limits.
 const UNLIMITED: f64 = 1e6;
-/// The maximum number of bulk items on a server without any limit.
+/// The maximum number of bulk items on a server under [`BulkPolicy::AllAtOnce`].
 const MAX_ALL_AT_ONCE: u32 = 512;
 
 /// The slot limit that the simulated policy uses.
