--- a/crates/load/src/outcome/collector.rs
+++ b/crates/load/src/outcome/collector.rs
@@ -46,8 +46,8 @@
             CallEnd::NoAnswer => Admission::Unknown,
             CallEnd::Refused(refusal) if refusal.may_have_run() => Admission::Admitted,
             CallEnd::Refused(refusal) if refusal.is_for_capacity() => Admission::Refused,
-            // An invalid key or a malformed request is rejected before the rate
-            // limits apply.
+            // A rejection for an invalid key or a malformed request says nothing
+            // about the rate limits.
             CallEnd::Refused(_) => Admission::Unknown,
             _ => Admission::Admitted,
         }
--- a/crates/load/src/report/table.rs
+++ b/crates/load/src/report/table.rs
@@ -81,7 +81,7 @@
         known.then(|| format!("{requests}, {cancelled}, {}", sum(|it| it.tokens)))
     });
     add(
-        "prompts with two complete responses, requests with a key",
+        "prompts answered more than once, requests with a key",
         &|it| {
             let keys: u64 = it.engines.iter().map(|it| it.keys_seen).sum();
             let known = !it.engines.is_empty();
--- a/crates/load/tests/play.rs
+++ b/crates/load/tests/play.rs
@@ -113,7 +113,8 @@
     let records = engine.log().list();
     let key = |it: &str| it == "Bearer secret";
     assert!(records.iter().all(|it| key(&it.headers["authorization"])));
-    // Without daemons in between, the engine receives the keys.
+    // The calls bypass the daemons, so the engine receives the keys. Behind daemons
+    // it must not.
     let seen = &result.engines[0];
     assert_eq!((seen.requests, seen.done, seen.tokens), (10, 10, 60));
     assert_eq!((seen.keys_seen, result.prompts_answered_twice), (10, 0));
