--- a/crates/load/src/commands/run.rs
+++ b/crates/load/src/commands/run.rs
@@ -140,9 +140,9 @@
         println!("interrupted; requests in flight are not counted");
     }
     for engine in &result.engines {
-        let error = engine.error.as_deref().unwrap_or("list read");
+        let error = engine.error.as_deref().unwrap_or("log read");
         println!(
-            "engine {}: {error}; {} requests, {} done, {} cancelled, {} broken, {} refused, {} tokens, {} showed a key",
+            "engine {}: {error}; {} requests, {} done, {} cancelled, {} broken, {} refused, {} tokens, {} with a key",
             engine.url,
             engine.requests,
             engine.done,
@@ -167,7 +167,7 @@
             live.inter_token.p95_ms
         );
         println!(
-            "  plain  {} sent, {} done, {} refused; whole p95 {:.0} ms",
+            "  plain  {} sent, {} done, {} refused; duration p95 {:.0} ms",
             plain.sent,
             plain.done,
             plain.refused(),
@@ -185,7 +185,7 @@
             lots.items_per_second
         );
         println!(
-            "  refused inside the rate {} (clearly {}), most above rate and burst {:.1}",
+            "  wrongful refusals {} (clearly {}), maximum calls above rate and burst {:.1}",
             customer.wrongful_refusals, customer.clearly_wrongful_refusals, customer.overshoot
         );
     }
