--- a/crates/policy/src/rates/zone_roster.rs
+++ b/crates/policy/src/rates/zone_roster.rs
@@ -151,7 +151,7 @@
     pub fn next_change(
         &self,
         own: &RosterMember,
-        watch: &ExpulsionTracker,
+        tracker: &ExpulsionTracker,
         expulsion: Duration,
         gone: impl Fn(&str) -> bool,
         silent: impl Fn(&str) -> bool,
@@ -161,8 +161,8 @@
         let changed = joined.or_else(|| self.with_slots(&own.name));
         let changed =
             changed.or_else(|| self.without_slots(&own.name, &self.excess_slots(&own.name)));
-        let changed = changed.or_else(|| watch.freed(self, expulsion, now));
-        let changed = changed.or_else(|| watch.marked(self, &own.name, gone, silent));
+        let changed = changed.or_else(|| tracker.freed(self, expulsion, now));
+        let changed = changed.or_else(|| tracker.marked(self, &own.name, gone, silent));
         Some(self.change_to(&own.name, &changed?))
     }
 
--- a/crates/policy/tests/copy_proof.rs
+++ b/crates/policy/tests/copy_proof.rs
@@ -22,17 +22,17 @@
     }
 }
 
-fn runner_report(results: usize, heard_at: Timestamp) -> Option<RunnerConfirmation> {
+fn runner_report(results: usize, last_received_at: Timestamp) -> Option<RunnerConfirmation> {
     Some(RunnerConfirmation {
         results,
-        last_received_at: heard_at,
+        last_received_at,
     })
 }
 
-fn reader(after: usize, asked_at: Timestamp) -> ReaderPosition {
+fn reader(after: usize, requested_at: Timestamp) -> ReaderPosition {
     ReaderPosition {
         after,
-        requested_at: asked_at,
+        requested_at,
     }
 }
 
--- a/crates/policy/tests/rates_bus/mod.rs
+++ b/crates/policy/tests/rates_bus/mod.rs
@@ -69,7 +69,7 @@
 
 struct Member {
     ledger: ShareLedger,
-    expulsion_watch: ExpulsionTracker,
+    expulsion_tracker: ExpulsionTracker,
     incarnation: u64,
     offset: u64,
     drift_ppm: i64,
@@ -235,7 +235,7 @@
         let first_id = self.random.random();
         let mut member = Member {
             ledger: self.new_ledger(daemon, first_id, Timestamp::ZERO),
-            expulsion_watch: ExpulsionTracker::default(),
+            expulsion_tracker: ExpulsionTracker::default(),
             incarnation: self.random.random(),
             offset,
             drift_ppm,
@@ -533,7 +533,7 @@
         let zone = daemon / self.options.per_zone;
         let now = local_time(&self.members[daemon], self.now);
         let roster = self.rosters[zone].clone();
-        self.members[daemon].expulsion_watch.note(&roster, now);
+        self.members[daemon].expulsion_tracker.note(&roster, now);
         let member = &self.members[daemon];
         let number = |name: &str| name.parse::<usize>().unwrap_or_default();
         let gone = |name: &str| !self.members[number(name)].listed;
@@ -548,7 +548,7 @@
             state: MemberState::Active,
         };
         let wait = self.options.timing.expulsion_delay;
-        let change = roster.next_change(&me, &member.expulsion_watch, wait, gone, silent, now);
+        let change = roster.next_change(&me, &member.expulsion_tracker, wait, gone, silent, now);
         let Some(change) = change else {
             return;
         };
--- a/crates/policy/tests/rates_roster.rs
+++ b/crates/policy/tests/rates_roster.rs
@@ -67,25 +67,25 @@
     // A VM is lost. Its slots must go to others, but not before a daemon that is merely
     // paused would have noticed that its view is stale.
     let roster = roster_of(&["a", "b"]);
-    let mut watch = ExpulsionTracker::default();
+    let mut tracker = ExpulsionTracker::default();
     let always = |_: &str| true;
     let never = |_: &str| false;
     assert_eq!(
-        watch.marked(&roster, "a", always, never),
+        tracker.marked(&roster, "a", always, never),
         None,
         "it still answers"
     );
     assert_eq!(
-        watch.marked(&roster, "a", never, always),
+        tracker.marked(&roster, "a", never, always),
         None,
         "the list still has it"
     );
-    let roster = watch.marked(&roster, "a", always, always).unwrap();
+    let roster = tracker.marked(&roster, "a", always, always).unwrap();
     let key_of = |name: &str| Some(DaemonId(u32::from(name.as_bytes()[0])));
     assert!(!roster.holders(key_of).contains(&key_of("b")));
-    watch.note(&roster, second(100));
-    assert_eq!(watch.freed(&roster, WAIT, second(159)), None);
-    let freed = watch.freed(&roster, WAIT, second(160)).unwrap();
+    tracker.note(&roster, second(100));
+    assert_eq!(tracker.freed(&roster, WAIT, second(159)), None);
+    let freed = tracker.freed(&roster, WAIT, second(160)).unwrap();
     assert!(freed.member("b").is_none());
     let taken = freed.with_slots("a").unwrap();
     assert_eq!(count(&taken, "a"), SLOTS);
@@ -96,13 +96,13 @@
     // A daemon was paused and marked; it resumes and reads the record before the wait
     // is over. If it is marked again, the wait must start again.
     let roster = roster_of(&["a", "b"]);
-    let mut watch = ExpulsionTracker::default();
+    let mut tracker = ExpulsionTracker::default();
     let marked = roster.with_expelled("b").unwrap();
-    watch.note(&marked, second(100));
+    tracker.note(&marked, second(100));
     let cleared = marked.with_member("b", "", 1).unwrap();
-    watch.note(&cleared, second(130));
-    assert_eq!(watch.freed(&cleared, WAIT, second(200)), None);
-    watch.note(&marked, second(150));
-    assert_eq!(watch.freed(&marked, WAIT, second(209)), None);
-    assert!(watch.freed(&marked, WAIT, second(210)).is_some());
+    tracker.note(&cleared, second(130));
+    assert_eq!(tracker.freed(&cleared, WAIT, second(200)), None);
+    tracker.note(&marked, second(150));
+    assert_eq!(tracker.freed(&marked, WAIT, second(209)), None);
+    assert!(tracker.freed(&marked, WAIT, second(210)).is_some());
 }
--- a/crates/policy/tests/start_order.rs
+++ b/crates/policy/tests/start_order.rs
@@ -173,15 +173,15 @@
 /// complete ones.
 #[test]
 fn generated_tokens_reduce_the_remaining_time() {
-    let mut pace = RunTimeEstimate::default();
+    let mut run_times = RunTimeEstimate::default();
     assert_eq!(
-        pace.remaining(0),
+        run_times.remaining(0),
         Duration::ZERO,
         "nothing was measured yet"
     );
-    pace.record_run(Duration::from_secs(2), 50);
-    pace.record_item_events(150);
-    assert_eq!(pace.remaining(0), Duration::from_secs(6));
-    assert_eq!(pace.remaining(100), Duration::from_secs(2));
-    assert_eq!(pace.remaining(200), Duration::ZERO);
+    run_times.record_run(Duration::from_secs(2), 50);
+    run_times.record_item_events(150);
+    assert_eq!(run_times.remaining(0), Duration::from_secs(6));
+    assert_eq!(run_times.remaining(100), Duration::from_secs(2));
+    assert_eq!(run_times.remaining(200), Duration::ZERO);
 }
--- a/crates/policy/tests/waiting_tokens.rs
+++ b/crates/policy/tests/waiting_tokens.rs
@@ -226,17 +226,20 @@
             })
             .collect()
     };
-    let mut pace = TokenReturnRate::default();
+    let mut return_rate = TokenReturnRate::default();
     let max_wait = Duration::from_secs(18);
     let mut now = Timestamp::ZERO;
     for open in [[1_000, 800], [500, 800], [0, 800], [0, 300], [0, 0]] {
-        pace.note(&lots(open), now);
+        return_rate.note(&lots(open), now);
         now = now + Duration::from_secs(1);
     }
     assert_eq!(
-        pace.retry_after(1_000, max_wait),
+        return_rate.retry_after(1_000, max_wait),
         Duration::from_millis(2_500)
     );
-    assert_eq!(pace.retry_after(u64::MAX, max_wait), max_wait);
-    assert_eq!(pace.retry_after(1, max_wait), Duration::from_millis(500));
+    assert_eq!(return_rate.retry_after(u64::MAX, max_wait), max_wait);
+    assert_eq!(
+        return_rate.retry_after(1, max_wait),
+        Duration::from_millis(500)
+    );
 }
--- a/crates/serving/src/fleet/peer_views.rs
+++ b/crates/serving/src/fleet/peer_views.rs
@@ -45,7 +45,7 @@
 /// have left. The view revisions in its peers' reports show that it is behind.
 pub async fn follow_peers<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
     let client = HttpClient::new(ANSWER_TIMEOUT);
-    let mut passed = PausedSources::default();
+    let mut paused = PausedSources::default();
     let mut was_behind = false;
     let mut delay = CHECK_INTERVAL;
     while !stop.is_cancelled() {
@@ -55,7 +55,7 @@
         }
         delay = CHECK_INTERVAL;
         node.update_lags();
-        let ahead = node.peer_with_newer_views(&passed);
+        let ahead = node.peer_with_newer_views(&paused);
         // A watch needs a moment to deliver what another daemon has already, so a watcher
         // waits for one more check. A daemon that doesn't watch has no other source.
         let is_due = was_behind || !node.is_watcher();
@@ -74,14 +74,14 @@
             }
             Err(error) => {
                 log::warn!(peer:% = peer, error:% = error; "peers: no views from a peer");
-                passed.note_silent(peer, now);
+                paused.note_silent(peer, now);
                 delay = jittered(MAX_RETRY_DELAY);
                 continue;
             }
         };
         if is_busy {
             log::info!(peer:% = peer; "peers: a peer shows its views to others just now");
-            passed.note_busy(peer, now, &mut rand::rng());
+            paused.note_busy(peer, now, &mut rand::rng());
             delay = jittered(MAX_RETRY_DELAY);
         }
     }
--- a/crates/serving/src/lots/accept.rs
+++ b/crates/serving/src/lots/accept.rs
@@ -153,7 +153,7 @@
     submission: &Submission,
     batch: WriteBatch,
 ) -> Result<AcceptOutcome, StoreError> {
-    match write_once(&node.store, batch, retry_pace(node)).await? {
+    match write_once(&node.store, batch, retry_policy(node)).await? {
         WriteOnceOutcome::Written(revision) => Ok(AcceptOutcome::Written(revision)),
         WriteOnceOutcome::Refused { found, .. } | WriteOnceOutcome::Superseded { found, .. } => {
             Ok(accepted_before(node, submission, &found))
@@ -196,7 +196,7 @@
             return refuse_bounded(node, submission, refusal, copy.total()).await;
         }
         let guarded = copy.guard(batch.clone(), waiting.clone());
-        let outcome = write_once(&node.store, guarded.batch, retry_pace(node)).await;
+        let outcome = write_once(&node.store, guarded.batch, retry_policy(node)).await;
         let found = match outcome {
             Ok(WriteOnceOutcome::Written(revision)) => {
                 copy.note_written(guarded.ledger, revision);
@@ -256,7 +256,7 @@
     }))
 }
 
-fn retry_pace<D: Dialect>(node: &Node<D>) -> RetryPolicy {
+fn retry_policy<D: Dialect>(node: &Node<D>) -> RetryPolicy {
     RetryPolicy::new(node.incarnation)
         .attempts(MAX_STORE_ATTEMPTS)
         .max_delay(MAX_STORE_BACKOFF)
--- a/crates/serving/src/lots/held_lot.rs
+++ b/crates/serving/src/lots/held_lot.rs
@@ -223,14 +223,14 @@
     pub(super) fn start_rank(
         &self,
         index: usize,
-        pace: &RunTimeEstimate,
+        run_times: &RunTimeEstimate,
         millis: u64,
     ) -> StartRank {
         let until = |moment: u64| Duration::from_millis(moment.saturating_sub(millis));
         StartRank::of(ItemTimes {
             due_in: until(self.head.due),
             given_up_in: until(self.head.given_up),
-            needs: pace.remaining(self.items[index].progress.events),
+            needs: run_times.remaining(self.items[index].progress.events),
         })
     }
 
@@ -261,7 +261,7 @@
         &mut self,
         index: usize,
         outcome: ItemOutcome,
-        pace: &mut RunTimeEstimate,
+        run_times: &mut RunTimeEstimate,
         now: Timestamp,
     ) {
         let attempts = self.head.attempts;
@@ -273,7 +273,7 @@
                 "lots: a run of an item ends"
             );
         }
-        item.note_pace(&outcome, pace, now);
+        item.note_run_time(&outcome, run_times, now);
         match outcome {
             ItemOutcome::Done(progress) => {
                 let output = String::from_utf8_lossy(&progress.output).into_owned();
@@ -392,17 +392,22 @@
 }
 
 impl HeldItem {
-    /// Feeds the speed of a run into the pace estimate, also if the run was stopped early.
-    fn note_pace(&self, outcome: &ItemOutcome, pace: &mut RunTimeEstimate, now: Timestamp) {
+    /// Feeds the speed of a run into the run time estimate, also if the run was stopped early.
+    fn note_run_time(
+        &self,
+        outcome: &ItemOutcome,
+        run_times: &mut RunTimeEstimate,
+        now: Timestamp,
+    ) {
         let (ItemOutcome::Done(progress) | ItemOutcome::Stopped(progress)) = outcome else {
             return;
         };
         if let ItemPhase::Running { started_at, .. } = self.phase {
             let events = progress.events.saturating_sub(self.progress.events);
-            pace.record_run(now.since(started_at), events);
+            run_times.record_run(now.since(started_at), events);
         }
         if matches!(outcome, ItemOutcome::Done(_)) {
-            pace.record_item_events(progress.events);
+            run_times.record_item_events(progress.events);
         }
     }
 
--- a/crates/serving/src/lots/read.rs
+++ b/crates/serving/src/lots/read.rs
@@ -70,12 +70,12 @@
     after: usize,
     wait: Duration,
 ) -> Result<LotPage, Refusal> {
-    let asked_at = node.clock.now();
+    let requested_at = node.clock.now();
     let reader = ReaderPosition {
         after,
-        requested_at: asked_at,
+        requested_at,
     };
-    let deadline = asked_at + wait.min(MAX_WAIT);
+    let deadline = requested_at + wait.min(MAX_WAIT);
     ensure_known(node, customer, lot).await?;
     loop {
         // A reader that starts again at an earlier position also gets new results, not just
@@ -318,9 +318,9 @@
         ],
         read_back: Vec::new(),
     };
-    let pace = RetryPolicy::new(node.incarnation).attempts(MAX_END_ATTEMPTS);
+    let policy = RetryPolicy::new(node.incarnation).attempts(MAX_END_ATTEMPTS);
     // The result is ignored: if the write was refused, another daemon has ended the lot.
-    write_once(&node.store, batch, pace).await?;
+    write_once(&node.store, batch, policy).await?;
     log::info!(lot = lot; "lots: ended by its customer");
     node.lot_cache.borrow_mut().end(lot);
     node.report_lot(LotNotice::Ended(lot.to_owned()));
--- a/crates/serving/src/lots/waiting.rs
+++ b/crates/serving/src/lots/waiting.rs
@@ -85,7 +85,7 @@
     /// read, and after a write whose answer was lost.
     revision: Option<Revision>,
     known: LotTokenBounds,
-    pace: TokenReturnRate,
+    return_rate: TokenReturnRate,
     /// When the ledger was last compared with the open lots.
     compared_at: Option<Timestamp>,
 }
@@ -97,7 +97,7 @@
             ledger: TokenLedger::default(),
             revision: None,
             known: LotTokenBounds::default(),
-            pace: TokenReturnRate::default(),
+            return_rate: TokenReturnRate::default(),
             compared_at: None,
         }
     }
@@ -131,7 +131,7 @@
             TokenVerdict::AlreadyAccepted => Some(LedgerRefusal::Known),
             TokenVerdict::NeverFits => Some(LedgerRefusal::Full(None)),
             TokenVerdict::Full { missing } => {
-                let delay = self.pace.retry_after(missing, terms.due_after);
+                let delay = self.return_rate.retry_after(missing, terms.due_after);
                 Some(LedgerRefusal::Full(Some(delay)))
             }
         })
@@ -221,7 +221,7 @@
             .collect();
         let now = node.clock.now();
         let before = self.ledger.total();
-        self.pace.note(&open, now);
+        self.return_rate.note(&open, now);
         self.known = self.ledger.compare(&open, terms.bound);
         self.compared_at = Some(now);
         log::info!(
--- a/crates/serving/src/lots/worker/items.rs
+++ b/crates/serving/src/lots/worker/items.rs
@@ -110,7 +110,7 @@
                 continue;
             }
             if let Some(item) = held.next_waiting(now) {
-                ranked.push((held.start_rank(item, &self.pace, millis), index));
+                ranked.push((held.start_rank(item, &self.run_times, millis), index));
             }
         }
         ranked.sort_unstable();
--- a/crates/serving/src/lots/worker/mod.rs
+++ b/crates/serving/src/lots/worker/mod.rs
@@ -66,7 +66,7 @@
     /// Lots that had no items left when they were claimed, and when that was found.
     exhausted: Vec<(String, Timestamp)>,
     running: usize,
-    pace: RunTimeEstimate,
+    run_times: RunTimeEstimate,
     sender: UnboundedSender<WorkerEvent>,
     events: UnboundedReceiver<WorkerEvent>,
     listed_at: Option<Timestamp>,
@@ -89,7 +89,7 @@
         candidates: LotCandidates::default(),
         exhausted: Vec::new(),
         running: 0,
-        pace: RunTimeEstimate::default(),
+        run_times: RunTimeEstimate::default(),
         sender,
         events,
         listed_at: None,
@@ -152,7 +152,7 @@
                 self.running -= 1;
                 self.node.metrics.lot(outcome.as_str(), 1);
                 if let Some(held) = self.held.iter_mut().find(|it| *it.id == *lot) {
-                    held.end_run(item, outcome, &mut self.pace, now);
+                    held.end_run(item, outcome, &mut self.run_times, now);
                 }
             }
             WorkerEvent::Written(lot, answer) => self.on_written(&lot, answer, now),
--- a/crates/serving/src/lots/writer.rs
+++ b/crates/serving/src/lots/writer.rs
@@ -138,8 +138,8 @@
             }],
             read_back: vec![key.clone(), keys::end(lot)],
         };
-        let pace = RetryPolicy::new(node.incarnation).attempts(MAX_WRITE_ATTEMPTS);
-        let found = match write_once(&node.store, batch, pace).await? {
+        let policy = RetryPolicy::new(node.incarnation).attempts(MAX_WRITE_ATTEMPTS);
+        let found = match write_once(&node.store, batch, policy).await? {
             WriteOnceOutcome::Written(revision) => return Ok(ClaimOutcome::Claimed(revision)),
             WriteOnceOutcome::Refused { found, .. }
             | WriteOnceOutcome::Superseded { found, .. } => found,
@@ -202,8 +202,8 @@
         then,
         read_back: vec![group_key],
     };
-    let pace = RetryPolicy::new(node.incarnation).attempts(MAX_WRITE_ATTEMPTS);
-    match write_once(&node.store, batch, pace).await {
+    let policy = RetryPolicy::new(node.incarnation).attempts(MAX_WRITE_ATTEMPTS);
+    match write_once(&node.store, batch, policy).await {
         Ok(WriteOnceOutcome::Written(_)) => WriteAnswer::Written,
         Ok(
             WriteOnceOutcome::Refused { found, .. } | WriteOnceOutcome::Superseded { found, .. },
--- a/crates/serving/src/node/peers.rs
+++ b/crates/serving/src/node/peers.rs
@@ -161,12 +161,12 @@
     }
 
     /// Returns the address of a peer whose views are newer than those of this daemon, leaving
-    /// out the peers in `passed`.
-    pub fn peer_with_newer_views(&self, passed: &PausedSources<SocketAddr>) -> Option<SocketAddr> {
+    /// out the peers in `paused`.
+    pub fn peer_with_newer_views(&self, paused: &PausedSources<SocketAddr>) -> Option<SocketAddr> {
         let now = self.clock.now();
         let known = self.views.borrow().complete_up_to();
         let zone = &self.settings.zone;
-        let is_paused = |it| passed.is_paused(it, now);
+        let is_paused = |it| paused.is_paused(it, now);
         self.members
             .borrow()
             .choose_peer_ahead(known, zone, is_paused, &mut rand::rng(), now)
--- a/crates/store/src/fenced_lease.rs
+++ b/crates/store/src/fenced_lease.rs
@@ -65,11 +65,11 @@
     pub async fn acquire<S: PlatformStore>(
         store: &S,
         request: &LeaseRequest,
-        pace: RetryPolicy,
+        policy: RetryPolicy,
         now: Timestamp,
     ) -> Result<AcquireOutcome, StoreError> {
         let lease = store.grant(request.ttl).await?;
-        let claimed = write_once(store, claim(request, lease), pace).await;
+        let claimed = write_once(store, claim(request, lease), policy).await;
         if let Ok(WriteOnceOutcome::Written(fence)) = claimed {
             return Ok(AcquireOutcome::Held(FencedLease {
                 key: request.key.clone(),
--- a/crates/store/src/write_once.rs
+++ b/crates/store/src/write_once.rs
@@ -184,10 +184,10 @@
 pub async fn write_once<S: PlatformStore>(
     store: &S,
     mut batch: WriteBatch,
-    pace: RetryPolicy,
+    policy: RetryPolicy,
 ) -> Result<WriteOnceOutcome, StoreError> {
     let mut state = WriteOnceState::new(&mut batch)?;
-    let mut delays = pace.delays();
+    let mut delays = policy.delays();
     loop {
         let result = store.transact(batch.clone()).await;
         let last_error = result.as_ref().err().map(ToString::to_string);
--- a/crates/store/tests/write_once.rs
+++ b/crates/store/tests/write_once.rs
@@ -204,18 +204,18 @@
 
 #[test]
 fn waits_double_up_to_a_bound_and_differ_by_seed() {
-    let pace = RetryPolicy::new(1)
+    let policy = RetryPolicy::new(1)
         .attempts(8)
         .first_delay(Duration::from_millis(100))
         .max_delay(Duration::from_millis(800));
-    let delays: Vec<Duration> = pace.delays().collect();
+    let delays: Vec<Duration> = policy.delays().collect();
     assert_eq!(delays.len(), 7);
     for (repetition, delay) in delays.iter().enumerate() {
         let max_delay = Duration::from_millis(100 << repetition.min(3));
         assert!(*delay <= max_delay && *delay >= max_delay / 2, "{delays:?}");
     }
-    let same: Vec<Duration> = pace.delays().collect();
+    let same: Vec<Duration> = policy.delays().collect();
     assert_eq!(delays, same);
-    let other = RetryPolicy { seed: 2, ..pace };
+    let other = RetryPolicy { seed: 2, ..policy };
     assert_ne!(delays, other.delays().collect::<Vec<_>>());
 }
