--- a/crates/daemon/src/announcer.rs
+++ b/crates/daemon/src/announcer.rs
@@ -12,7 +12,7 @@
     time::Duration,
 };
 
-use comfreyramp_peers::{LiveNotice, PeerLink};
+use comfreyramp_peers::{LiveAnnouncement, PeerLink};
 use comfreyramp_policy::{ServerId, ServerKey};
 use tokio::sync::Notify;
 use tokio_util::sync::CancellationToken;
@@ -41,7 +41,7 @@
     }
 
     /// Queues an announcement of a live request that is about to be sent to a server.
-    pub fn note(&self, server: ServerId) {
+    pub fn queue_notice(&self, server: ServerId) {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         if waiting.len() < MAX_WAITING {
             waiting.push(server);
@@ -82,7 +82,7 @@
     state: Arc<SharedState>,
     link: PeerLink,
     home: SocketAddr,
-    servers: Vec<(ServerId, LiveNotice)>,
+    servers: Vec<(ServerId, LiveAnnouncement)>,
 ) {
     let notices = servers.iter().map(|it| it.1).collect();
     let Ok(bulk) = link.announce(home, notices, ANSWER_TIMEOUT).await else {
@@ -90,7 +90,7 @@
     };
     let now = state.clock.now();
     for ((server, _), bulk) in servers.into_iter().zip(bulk) {
-        state.servers.note_others_bulk(server, bulk, now);
+        state.servers.record_reported_bulk(server, bulk, now);
     }
 }
 
@@ -99,10 +99,10 @@
 fn group_by_home(
     state: &SharedState,
     servers: &[ServerId],
-) -> BTreeMap<SocketAddr, Vec<(ServerId, LiveNotice)>> {
-    let mut homes: BTreeMap<SocketAddr, Vec<(ServerId, LiveNotice)>> = BTreeMap::new();
+) -> BTreeMap<SocketAddr, Vec<(ServerId, LiveAnnouncement)>> {
+    let mut homes: BTreeMap<SocketAddr, Vec<(ServerId, LiveAnnouncement)>> = BTreeMap::new();
     for &server in servers {
-        let Some((key, home)) = state.servers.other_home(server, &state.settings) else {
+        let Some((key, home)) = state.servers.remote_home(server, &state.settings) else {
             continue;
         };
         let notices = homes.entry(home).or_default();
@@ -114,6 +114,6 @@
     homes
 }
 
-fn new_notice(server: ServerKey) -> LiveNotice {
-    LiveNotice { server, count: 1 }
+fn new_notice(server: ServerKey) -> LiveAnnouncement {
+    LiveAnnouncement { server, count: 1 }
 }
--- a/crates/daemon/src/attempts.rs
+++ b/crates/daemon/src/attempts.rs
@@ -155,7 +155,7 @@
             failure: failure.as_str(),
             again: verdict.is_ok(),
         };
-        log.trace.note(step, self.clock.now());
+        log.trace.add_step(step, self.clock.now());
         verdict
     }
 
@@ -194,7 +194,7 @@
         };
         match decision {
             RetryDecision::Retry { .. } | RetryDecision::Resume { .. } => {
-                self.metrics.retry(failure.as_str());
+                self.metrics.count_retry(failure.as_str());
                 Ok(())
             }
             RetryDecision::Final(answer) if answer.cause == FinalCause::Blocked => {
--- a/crates/daemon/src/callers/caller.rs
+++ b/crates/daemon/src/callers/caller.rs
@@ -62,7 +62,7 @@
         }
         let key = key.to_owned();
         let customer = customer.clone();
-        trace.recognised(&customer.name, now);
+        trace.add_recognised(&customer.name, now);
         Ok(Caller {
             key,
             entry,
@@ -80,7 +80,7 @@
 
     /// Whether the caller's key has not been withdrawn.
     pub fn is_still_valid(&self, snapshot: &SettingsSnapshot) -> bool {
-        snapshot.holds_key(self.entry)
+        snapshot.is_key_valid(self.entry)
     }
 
     /// Whether these bytes contain the key.
--- a/crates/daemon/src/callers/engine_call.rs
+++ b/crates/daemon/src/callers/engine_call.rs
@@ -121,9 +121,9 @@
 ) -> Answer {
     let mut call = read_call(state, caller, request).await?;
     let trace = call.caller.trace.clone();
-    trace.note(class_of(&call), state.clock.now());
+    trace.add_step(class_of(&call), state.clock.now());
     state.admit(&call.caller).await?;
-    trace.note(TraceStep::Admitted, state.clock.now());
+    trace.add_step(TraceStep::Admitted, state.clock.now());
     let mut log = call.attempt_log();
     if !call.idempotent {
         // The server is reserved before the call is claimed, since a claim
@@ -151,7 +151,9 @@
         () = key_withdrawn(state, &call.caller) => Err(withdrawn_answer().ran(RunState::Unknown)),
     };
     let whole = state.clock.now().since(arrived);
-    state.metrics.whole(&customer, ServedClass::Live, whole);
+    state
+        .metrics
+        .observe_duration(&customer, ServedClass::Live, whole);
     result
 }
 
@@ -198,10 +200,13 @@
     };
     let is_stream = fields.stream.unwrap_or(false);
     let max_tokens = fields.max_completion_tokens.or(fields.max_tokens);
-    let rank =
-        state
-            .ranks
-            .rank_engine_call(&caller, is_stream, prompt.len(), max_tokens, state.clock);
+    let rank = state.urgency_ranks.rank_engine_call(
+        &caller,
+        is_stream,
+        prompt.len(),
+        max_tokens,
+        state.clock,
+    );
     let mut headers = forwarded_headers(&caller, &head.headers);
     headers.insert(
         header::CONTENT_TYPE,
@@ -313,14 +318,14 @@
     let now = state.clock.now();
     let excluded = log.tried.len() - 1;
     log.trace
-        .tried(&server.name, server.in_flight, excluded, now);
-    state.bulk.note_arrival(server.id, now);
-    state.announcer.note(server.id);
+        .add_tried(&server.name, server.in_flight, excluded, now);
+    state.bulk_limiters.note_arrival(server.id, now);
+    state.announcer.queue_notice(server.id);
     if log.tried.len() == 1 {
         let wait = now.since(call.caller.arrived);
         state
             .metrics
-            .queue_wait(&call.caller.customer.name, ServedClass::Live, wait);
+            .observe_queue_wait(&call.caller.customer.name, ServedClass::Live, wait);
     }
     let Some(request) = build_request(call, &server, body) else {
         return Err(AttemptFailure::NoServer);
--- a/crates/daemon/src/callers/engine_stream.rs
+++ b/crates/daemon/src/callers/engine_stream.rs
@@ -99,8 +99,10 @@
         let tokens = self.call.rank.prompt_tokens() + f64::from(self.log.delivered);
         state.charge_tokens(&self.call.group, &self.call.rank, tokens);
         if let Some(problem) = problem {
-            caller.trace.refused(&problem, state.clock.now());
-            state.metrics.refusal(&caller.customer.name, problem.code);
+            caller.trace.add_refused(&problem, state.clock.now());
+            state
+                .metrics
+                .count_refusal(&caller.customer.name, problem.code);
             // The stream ends without `[DONE]`, after an event that client
             // libraries raise as an error. Breaking the connection instead
             // would lose that event.
@@ -109,11 +111,11 @@
                 .await;
         }
         let now = state.clock.now();
-        caller.trace.note(TraceStep::Ended, now);
+        caller.trace.add_step(TraceStep::Ended, now);
         let whole = now.since(caller.arrived);
         state
             .metrics
-            .whole(&caller.customer.name, ServedClass::Live, whole);
+            .observe_duration(&caller.customer.name, ServedClass::Live, whole);
     }
 
     /// Forwards events until the answer ends, resuming on other engines as
@@ -186,7 +188,7 @@
                         server.note_outcome(ServerOutcome::Ok);
                         self.state.note_success();
                         let trace = &self.call.caller.trace;
-                        trace.note(TraceStep::Whole, self.state.clock.now());
+                        trace.add_step(TraceStep::Whole, self.state.clock.now());
                         self.finish();
                         return StreamEnd::Done;
                     }
@@ -238,13 +240,13 @@
         if self.log.delivered == 0 {
             self.state
                 .metrics
-                .first_token(customer, ServedClass::Live, gap);
+                .observe_first_token(customer, ServedClass::Live, gap);
             server.note_first_token();
-            self.call.caller.trace.note(TraceStep::FirstToken, now);
+            self.call.caller.trace.add_step(TraceStep::FirstToken, now);
         } else {
             self.state
                 .metrics
-                .between_tokens(customer, ServedClass::Live, gap);
+                .observe_token_gap(customer, ServedClass::Live, gap);
         }
         self.log.delivered += 1;
         self.last_token = now;
--- a/crates/daemon/src/callers/files.rs
+++ b/crates/daemon/src/callers/files.rs
@@ -108,7 +108,7 @@
                 Ok(None) => return,
                 Err(error) => {
                     log::warn!("lots: the content of {id} was cut short: {error}");
-                    return sender.cut_short(error.to_string()).await;
+                    return sender.abort(error.to_string()).await;
                 }
             }
         }
--- a/crates/daemon/src/callers/lot_answers.rs
+++ b/crates/daemon/src/callers/lot_answers.rs
@@ -93,7 +93,7 @@
                 text.to_owned(),
             )
         }
-        LotError::Platform(error) => platform_error(&error),
+        LotError::Store(error) => platform_error(&error),
         LotError::Damaged { .. } => {
             log::error!("lots: {error}");
             let text = "A stored value can't be read. Tell your operator.".to_owned();
--- a/crates/daemon/src/callers/methods.rs
+++ b/crates/daemon/src/callers/methods.rs
@@ -13,11 +13,11 @@
     let Some(allowed) = allowed_methods(path) else {
         return Ok(());
     };
-    refuse_unless(allowed, method, path)
+    reject_unless_allowed(allowed, method, path)
 }
 
 /// Rejects a method that isn't in `allowed`, a comma-separated list.
-pub(crate) fn refuse_unless(
+pub(crate) fn reject_unless_allowed(
     allowed: &'static str,
     method: &Method,
     path: &str,
--- a/crates/daemon/src/callers/mod.rs
+++ b/crates/daemon/src/callers/mod.rs
@@ -43,15 +43,15 @@
 ) -> Response<MessageBody> {
     let request_id = state.new_request_id(start);
     let trace = RequestTrace::new(&request_id, SystemClock.now().0, state.clock.now());
-    state.traces.keep(trace.clone());
+    state.traces.push(trace.clone());
     let mut response = match route(&state, trace.clone(), request).await {
         Ok(response) => {
             let status = response.status().as_u16();
-            trace.note(TraceStep::Answered { status }, state.clock.now());
+            trace.add_step(TraceStep::Answered { status }, state.clock.now());
             response
         }
         Err(answer) => {
-            trace.refused(&answer, state.clock.now());
+            trace.add_refused(&answer, state.clock.now());
             log::debug!("callers: {request_id} was refused: {}", answer.code);
             answer.into_response()
         }
@@ -69,10 +69,10 @@
 ) -> Answer {
     let now = state.clock.now();
     let caller = Caller::authenticate(state, request.headers(), trace, now);
-    let caller = caller.inspect_err(|it| state.metrics.refusal("", it.code))?;
+    let caller = caller.inspect_err(|it| state.metrics.count_refusal("", it.code))?;
     let customer = caller.customer.name.clone();
     let answer = dispatch(state, caller, request).await;
-    answer.inspect_err(|it| state.metrics.refusal(&customer, it.code))
+    answer.inspect_err(|it| state.metrics.count_refusal(&customer, it.code))
 }
 
 async fn dispatch(
--- a/crates/daemon/src/callers/plain_call.rs
+++ b/crates/daemon/src/callers/plain_call.rs
@@ -67,9 +67,11 @@
             text,
         ));
     };
-    caller.trace.note(CLASS, state.clock.now());
+    caller.trace.add_step(CLASS, state.clock.now());
     state.admit(&caller).await?;
-    caller.trace.note(TraceStep::Admitted, state.clock.now());
+    caller
+        .trace
+        .add_step(TraceStep::Admitted, state.clock.now());
     let (head, body) = request.into_parts();
     let time_limit = Duration::from_millis(service.settings.timeout_ms);
     let idempotent = head.method.is_idempotent() && !runs_once(&head.headers);
@@ -84,7 +86,7 @@
         service: service.settings.name.clone(),
         group: service.settings.group.clone(),
         claim: None,
-        rank: state.ranks.rank_plain_call(&caller, state.clock),
+        rank: state.urgency_ranks.rank_plain_call(&caller, state.clock),
         method: head.method,
         state: state.clone(),
         upload: UploadProgress::default(),
@@ -225,12 +227,14 @@
         let now = self.state.clock.now();
         let excluded = self.log.tried.len() - 1;
         let trace = &self.caller.trace;
-        trace.tried(&server.name, server.in_flight, excluded, now);
+        trace.add_tried(&server.name, server.in_flight, excluded, now);
         if self.log.tried.len() == 1 {
             let wait = now.since(self.caller.arrived);
-            self.state
-                .metrics
-                .queue_wait(&self.caller.customer.name, ServedClass::Plain, wait);
+            self.state.metrics.observe_queue_wait(
+                &self.caller.customer.name,
+                ServedClass::Plain,
+                wait,
+            );
         }
         let request = self.build_request(&server, body)?;
         if self.claim.as_ref().is_some_and(|it| !it.start()) {
@@ -361,15 +365,15 @@
             }
             Some(problem) => {
                 server.note_outcome(ServerOutcome::Broken);
-                sender.cut_short(problem).await;
+                sender.abort(problem).await;
             }
         }
         let now = self.state.clock.now();
-        self.caller.trace.note(TraceStep::Ended, now);
+        self.caller.trace.add_step(TraceStep::Ended, now);
         let whole = now.since(self.caller.arrived);
         self.state
             .metrics
-            .whole(&self.caller.customer.name, ServedClass::Plain, whole);
+            .observe_duration(&self.caller.customer.name, ServedClass::Plain, whole);
     }
 }
 
@@ -406,12 +410,12 @@
             Ok(Err(_)) => continue,
             Err(error) => {
                 progress.mark_broken();
-                return sender.cut_short(BodyError::from(error).to_string()).await;
+                return sender.abort(BodyError::from(error).to_string()).await;
             }
         };
         let Ok(passed) = filter.push(&data) else {
             progress.mark_broken();
-            return sender.cut_short("the body contains the caller's key").await;
+            return sender.abort("the body contains the caller's key").await;
         };
         if !passed.is_empty() && !sender.send(passed).await {
             return;
--- a/crates/daemon/src/claims/claim_grant.rs
+++ b/crates/daemon/src/claims/claim_grant.rs
@@ -7,7 +7,7 @@
 
 use comfreyramp_policy::{ClaimKey, ClaimTicket};
 
-use super::{ClaimKeeper, StoredAnswer};
+use super::{ClaimManager, StoredAnswer};
 
 /// The right to send one call once, which ends when this is dropped.
 ///
@@ -18,14 +18,14 @@
 /// answer is lost.
 #[derive(Debug)]
 pub struct ClaimGrant {
-    manager: Arc<ClaimKeeper>,
+    manager: Arc<ClaimManager>,
     key: ClaimKey,
     ticket: ClaimTicket,
     is_started: AtomicBool,
 }
 
 impl ClaimGrant {
-    pub(super) fn new(manager: Arc<ClaimKeeper>, key: ClaimKey, ticket: ClaimTicket) -> Self {
+    pub(super) fn new(manager: Arc<ClaimManager>, key: ClaimKey, ticket: ClaimTicket) -> Self {
         ClaimGrant {
             manager,
             key,
--- a/crates/daemon/src/claims/claim_manager.rs
+++ b/crates/daemon/src/claims/claim_manager.rs
@@ -46,7 +46,7 @@
 
 /// The claims of this daemon, behind one briefly held lock.
 #[derive(Debug)]
-pub struct ClaimKeeper {
+pub struct ClaimManager {
     clock: ProcessClock,
     tracker: Mutex<ClaimTracker>,
     /// Answers that are not yet written to the platform, sorted by key.
@@ -57,10 +57,10 @@
     pub(super) change_added: Notify,
 }
 
-impl ClaimKeeper {
+impl ClaimManager {
     /// Creates an instance without claims.
     pub fn new(incarnation: Incarnation, clock: ProcessClock) -> Self {
-        ClaimKeeper {
+        ClaimManager {
             clock,
             tracker: Mutex::new(ClaimTracker::new(incarnation)),
             answers: Mutex::default(),
--- a/crates/daemon/src/claims/claim_records.rs
+++ b/crates/daemon/src/claims/claim_records.rs
@@ -65,7 +65,7 @@
             batch.then.push(put(key, value, lease));
         }
         let answer = self.store.transact(batch).await;
-        self.lease.note(&answer);
+        self.lease.discard_if_expired(&answer);
         match answer {
             Ok(TransactionAnswer::Written(_)) => GroupAnswer::Written,
             Ok(TransactionAnswer::Refused { found, .. }) => {
@@ -138,7 +138,7 @@
 
     async fn change(&self, batch: WriteBatch) -> Result<bool, StoreError> {
         let answer = self.store.transact(batch).await;
-        self.lease.note(&answer);
+        self.lease.discard_if_expired(&answer);
         Ok(matches!(answer?, TransactionAnswer::Written(_)))
     }
 }
--- a/crates/daemon/src/claims/claim_writer.rs
+++ b/crates/daemon/src/claims/claim_writer.rs
@@ -6,7 +6,7 @@
 use comfreyramp_store::{PlatformStore, StoreError};
 use tokio_util::sync::CancellationToken;
 
-use super::{ClaimKeeper, ClaimRecords};
+use super::{ClaimManager, ClaimRecords};
 use crate::shared::SharedState;
 
 /// The interval at which claims that took too long are given up.
@@ -42,7 +42,7 @@
 }
 
 struct ClaimWriter<S> {
-    manager: Arc<ClaimKeeper>,
+    manager: Arc<ClaimManager>,
     records: ClaimRecords<S>,
 }
 
@@ -169,12 +169,12 @@
 /// Changes that are returned to the tracker on drop unless they were written:
 /// the task that writes them can be dropped at any await point.
 struct PendingChanges<'a> {
-    manager: &'a ClaimKeeper,
+    manager: &'a ClaimManager,
     remaining: Vec<ClaimChange>,
 }
 
 impl<'a> PendingChanges<'a> {
-    fn take(manager: &'a ClaimKeeper) -> Self {
+    fn take(manager: &'a ClaimManager) -> Self {
         let mut remaining = manager.tracker().take_changes(MAX_CHANGES);
         // Changes are popped from the end, so the oldest comes last.
         remaining.reverse();
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -19,7 +19,7 @@
 //! within the bulk limits of the servers whose home is this daemon.
 //!
 //! Background tasks run under one [`supervisor`]: [`settings_link`] and
-//! [`settings_keeper`] fetch and publish the settings, and [`platform_link`]
+//! [`settings_manager`] fetch and publish the settings, and [`platform_link`]
 //! polls the VM list. [`operators`] serves the operators' tool. [`EntryDaemon`]
 //! starts and stops all of them, and [`shared`] is the state that they share.
 //! The decision logic itself, without I/O, is in `comfreyramp-policy`.
@@ -39,8 +39,8 @@
 pub mod platform_link;
 pub mod rates;
 pub mod server_pool;
-pub mod settings_keeper;
 pub mod settings_link;
+pub mod settings_manager;
 pub mod shared;
 pub mod snapshot;
 pub mod supervisor;
--- a/crates/daemon/src/live_queue/call_rank.rs
+++ b/crates/daemon/src/live_queue/call_rank.rs
@@ -23,7 +23,7 @@
 
 /// The request habits of all keys, behind one briefly held lock.
 #[derive(Clone, Debug, Default)]
-pub struct UrgencyRanks {
+pub struct UrgencyRanker {
     table: Arc<Mutex<UrgencyTable>>,
 }
 
@@ -43,10 +43,10 @@
     prompt: f64,
     key: CallerKey,
     traits: CallTraits,
-    ranks: UrgencyRanks,
+    ranks: UrgencyRanker,
 }
 
-impl UrgencyRanks {
+impl UrgencyRanker {
     /// Ranks a request to a model. The prompt's tokens are estimated from its
     /// bytes, and `max_tokens` counts as the length of the answer.
     pub fn rank_engine_call(
--- a/crates/daemon/src/live_queue/mod.rs
+++ b/crates/daemon/src/live_queue/mod.rs
@@ -8,5 +8,5 @@
 mod call_rank;
 mod start_queues;
 
-pub use call_rank::{CallRank, UrgencyRanks};
+pub use call_rank::{CallRank, UrgencyRanker};
 pub use start_queues::{StartQueues, run_start_queues};
--- a/crates/daemon/src/live_queue/start_queues.rs
+++ b/crates/daemon/src/live_queue/start_queues.rs
@@ -55,7 +55,7 @@
 impl SharedState {
     /// Waits until the request is the next to start and a server has capacity
     /// for it. Returns the server, with the request counted on it.
-    pub(crate) async fn wait_for_turn(
+    pub(crate) async fn wait_for_start(
         &self,
         request: RunRequest<'_>,
         query: PoolQuery<'_>,
@@ -96,7 +96,7 @@
             tokens,
             ..
         } = *request.rank;
-        let mut groups = self.queues.lock();
+        let mut groups = self.start_queues.lock();
         let group = group_queue(&mut groups, request.group);
         group.last_number += 1;
         waiter.number = group.last_number;
@@ -158,7 +158,7 @@
     }
 
     fn start_all_ready(&self) {
-        for group in self.queues.lock().iter_mut() {
+        for group in self.start_queues.lock().iter_mut() {
             if !group.queue.is_empty() {
                 self.start_ready(group);
             }
@@ -168,7 +168,7 @@
     /// Charges a customer for the difference between the tokens that a call
     /// cost and those that were expected. The difference may be negative.
     pub(crate) fn charge_tokens(&self, group: &str, rank: &CallRank, tokens: f64) {
-        let mut groups = self.queues.lock();
+        let mut groups = self.start_queues.lock();
         let group = group_queue(&mut groups, group);
         group.queue.charge(rank.customer, tokens - rank.tokens);
     }
@@ -186,7 +186,7 @@
         tokio::select! {
             () = state.servers.freed() => state.start_all_ready(),
             _ = dispatch_ticks.tick() => state.start_all_ready(),
-            _ = poll_ticks.tick() => state.ranks.poll(state.clock),
+            _ = poll_ticks.tick() => state.urgency_ranks.poll(state.clock),
             () = stop.cancelled() => return Ok(()),
         }
     }
@@ -220,7 +220,7 @@
 
 impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
-        let mut groups = self.state.queues.lock();
+        let mut groups = self.state.start_queues.lock();
         let group = group_queue(&mut groups, self.group);
         if remove_waiter(&mut group.waiters, self.number).is_some() {
             group.queue.remove(self.customer, self.number);
--- a/crates/daemon/src/lot_work/bulk_limiter.rs
+++ b/crates/daemon/src/lot_work/bulk_limiter.rs
@@ -75,7 +75,7 @@
 /// at once when live work needs the capacity. A [`BulkLimiter`] for each server
 /// decides how many there are.
 #[derive(Clone, Debug, Default)]
-pub struct ServerGates {
+pub struct BulkLimiters {
     tables: Arc<Mutex<LimiterTables>>,
     changed: Arc<Notify>,
 }
@@ -89,7 +89,7 @@
     /// Cancelled when the request is preempted by live work.
     pub stop: CancellationToken,
     number: u64,
-    limiters: ServerGates,
+    limiters: BulkLimiters,
     started_at: Timestamp,
     clock: crate::clock::ProcessClock,
 }
@@ -101,7 +101,7 @@
     }
 }
 
-impl ServerGates {
+impl BulkLimiters {
     /// Updates the servers and their load, and preempts bulk requests that
     /// exceed the limits.
     pub fn update(&self, servers: Vec<ServerInfo>, now: Timestamp) {
@@ -199,7 +199,7 @@
     /// Returns the servers to query for their load: those whose home this
     /// daemon is, while bulk work runs or waits. Without their reports, nothing
     /// would be known of the live requests that other daemons have on them.
-    pub fn to_ask(&self, now: Timestamp) -> Vec<(ServerId, String)> {
+    pub fn servers_to_query(&self, now: Timestamp) -> Vec<(ServerId, String)> {
         let tables = self.lock();
         let recent = |it: Timestamp| now.since(it) < DEMAND_WINDOW;
         let is_requested = tables.last_requested_at.is_some_and(recent);
--- a/crates/daemon/src/lot_work/engine_runner.rs
+++ b/crates/daemon/src/lot_work/engine_runner.rs
@@ -6,7 +6,7 @@
     Bytes, CallError, EventSplitter, HeaderValue, Incoming, MessageBody, Method, Request, Response,
     StatusCode, collect_limited, event_data, header,
 };
-use comfreyramp_lots::{ItemOrder, ItemOutcome, ItemRunner};
+use comfreyramp_lots::{ItemOutcome, ItemRequest, ItemRunner};
 use comfreyramp_policy::ServerOutcome;
 use http_body_util::BodyExt;
 use serde_json::{Map, Value, json, value::RawValue};
@@ -66,7 +66,7 @@
         server.note_report(response.headers());
         if let Some(report) = read_report(response.headers()) {
             let now = self.state.clock.now();
-            self.state.bulk.note_report(server.id, report, now);
+            self.state.bulk_limiters.note_report(server.id, report, now);
         }
         if !response.status().is_success() || !run.is_stream {
             return self.complete_answer(run, response).await;
@@ -176,7 +176,7 @@
 
     async fn run(
         &self,
-        order: ItemOrder<AnswerBuilder>,
+        order: ItemRequest<AnswerBuilder>,
         slot: BulkSlot,
         stop: CancellationToken,
     ) -> Outcome {
@@ -193,14 +193,14 @@
         let whole = self.state.clock.now().since(started_at);
         self.state
             .metrics
-            .whole(&customer, ServedClass::Bulk, whole);
+            .observe_duration(&customer, ServedClass::Bulk, whole);
         outcome.unwrap_or_else(|| run.preempted())
     }
 }
 
 /// An item that is running.
 struct ItemRun {
-    order: ItemOrder<AnswerBuilder>,
+    order: ItemRequest<AnswerBuilder>,
     slot: BulkSlot,
     builder: AnswerBuilder,
     resumed_at: u32,
@@ -208,7 +208,7 @@
 }
 
 impl ItemRun {
-    fn new(mut order: ItemOrder<AnswerBuilder>, slot: BulkSlot) -> Self {
+    fn new(mut order: ItemRequest<AnswerBuilder>, slot: BulkSlot) -> Self {
         let builder = order.resume.take().unwrap_or_default();
         ItemRun {
             resumed_at: builder.tokens,
@@ -281,7 +281,7 @@
     }
 
     fn preempted(self) -> Outcome {
-        ItemOutcome::SteppedAside {
+        ItemOutcome::Preempted {
             tokens: self.tokens(),
             resume: self.is_stream.then_some(self.builder),
         }
--- a/crates/daemon/src/lot_work/mod.rs
+++ b/crates/daemon/src/lot_work/mod.rs
@@ -13,7 +13,7 @@
 use comfreyramp_store::GatewayStore;
 use tokio_util::sync::CancellationToken;
 
-pub use bulk_limiter::{BulkSlot, ServerGates, ServerInfo, SlotView};
+pub use bulk_limiter::{BulkLimiters, BulkSlot, ServerInfo, SlotView};
 
 use crate::{metrics::DaemonMetrics, server_pool::read_report, shared::SharedState};
 use engine_runner::EngineRunner;
@@ -56,10 +56,10 @@
         tokio::select! {
             _ = limiter_ticks.tick() => {
                 let now = state.clock.now();
-                state.servers.show_gates(&state.bulk, &state.settings, now);
+                state.servers.update_limiters(&state.bulk_limiters, &state.settings, now);
             }
             _ = query_ticks.tick() => {
-                for (server, address) in state.bulk.to_ask(state.clock.now()) {
+                for (server, address) in state.bulk_limiters.servers_to_query(state.clock.now()) {
                     tokio::spawn(query_load(state.clone(), server, address));
                 }
             }
@@ -81,6 +81,8 @@
         return;
     };
     if let Some(report) = read_report(response.headers()) {
-        state.bulk.note_report(server, report, state.clock.now());
+        state
+            .bulk_limiters
+            .note_report(server, report, state.clock.now());
     }
 }
--- a/crates/daemon/src/lot_work/slot_source.rs
+++ b/crates/daemon/src/lot_work/slot_source.rs
@@ -31,7 +31,7 @@
             let group = &service.settings.group;
             let choose = |id| self.state.servers.take_for_bulk(id, self.state.clock);
             let clock = self.state.clock;
-            let slot = self.state.bulk.open(group, clock, now, choose)?;
+            let slot = self.state.bulk_limiters.open(group, clock, now, choose)?;
             Some((index, slot))
         })
     }
@@ -46,7 +46,7 @@
                 return found;
             }
             tokio::select! {
-                () = self.state.bulk.changed() => {}
+                () = self.state.bulk_limiters.changed() => {}
                 () = tokio::time::sleep(POLL_INTERVAL) => {}
             }
         }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -112,32 +112,32 @@
     }
 
     /// Records the time from a request's arrival to its first token.
-    pub fn first_token(&self, customer: &str, class: ServedClass, wait: Duration) {
+    pub fn observe_first_token(&self, customer: &str, class: ServedClass, wait: Duration) {
         observe(&self.first_token, customer, class, wait);
     }
 
     /// Records the time between two tokens of an answer.
-    pub fn between_tokens(&self, customer: &str, class: ServedClass, gap: Duration) {
+    pub fn observe_token_gap(&self, customer: &str, class: ServedClass, gap: Duration) {
         observe(&self.between_tokens, customer, class, gap);
     }
 
     /// Records the time from a request's arrival until it is first sent to a server.
-    pub fn queue_wait(&self, customer: &str, class: ServedClass, wait: Duration) {
+    pub fn observe_queue_wait(&self, customer: &str, class: ServedClass, wait: Duration) {
         observe(&self.queue_wait, customer, class, wait);
     }
 
     /// Records the time from a request's arrival to the end of its answer.
-    pub fn whole(&self, customer: &str, class: ServedClass, duration: Duration) {
+    pub fn observe_duration(&self, customer: &str, class: ServedClass, duration: Duration) {
         observe(&self.whole, customer, class, duration);
     }
 
     /// Counts a refused request. `customer` is empty if the key wasn't recognised.
-    pub fn refusal(&self, customer: &str, reason: &str) {
+    pub fn count_refusal(&self, customer: &str, reason: &str) {
         self.refusals.with_label_values(&[customer, reason]).inc();
     }
 
     /// Counts a further attempt at a request.
-    pub fn retry(&self, reason: &str) {
+    pub fn count_retry(&self, reason: &str) {
         self.retries.with_label_values(&[reason]).inc();
     }
 
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -14,7 +14,7 @@
 };
 use subtle::ConstantTimeEq;
 
-use crate::{callers::methods::refuse_unless, shared::SharedState, traces::KEPT_TRACES};
+use crate::{callers::methods::reject_unless_allowed, shared::SharedState, traces::MAX_TRACES};
 
 /// Answers a request to the operators' API.
 pub async fn answer(state: Arc<SharedState>, request: Request<Incoming>) -> Response<MessageBody> {
@@ -29,7 +29,7 @@
 async fn route(state: &Arc<SharedState>, mut request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
     if let Some(allowed) = allowed_methods(&path) {
-        refuse_unless(allowed, request.method(), &path)?;
+        reject_unless_allowed(allowed, request.method(), &path)?;
     }
     if request.method() == Method::HEAD {
         *request.method_mut() = Method::GET;
@@ -68,7 +68,7 @@
     let id = path.trim_start_matches("/explain/");
     let Some(trace) = state.traces.find(id) else {
         let text = format!(
-            "Daemon {} has no trace of this request. It keeps those of its last {KEPT_TRACES} \
+            "Daemon {} has no trace of this request. It keeps those of its last {MAX_TRACES} \
              requests since it was started.",
             state.settings.name
         );
@@ -78,7 +78,7 @@
             text,
         ));
     };
-    let mut view = trace.view();
+    let mut view = trace.to_json();
     view["daemon"] = state.settings.name.as_str().into();
     Ok(json(&view))
 }
@@ -140,7 +140,7 @@
 /// Updates the gauges whose values are computed only when metrics are requested.
 fn update_gauges(state: &SharedState) {
     let now = state.clock.now();
-    let slots = state.bulk.slots(now);
+    let slots = state.bulk_limiters.slots(now);
     let open: u32 = slots.iter().map(|it| it.1.open).sum();
     let allowed: u32 = slots.iter().filter_map(|it| it.1.allowed).sum();
     let age = state.settings_age(now).as_millis();
--- a/crates/daemon/src/operators/settings_routes.rs
+++ b/crates/daemon/src/operators/settings_routes.rs
@@ -17,7 +17,7 @@
     team_writer::{TeamChange, TeamWriter},
 };
 use crate::{
-    settings_keeper::{SETTINGS_PREFIX, team_key},
+    settings_manager::{SETTINGS_PREFIX, team_key},
     shared::SharedState,
 };
 
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -66,7 +66,7 @@
 }
 
 fn servers(state: &SharedState, now: Timestamp) -> Vec<ServerStatus> {
-    let slots: Vec<(ServerId, SlotView)> = state.bulk.slots(now);
+    let slots: Vec<(ServerId, SlotView)> = state.bulk_limiters.slots(now);
     let views = state.servers.view(now).into_iter();
     views
         .map(|view| {
--- a/crates/daemon/src/operators/team_history.rs
+++ b/crates/daemon/src/operators/team_history.rs
@@ -7,7 +7,7 @@
 
 use super::settings_routes::read_error;
 use crate::{
-    settings_keeper::{history_key, team_key},
+    settings_manager::{history_key, team_key},
     shared::SharedState,
 };
 
--- a/crates/daemon/src/operators/team_writer.rs
+++ b/crates/daemon/src/operators/team_writer.rs
@@ -13,7 +13,7 @@
     team_history::{ChangeView, StoredTeam},
 };
 use crate::{
-    settings_keeper::{history_key, team_key},
+    settings_manager::{history_key, team_key},
     shared::SharedState,
 };
 
--- a/crates/daemon/src/platform_link.rs
+++ b/crates/daemon/src/platform_link.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     server_pool::ENTRY_GROUP,
-    settings_keeper::{SettingsManager, SettingsRead},
     settings_link::{LinkSettings, PeerSource, SettingsLink},
+    settings_manager::{SettingsManager, SettingsRead},
     shared::SharedState,
 };
 
--- a/crates/daemon/src/rates/peer_request_handler.rs
+++ b/crates/daemon/src/rates/peer_request_handler.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use comfreyramp_peers::{
-    LiveNotice, PeerBeat, PeerHandler, SettingsAnswer, SettingsAsk, SettingsPair,
+    LiveAnnouncement, PeerHandler, PeerHeartbeat, SettingsAnswer, SettingsPair, SettingsRequest,
 };
 use comfreyramp_policy::{
     NoticeAck, SuspectNotice,
@@ -31,20 +31,23 @@
 }
 
 impl<S: PlatformStore, P: PeerSource> PeerHandler for PeerRequestHandler<S, P> {
-    fn own_beat(&self) -> PeerBeat {
+    fn own_heartbeat(&self) -> PeerHeartbeat {
         self.state.own_beat()
     }
 
-    fn take_beat(&self, beat: &PeerBeat) {
+    fn handle_heartbeat(&self, beat: &PeerHeartbeat) {
         self.state.rates.record_heartbeat(beat);
     }
 
-    fn rates(&self, from: &PeerBeat, query: &RateRequest) -> RateAnswer {
+    fn rates(&self, from: &PeerHeartbeat, query: &RateRequest) -> RateAnswer {
         self.state.rates.handle(&from.member.name, query)
     }
 
-    async fn settings(&self, query: SettingsAsk) -> Option<SettingsAnswer> {
-        let answer = self.settings.answer(query.known, query.hold).await?;
+    async fn settings(&self, query: SettingsRequest) -> Option<SettingsAnswer> {
+        let answer = self
+            .settings
+            .answer(query.known_revision, query.max_hold)
+            .await?;
         let written = answer.changes.written.into_iter();
         let written = written.map(|pair| SettingsPair {
             key: pair.key,
@@ -60,16 +63,18 @@
         })
     }
 
-    fn suspects(&self, _from: &PeerBeat, _notice: SuspectNotice) -> NoticeAck {
+    fn suspects(&self, _from: &PeerHeartbeat, _notice: SuspectNotice) -> NoticeAck {
         // The notice is not recorded; the empty acknowledgement says so.
         NoticeAck::default()
     }
 
-    fn announce(&self, notices: &[LiveNotice]) -> Vec<u32> {
+    fn announce(&self, notices: &[LiveAnnouncement]) -> Vec<u32> {
         let now = self.state.clock.now();
         let bulk = notices.iter().map(|notice| {
             let server = self.state.servers.id_of(notice.server);
-            server.map_or(0, |it| self.state.bulk.announce(it, notice.count, now))
+            server.map_or(0, |it| {
+                self.state.bulk_limiters.announce(it, notice.count, now)
+            })
         });
         bulk.collect()
     }
@@ -77,7 +82,7 @@
 
 impl SharedState {
     /// Returns the heartbeat that this daemon sends to others.
-    pub fn own_beat(&self) -> PeerBeat {
+    pub fn own_beat(&self) -> PeerHeartbeat {
         self.rates.own_heartbeat(self.snapshot().revision)
     }
 }
--- a/crates/daemon/src/rates/rate_limiter.rs
+++ b/crates/daemon/src/rates/rate_limiter.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use comfreyramp_peers::{PeerBeat, PeerError, PeerLink};
+use comfreyramp_peers::{PeerError, PeerHeartbeat, PeerLink};
 use comfreyramp_policy::{
     DaemonId, Heartbeat, Incarnation, Timestamp, ZoneId,
     rates::{
@@ -144,11 +144,11 @@
     }
 
     /// Returns the heartbeat that this daemon sends to its peers.
-    pub fn own_heartbeat(&self, settings_revision: i64) -> PeerBeat {
+    pub fn own_heartbeat(&self, settings_revision: i64) -> PeerHeartbeat {
         let now = self.clock.now();
         let state = self.lock();
         let view_age = state.verified.map(|at| now.since(at));
-        PeerBeat {
+        PeerHeartbeat {
             member: Heartbeat {
                 name: state.name.clone(),
                 zone: ZoneId(state.own_zone().unwrap_or_default() as u32),
@@ -163,7 +163,7 @@
     }
 
     /// Records the heartbeat of another daemon.
-    pub fn record_heartbeat(&self, beat: &PeerBeat) {
+    pub fn record_heartbeat(&self, beat: &PeerHeartbeat) {
         let mut state = self.lock();
         let id = state.id_of(&beat.member.name);
         let revision = beat.roster_revision;
--- a/crates/daemon/src/rates/roster_sync.rs
+++ b/crates/daemon/src/rates/roster_sync.rs
@@ -223,10 +223,15 @@
 /// Sends this daemon's heartbeat to a peer and records whether it answered. Returns the
 /// peer's heartbeat, or none if it didn't answer or if another daemon answers at its
 /// address.
-async fn query_peer(state: &SharedState, peer: DaemonId) -> Option<comfreyramp_peers::PeerBeat> {
+async fn query_peer(
+    state: &SharedState,
+    peer: DaemonId,
+) -> Option<comfreyramp_peers::PeerHeartbeat> {
     let (link, address) = state.rates.link_to(peer)?;
     let sent = state.clock.now();
-    let answer = link.beat(address, state.own_beat(), PEER_TIMEOUT).await;
+    let answer = link
+        .heartbeat(address, state.own_beat(), PEER_TIMEOUT)
+        .await;
     let now = state.clock.now();
     let mut limiter = state.rates.lock();
     let known = &mut limiter.daemons[peer.index()];
--- a/crates/daemon/src/rates/settings_peers.rs
+++ b/crates/daemon/src/rates/settings_peers.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use comfreyramp_peers::SettingsAsk;
+use comfreyramp_peers::SettingsRequest;
 use comfreyramp_policy::{DaemonId, FleetMember, member_score};
 use comfreyramp_store::{KeyValue, Revision};
 
@@ -33,7 +33,7 @@
         members.collect()
     }
 
-    async fn ask(
+    async fn query(
         &self,
         peer: DaemonId,
         known: Revision,
@@ -42,7 +42,10 @@
         let Some((link, address)) = self.0.link_to(peer) else {
             return Err(PeerSilence("its address isn't known".to_owned()));
         };
-        let query = SettingsAsk { known, hold };
+        let query = SettingsRequest {
+            known_revision: known,
+            max_hold: hold,
+        };
         let answer = link.settings(address, query, hold + ANSWER_TIMEOUT).await;
         let answer = answer.map_err(|error| PeerSilence(error.to_string()))?;
         Ok(answer.map(|answer| PeerAnswer {
--- a/crates/daemon/src/record_lease.rs
+++ b/crates/daemon/src/record_lease.rs
@@ -48,7 +48,7 @@
 
     /// Discards the lease if the platform answered that it has expired. Otherwise
     /// each further record would be rejected until the hour is over.
-    pub(crate) fn note<T>(&self, answer: &Result<T, StoreError>) {
+    pub(crate) fn discard_if_expired<T>(&self, answer: &Result<T, StoreError>) {
         if matches!(answer, Err(StoreError::LeaseLapsed)) {
             *self.held.lock().unwrap_or_else(PoisonError::into_inner) = None;
         }
--- a/crates/daemon/src/server_pool.rs
+++ b/crates/daemon/src/server_pool.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     clock::ProcessClock,
-    lot_work::{ServerGates, ServerInfo},
-    snapshot::NameArena,
+    lot_work::{BulkLimiters, ServerInfo},
+    snapshot::NameInterner,
     suspects::SuspectRun,
 };
 
@@ -43,8 +43,8 @@
 #[derive(Debug, Default)]
 struct PoolTables {
     servers: ServerTable,
-    groups: NameArena,
-    zones: NameArena,
+    groups: NameInterner,
+    zones: NameInterner,
     /// The live daemons of this daemon's zone, as the platform lists them.
     daemons: Vec<ZoneDaemon>,
     /// Servers on which their home daemon reported bulk requests, with the time
@@ -320,13 +320,13 @@
             load.in_flight.saturating_sub(load.preemptible.own) < load.batch()
         };
         has_capacity
-            .then(|| self.take_key(key, exclude, clock))
+            .then(|| self.take_if_usable(key, exclude, clock))
             .flatten()
     }
 
     /// Counts a request on the server with this key, if the server takes new
     /// work.
-    pub fn take_key(
+    pub fn take_if_usable(
         &self,
         key: ServerKey,
         exclude: &[ServerId],
@@ -342,7 +342,7 @@
     }
 
     /// Records how many bulk requests a server's home daemon reports on it.
-    pub fn note_others_bulk(&self, id: ServerId, bulk: u32, now: Timestamp) {
+    pub fn record_reported_bulk(&self, id: ServerId, bulk: u32, now: Timestamp) {
         let mut tables = self.lock();
         tables.bulk_reports.retain(|it| it.0 != id);
         tables.bulk_reports.push((id, now));
@@ -352,7 +352,7 @@
     /// Returns a server's key and the address at which its home daemon listens
     /// for peers, if the server is in this daemon's zone and another daemon is
     /// its home.
-    pub fn other_home(
+    pub fn remote_home(
         &self,
         id: ServerId,
         settings: &DaemonSettings,
@@ -372,7 +372,12 @@
 
     /// Updates the bulk limiters with the servers of this daemon's zone.
     /// Servers that are leaving, dropped or ejected get no bulk work.
-    pub fn show_gates(&self, limiters: &ServerGates, settings: &DaemonSettings, now: Timestamp) {
+    pub fn update_limiters(
+        &self,
+        limiters: &BulkLimiters,
+        settings: &DaemonSettings,
+        now: Timestamp,
+    ) {
         let mut tables = self.lock();
         let zone = ZoneId(tables.zones.id(&settings.zone));
         let daemons = tables.daemon_names(&settings.name);
@@ -403,7 +408,7 @@
     /// Returns the servers as reported to operators.
     pub fn view(&self, now: Timestamp) -> Vec<ServerView> {
         let tables = self.lock();
-        let name = |arena: &NameArena, id| arena.name(id).unwrap_or_default().to_owned();
+        let name = |arena: &NameInterner, id| arena.name(id).unwrap_or_default().to_owned();
         tables
             .servers
             .servers()
@@ -458,14 +463,14 @@
     pub fn note_not_sent(&self) {
         self.note_outcome(ServerOutcome::ConnectFailed);
         if let Some(run) = &self.run {
-            run.not_sent();
+            run.mark_not_sent();
         }
     }
 
     /// Records the outcome of the attempt.
     pub fn note_outcome(&self, outcome: ServerOutcome) {
         if let (ServerOutcome::Ok, Some(run)) = (outcome, &self.run) {
-            run.finish();
+            run.mark_finished();
         }
         let now = self.clock.now();
         self.pool
--- a/crates/daemon/src/settings_link/link.rs
+++ b/crates/daemon/src/settings_link/link.rs
@@ -12,7 +12,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{PeerAnswer, PeerSource, SettingsAge, SettingsView, ViewChanges};
-use crate::{clock::ProcessClock, settings_keeper::SETTINGS_PREFIX};
+use crate::{clock::ProcessClock, settings_manager::SETTINGS_PREFIX};
 
 /// The timing of a settings link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -185,7 +185,7 @@
             return;
         }
         self.in_force.send_if_modified(|in_force| {
-            if in_force.revision > 0 && in_force.is_same(&state.view) {
+            if in_force.revision > 0 && in_force.has_same_pairs(&state.view) {
                 return false;
             }
             *in_force = Arc::new(state.view.clone());
--- a/crates/daemon/src/settings_link/peer_source.rs
+++ b/crates/daemon/src/settings_link/peer_source.rs
@@ -29,7 +29,7 @@
     /// Queries a peer for the changes of its view after the revision `known`. The
     /// peer may hold its answer back for `hold` while it has none. The answer is
     /// none if the peer has no view yet.
-    fn ask(
+    fn query(
         &self,
         peer: DaemonId,
         known: Revision,
@@ -46,7 +46,7 @@
         Vec::new()
     }
 
-    async fn ask(
+    async fn query(
         &self,
         _peer: DaemonId,
         _known: Revision,
--- a/crates/daemon/src/settings_link/query.rs
+++ b/crates/daemon/src/settings_link/query.rs
@@ -55,7 +55,7 @@
         hold: Duration,
     ) -> Result<Option<PeerAnswer>, PeerSilence> {
         let limit = hold + self.settings.answer_timeout;
-        let answer = tokio::time::timeout(limit, self.peers.ask(peer, known, hold));
+        let answer = tokio::time::timeout(limit, self.peers.query(peer, known, hold));
         answer
             .await
             .unwrap_or_else(|_| Err(PeerSilence(format!("it sent none within {limit:?}"))))
--- a/crates/daemon/src/settings_link/settings_view.rs
+++ b/crates/daemon/src/settings_link/settings_view.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns whether two views have the same pairs, whatever their revisions.
-    pub fn is_same(&self, other: &SettingsView) -> bool {
+    pub fn has_same_pairs(&self, other: &SettingsView) -> bool {
         let own = self.pairs.iter().map(|it| (&it.key, it.modified));
         own.eq(other.pairs.iter().map(|it| (&it.key, it.modified)))
     }
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -15,10 +15,10 @@
 
 use crate::{
     announcer::LiveAnnouncer,
-    claims::ClaimKeeper,
+    claims::ClaimManager,
     clock::ProcessClock,
-    live_queue::{StartQueues, UrgencyRanks},
-    lot_work::{DaemonLots, ServerGates},
+    live_queue::{StartQueues, UrgencyRanker},
+    lot_work::{BulkLimiters, DaemonLots},
     metrics::DaemonMetrics,
     rates::RateLimiter,
     server_pool::ServerPool,
@@ -47,7 +47,7 @@
     /// The customers' files and lots (batch jobs).
     pub lots: DaemonLots,
     /// Limits the bulk work on the servers whose home is this daemon.
-    pub bulk: ServerGates,
+    pub bulk_limiters: BulkLimiters,
     /// The platform's VM list.
     pub vm_list: GatewayVmList<DaemonMetrics>,
     /// The metrics served at `/metrics`.
@@ -61,11 +61,11 @@
     /// The traces of the most recent requests.
     pub traces: TraceRing,
     /// The claims of calls that must not run twice.
-    pub claims: Arc<ClaimKeeper>,
+    pub claims: Arc<ClaimManager>,
     /// The urgency ranks of all keys.
-    pub ranks: UrgencyRanks,
+    pub urgency_ranks: UrgencyRanker,
     /// The live requests that wait for a server.
-    pub queues: StartQueues,
+    pub start_queues: StartQueues,
     /// The requests that run here and those suspected of crashing servers.
     pub suspects: Arc<SuspectManager>,
     /// The records of suspects and trials in the store.
@@ -89,16 +89,16 @@
         SharedState {
             settings: parts.settings,
             clock,
-            claims: Arc::new(ClaimKeeper::new(incarnation, clock)),
-            ranks: UrgencyRanks::default(),
-            queues: StartQueues::default(),
+            claims: Arc::new(ClaimManager::new(incarnation, clock)),
+            urgency_ranks: UrgencyRanker::default(),
+            start_queues: StartQueues::default(),
             suspects: Arc::new(SuspectManager::new(incarnation, clock)),
             suspect_records: SuspectRecords::new(parts.store.clone()),
             snapshots: parts.snapshots,
             servers: ServerPool::default(),
             client: HttpClient::default(),
             lots: DaemonLots::new(parts.store.clone(), SystemClock),
-            bulk: ServerGates::default(),
+            bulk_limiters: BulkLimiters::default(),
             store: parts.store,
             vm_list: parts.vm_list,
             metrics: parts.metrics,
--- a/crates/daemon/src/snapshot.rs
+++ b/crates/daemon/src/snapshot.rs
@@ -7,7 +7,7 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-pub use names::NameArena;
+pub use names::NameInterner;
 
 /// The SHA-256 hash of an API key.
 pub type KeyHash = [u8; 32];
@@ -84,9 +84,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct SettingsNames {
     /// The ids of customers.
-    pub customers: NameArena,
+    pub customers: NameInterner,
     /// The ids of services.
-    pub services: NameArena,
+    pub services: NameInterner,
 }
 
 impl SettingsSnapshot {
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether a key still belongs to the same customer.
-    pub fn holds_key(&self, entry: KeyEntry) -> bool {
+    pub fn is_key_valid(&self, entry: KeyEntry) -> bool {
         self.keys
             .binary_search_by_key(&entry.hash, |it| it.hash)
             .is_ok_and(|index| self.keys[index].customer == entry.customer)
--- a/crates/daemon/src/snapshot/names.rs
+++ b/crates/daemon/src/snapshot/names.rs
@@ -6,12 +6,12 @@
 /// shifted when another customer is removed, one customer's requests would be
 /// charged to another customer's rate.
 #[derive(Clone, Debug, Default)]
-pub struct NameArena {
+pub struct NameInterner {
     names: Vec<String>,
     sorted: Vec<u32>,
 }
 
-impl NameArena {
+impl NameInterner {
     /// Returns the number of a name and assigns one if the name is new.
     pub fn id(&mut self, name: &str) -> u32 {
         let found = self
--- a/crates/daemon/src/suspects/run_start.rs
+++ b/crates/daemon/src/suspects/run_start.rs
@@ -79,7 +79,7 @@
     ) -> Result<Option<ChosenServer>, AttemptFailure> {
         let copy = self.suspects.table().runs_on(request.fingerprint);
         let query = self.query(&request);
-        let mut server = self.wait_for_turn(request, query, copy).await?;
+        let mut server = self.wait_for_start(request, query, copy).await?;
         let key = ServerKey::of(&server.name);
         server.run = self.suspects.begin_run(request.fingerprint, key);
         Ok(server.run.is_some().then_some(server))
@@ -120,8 +120,8 @@
 
     fn begin_trial(&self, fingerprint: Fingerprint) -> Option<ChosenServer> {
         let run = self.suspects.begin_trial(fingerprint)?;
-        let Some(mut server) = self.servers.take_key(run.server, &[], self.clock) else {
-            run.not_sent();
+        let Some(mut server) = self.servers.take_if_usable(run.server, &[], self.clock) else {
+            run.mark_not_sent();
             return None;
         };
         log::info!("suspects: a suspect runs on trial, on {}", server.name);
--- a/crates/daemon/src/suspects/suspect_records.rs
+++ b/crates/daemon/src/suspects/suspect_records.rs
@@ -76,7 +76,7 @@
             batch.then.push(put(key, &stored, lease));
         }
         let written = self.store.transact(batch).await;
-        self.lease.note(&written);
+        self.lease.discard_if_expired(&written);
         written.map(|_| ())
     }
 
@@ -124,7 +124,7 @@
             read_back: vec![trial.clone(), server],
         };
         let answer = self.store.transact(batch).await;
-        self.lease.note(&answer);
+        self.lease.discard_if_expired(&answer);
         let TransactionAnswer::Refused { found, .. } = answer? else {
             return Ok(Some(TrialAnswer::Granted));
         };
--- a/crates/daemon/src/suspects/suspect_run.rs
+++ b/crates/daemon/src/suspects/suspect_run.rs
@@ -37,12 +37,12 @@
 
     /// Records that the answer was complete, which clears the request if it was a
     /// suspect.
-    pub fn finish(&self) {
+    pub fn mark_finished(&self) {
         self.end(RunEnd::Finished);
     }
 
     /// Records that no byte of the request was sent.
-    pub fn not_sent(&self) {
+    pub fn mark_not_sent(&self) {
         self.end(RunEnd::NotSent);
     }
 
--- a/crates/daemon/src/traces/mod.rs
+++ b/crates/daemon/src/traces/mod.rs
@@ -10,5 +10,5 @@
 mod trace_step;
 
 pub use request_trace::RequestTrace;
-pub use trace_ring::{KEPT_TRACES, TraceRing};
+pub use trace_ring::{MAX_TRACES, TraceRing};
 pub use trace_step::{TimedStep, TraceStep};
--- a/crates/daemon/src/traces/request_trace.rs
+++ b/crates/daemon/src/traces/request_trace.rs
@@ -59,7 +59,7 @@
     }
 
     /// Adds a step. Once the trace is full, it replaces the last one.
-    pub fn note(&self, step: TraceStep, now: Timestamp) {
+    pub fn add_step(&self, step: TraceStep, now: Timestamp) {
         let after = now.since(self.shared.arrived).as_micros();
         let after_us = u32::try_from(after).unwrap_or(u32::MAX);
         let timed = TimedStep { after_us, step };
@@ -78,34 +78,34 @@
     }
 
     /// Adds the step that the key was recognised as a customer's.
-    pub fn recognised(&self, customer: &str, now: Timestamp) {
+    pub fn add_recognised(&self, customer: &str, now: Timestamp) {
         let customer = truncated(customer);
-        self.note(TraceStep::Recognised { customer }, now);
+        self.add_step(TraceStep::Recognised { customer }, now);
     }
 
     /// Adds the step that the request was sent to a server. `left_out` is the number
     /// of servers excluded because of earlier attempts.
-    pub fn tried(&self, server: &str, in_flight: u32, left_out: usize, now: Timestamp) {
+    pub fn add_tried(&self, server: &str, in_flight: u32, left_out: usize, now: Timestamp) {
         let step = TraceStep::Tried {
             server: truncated(server),
             in_flight,
             left_out: u32::try_from(left_out).unwrap_or(u32::MAX),
         };
-        self.note(step, now);
+        self.add_step(step, now);
     }
 
     /// Adds the step that the request was refused or its answer broken off.
-    pub fn refused(&self, answer: &ErrorAnswer, now: Timestamp) {
+    pub fn add_refused(&self, answer: &ErrorAnswer, now: Timestamp) {
         let step = TraceStep::Refused {
             code: answer.code,
             ran: answer.ran,
             retry_after: answer.retry_after.map(|it| it.as_secs().max(1)),
         };
-        self.note(step, now);
+        self.add_step(step, now);
     }
 
     /// Returns the trace as JSON, with its steps as data and as sentences.
-    pub fn view(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         let steps = self.lock();
         let mut story: Vec<String> = steps.kept.iter().map(sentence).collect();
         if steps.more > 0 {
--- a/crates/daemon/src/traces/trace_ring.rs
+++ b/crates/daemon/src/traces/trace_ring.rs
@@ -8,7 +8,7 @@
 use super::RequestTrace;
 
 /// The number of traces kept.
-pub const KEPT_TRACES: usize = 1500;
+pub const MAX_TRACES: usize = 1500;
 
 /// The traces of the most recent requests, the newest last. They take 2 MB at most.
 #[derive(Debug, Default)]
@@ -19,9 +19,9 @@
 impl TraceRing {
     /// Adds the trace of a request that has just arrived, so that requests that still
     /// run, or hang, can be looked up too. The oldest trace is dropped if necessary.
-    pub fn keep(&self, trace: RequestTrace) {
+    pub fn push(&self, trace: RequestTrace) {
         let mut traces = self.traces.lock().unwrap_or_else(PoisonError::into_inner);
-        let oldest = if traces.len() >= KEPT_TRACES {
+        let oldest = if traces.len() >= MAX_TRACES {
             traces.pop_front()
         } else {
             None
--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -10,7 +10,7 @@
 
 use comfreyramp_http::{Method, StatusCode};
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use support::{FleetPlan, KEY, TOKEN, TestFleet, chat, usual_settings};
+use support::{FleetPlan, KEY, TOKEN, TestFleet, chat, default_settings};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::TcpStream,
@@ -322,7 +322,7 @@
 /// its time limit, and must not count as a failure of the server.
 #[tokio::test]
 async fn an_upload_that_stalls_doesnt_count_as_a_server_failure() {
-    let mut settings = usual_settings();
+    let mut settings = default_settings();
     settings.services[1].timeout_ms = 1000;
     let plan = FleetPlan {
         settings: Some(settings),
--- a/crates/daemon/tests/bulk_gate.rs
+++ b/crates/daemon/tests/bulk_limiter.rs
@@ -6,7 +6,7 @@
 
 use comfreyramp_daemon::{
     clock::ProcessClock,
-    lot_work::{BulkSlot, ServerGates},
+    lot_work::{BulkLimiters, BulkSlot},
     server_pool::ServerPool,
 };
 use comfreyramp_policy::{LoadReport, ServerId, Timestamp};
@@ -18,7 +18,7 @@
 
 /// A daemon's limiters and server pool with a clock that the test advances.
 struct TestLimiter {
-    gates: ServerGates,
+    gates: BulkLimiters,
     pool: ServerPool,
     settings: DaemonSettings,
     now: Timestamp,
@@ -28,7 +28,7 @@
     fn new(vms: &[ListedVm]) -> Self {
         let free = ([127, 0, 0, 1], 0).into();
         let mut limiter = TestLimiter {
-            gates: ServerGates::default(),
+            gates: BulkLimiters::default(),
             pool: ServerPool::default(),
             settings: DaemonSettings {
                 name: "daemon-1".to_owned(),
@@ -55,7 +55,8 @@
 
     fn advance(&mut self, duration: Duration) {
         self.now = self.now + duration;
-        self.pool.show_gates(&self.gates, &self.settings, self.now);
+        self.pool
+            .update_limiters(&self.gates, &self.settings, self.now);
     }
 
     fn open(&self) -> Option<BulkSlot> {
@@ -67,7 +68,7 @@
     /// Delivers a load report from each server, with `others` requests of other
     /// daemons.
     fn report(&self, slots: &[BulkSlot], others: u32) {
-        for (server, _) in self.gates.to_ask(self.now) {
+        for (server, _) in self.gates.servers_to_query(self.now) {
             let own = slots.iter().filter(|it| it.server.id == server).count();
             let report = LoadReport {
                 running: u32::try_from(own).unwrap() + others,
--- a/crates/daemon/tests/callers_door.rs
+++ b/crates/daemon/tests/callers_door.rs
@@ -129,7 +129,7 @@
     let brief = chat("a brief", 100, true);
     let other = fleet.chat(0, SECOND_KEY, &brief);
     let withdraw = async {
-        let mut settings = json!(support::usual_settings());
+        let mut settings = json!(support::default_settings());
         settings["customers"][0]["keys"] = json!([]);
         let now = fleet
             .operators(0, Method::GET, "/settings/studio", String::new())
@@ -260,7 +260,7 @@
         .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     drop(answer);
-    let deadline = tokio::time::Instant::now() + support::PATIENCE;
+    let deadline = tokio::time::Instant::now() + support::WAIT_TIMEOUT;
     loop {
         let records = fleet.engines[0].server.log().list();
         if records
@@ -291,6 +291,6 @@
     assert!(whole, "{}", answer.text());
     assert_eq!(tokens, 150);
     let task = fleet.daemons.remove(0).task;
-    let ended = tokio::time::timeout(support::PATIENCE, task).await;
+    let ended = tokio::time::timeout(support::WAIT_TIMEOUT, task).await;
     assert!(ended.expect("an end").expect("no panic").is_ok());
 }
--- a/crates/daemon/tests/link_fleet/mod.rs
+++ b/crates/daemon/tests/link_fleet/mod.rs
@@ -9,10 +9,10 @@
 
 use comfreyramp_daemon::{
     clock::ProcessClock,
-    settings_keeper::team_key,
     settings_link::{
         LinkSettings, PeerAnswer, PeerSilence, PeerSource, SettingsAge, SettingsLink, SettingsView,
     },
+    settings_manager::team_key,
 };
 use comfreyramp_policy::{DaemonId, FleetMember, member_score};
 use comfreyramp_standins::platform::{FaultChange, MemoryStore, SharedPlatform};
@@ -60,7 +60,7 @@
         members.collect()
     }
 
-    async fn ask(
+    async fn query(
         &self,
         peer: DaemonId,
         known: Revision,
--- a/crates/daemon/tests/live_queue.rs
+++ b/crates/daemon/tests/live_queue.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
-use support::{FleetPlan, KEY, SECOND_KEY, TestFleet, chat, usual_settings};
+use support::{FleetPlan, KEY, SECOND_KEY, TestFleet, chat, default_settings};
 
 /// A second key of the customer `press`.
 const OTHER_KEY: &str = "cfr-other-key-of-press-0123456789";
@@ -32,7 +32,7 @@
 }
 
 async fn small_fleet(daemons: usize) -> TestFleet {
-    let mut settings = usual_settings();
+    let mut settings = default_settings();
     let mut other = settings.customers[0].keys[0].clone();
     other.name = "key-2".to_owned();
     other.sha256 = hex::encode(Sha256::digest(OTHER_KEY.as_bytes()));
@@ -156,7 +156,7 @@
 /// out.
 #[tokio::test]
 async fn what_could_not_start_in_time_is_refused_at_once() {
-    let mut settings = usual_settings();
+    let mut settings = default_settings();
     settings.services[0].timeout_ms = 1_500;
     let plan = FleetPlan {
         engines: vec![("zone-1", small_engine())],
--- a/crates/daemon/tests/lot_calls/mod.rs
+++ b/crates/daemon/tests/lot_calls/mod.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use crate::support::{
-    KEY, PATIENCE, TestFleet,
+    KEY, TestFleet, WAIT_TIMEOUT,
     answers::{WholeAnswer, start_of_answer},
     chat,
 };
@@ -135,7 +135,7 @@
 
     /// Waits until a lot has a status.
     pub(crate) async fn wait_for(&self, id: &str, status: &str) -> Value {
-        let until = tokio::time::Instant::now() + PATIENCE;
+        let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
         let path = format!("/v1/batches/{id}");
         loop {
             let lot = self.send(Method::GET, &path, String::new()).await.json();
--- a/crates/daemon/tests/lots.rs
+++ b/crates/daemon/tests/lots.rs
@@ -14,7 +14,7 @@
     request_log::{RequestEnd, RequestRecord},
 };
 use lot_calls::{LotCaller, input};
-use support::{FleetPlan, KEY, PATIENCE, SECOND_KEY, TestFleet, chat};
+use support::{FleetPlan, KEY, SECOND_KEY, TestFleet, WAIT_TIMEOUT, chat};
 
 /// Starts a fleet of two daemons and one engine.
 async fn fleet() -> TestFleet {
@@ -94,7 +94,7 @@
     let caller = LotCaller::new(&fleet, 0);
     let file = caller.upload(&input(24, 200)).await;
     let lot = caller.create(&file).await;
-    let until = tokio::time::Instant::now() + PATIENCE;
+    let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
     while running(&fleet, 0).0 <= 4 {
         assert!(tokio::time::Instant::now() < until, "the lot got no slots");
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -127,7 +127,7 @@
 
 /// Waits for the daemon that runs bulk work on the first engine: its home daemon.
 async fn home_of_engine(fleet: &TestFleet) -> usize {
-    let until = tokio::time::Instant::now() + PATIENCE;
+    let until = tokio::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         for daemon in 0..fleet.daemons.len() {
             let status = fleet.operators(daemon, Method::GET, "/status", String::new());
--- a/crates/daemon/tests/operators_explain.rs
+++ b/crates/daemon/tests/operators_explain.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use comfreyramp_daemon::traces::{KEPT_TRACES, RequestTrace, TraceRing, TraceStep};
+use comfreyramp_daemon::traces::{MAX_TRACES, RequestTrace, TraceRing, TraceStep};
 use comfreyramp_http::{Method, StatusCode};
 use comfreyramp_policy::Timestamp;
 use comfreyramp_standins::engine::EngineOptions;
@@ -151,22 +151,22 @@
     let ring = TraceRing::default();
     let now = Timestamp::ZERO;
     let long = "é".repeat(100);
-    for number in 0..KEPT_TRACES * 2 {
+    for number in 0..MAX_TRACES * 2 {
         let trace = RequestTrace::new(&format!("entry-{number:090}"), 0, now);
-        ring.keep(trace.clone());
-        trace.recognised(&long, now);
+        ring.push(trace.clone());
+        trace.add_recognised(&long, now);
         for _ in 0..100 {
-            trace.tried(&long, 1, 0, now);
+            trace.add_tried(&long, 1, 0, now);
         }
-        trace.note(TraceStep::Ended, now);
+        trace.add_step(TraceStep::Ended, now);
     }
     let (count, bytes) = ring.size();
-    assert_eq!(count, KEPT_TRACES);
+    assert_eq!(count, MAX_TRACES);
     assert!(bytes <= MAX_TRACE_BYTES, "{bytes} bytes");
     println!("{count} traces take {bytes} bytes at most");
     assert!(ring.find(&format!("entry-{:090}", 0)).is_none());
-    let newest = ring.find(&format!("entry-{:090}", KEPT_TRACES * 2 - 1));
-    let view = newest.expect("the newest request").view();
+    let newest = ring.find(&format!("entry-{:090}", MAX_TRACES * 2 - 1));
+    let view = newest.expect("the newest request").to_json();
     assert_eq!(view["steps_not_kept"], 90, "{view}");
     assert_eq!(steps(&view).last(), Some(&"ended"));
 }
--- a/crates/daemon/tests/operators_settings.rs
+++ b/crates/daemon/tests/operators_settings.rs
@@ -9,7 +9,7 @@
 use comfreyramp_standins::platform::{FaultChange, LostAnswers};
 use serde_json::{Value, json};
 use support::{
-    FleetPlan, KEY, SECOND_KEY, TOKEN, TestFleet, answers::WholeAnswer, chat, usual_settings,
+    FleetPlan, KEY, SECOND_KEY, TOKEN, TestFleet, answers::WholeAnswer, chat, default_settings,
 };
 
 /// The number of changes that a history keeps.
@@ -33,7 +33,7 @@
 
 /// Returns the default settings with another rate for the first customer.
 fn with_rate(rate: u32) -> Value {
-    let mut settings = json!(usual_settings());
+    let mut settings = json!(default_settings());
     settings["customers"][0]["rate"] = json!(rate);
     settings
 }
--- a/crates/daemon/tests/rates.rs
+++ b/crates/daemon/tests/rates.rs
@@ -6,13 +6,13 @@
 
 use comfreyramp_http::StatusCode;
 use comfreyramp_settings::TeamSettings;
-use support::{FleetPlan, KEY, SECOND_KEY, TestFleet, chat, usual_settings};
+use support::{FleetPlan, KEY, SECOND_KEY, TestFleet, chat, default_settings};
 
 const RATE: f64 = 20.0;
 const BURST: u32 = 12;
 
 fn tight_settings() -> TeamSettings {
-    let mut settings = usual_settings();
+    let mut settings = default_settings();
     settings.customers[0].rate = RATE;
     settings.customers[0].burst = BURST;
     settings
--- a/crates/daemon/tests/run_once.rs
+++ b/crates/daemon/tests/run_once.rs
@@ -16,7 +16,7 @@
 };
 use comfreyramp_store::{KeyRange, PlatformStore};
 use support::{
-    FleetPlan, KEY, PATIENCE, SECOND_KEY, TestFleet, answers::WholeAnswer, chat,
+    FleetPlan, KEY, SECOND_KEY, TestFleet, WAIT_TIMEOUT, answers::WholeAnswer, chat,
     daemon_process::DaemonProcess, quick_engine,
 };
 
@@ -71,7 +71,7 @@
 /// Sends the call, and repeats it while the daemon waits for its share of the
 /// customer's rate.
 async fn admitted(fleet: &TestFleet, call: impl Fn() -> Request<MessageBody>) -> WholeAnswer {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let answer = fleet.fetch(call()).await;
         if answer.status != StatusCode::TOO_MANY_REQUESTS {
@@ -85,7 +85,7 @@
 
 /// Waits until the platform holds more than `before` claims.
 async fn wait_for_claim(fleet: &TestFleet, before: usize) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while claims(fleet).await <= before {
         assert!(Instant::now() < deadline, "no claim was written");
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -104,7 +104,7 @@
     fleet: &TestFleet,
     send: impl Fn() -> Request<MessageBody>,
 ) -> WholeAnswer {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let answer = admitted(fleet, &send).await;
         if answer.status != StatusCode::CONFLICT || answer.code() != "already_claimed" {
@@ -118,7 +118,7 @@
 /// Waits until a recently started daemon has its share of the customer's rate.
 /// Until then, it refuses some requests.
 async fn wait_for_tokens(fleet: &TestFleet, call: impl Fn() -> Request<MessageBody>) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let mut in_a_row = 0;
     while in_a_row < 10 {
         let answer = fleet.fetch(call()).await;
@@ -325,7 +325,7 @@
         outage: Some(false),
         ..FaultChange::default()
     });
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while admitted(&fleet, || call(&fleet, 0, "/proofs/a", "after"))
         .await
         .status
--- a/crates/daemon/tests/settings_in_force.rs
+++ b/crates/daemon/tests/settings_in_force.rs
@@ -10,7 +10,8 @@
 use comfreyramp_standins::platform::{FaultChange, LostAnswers};
 use serde_json::json;
 use support::{
-    FleetPlan, KEY, PATIENCE, SECOND_KEY, TestFleet, answers::WholeAnswer, chat, usual_settings,
+    FleetPlan, KEY, SECOND_KEY, TestFleet, WAIT_TIMEOUT, answers::WholeAnswer, chat,
+    default_settings,
 };
 
 /// The time within which a change must be in force on every daemon.
@@ -37,7 +38,7 @@
         if answer.status == status {
             return answer;
         }
-        assert!(began.elapsed() < PATIENCE, "{}", answer.text());
+        assert!(began.elapsed() < WAIT_TIMEOUT, "{}", answer.text());
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -55,7 +56,7 @@
         hold_watches: Some(true),
         ..FaultChange::default()
     });
-    let mut settings = usual_settings();
+    let mut settings = default_settings();
     settings.customers[0].keys.clear();
     let revision = revision_of(&fleet, "studio").await;
     let written = fleet
@@ -82,7 +83,7 @@
 }
 
 fn settings_with_a_bound() -> TeamSettings {
-    let mut settings = usual_settings();
+    let mut settings = default_settings();
     settings.customers[1].when_cut = CutOffPolicy::RefuseAfter { seconds: 5 };
     settings
 }
@@ -154,7 +155,7 @@
     let revision = written.json()["revision"].as_i64().expect("a revision");
     assert_eq!(revision, revision_of(&fleet, "studio").await);
 
-    let second = json!(usual_settings());
+    let second = json!(default_settings());
     let conflict = fleet.put_settings("studio", seen, &second).await;
     assert_eq!(conflict.status, StatusCode::CONFLICT);
     let text = conflict.text();
--- a/crates/daemon/tests/settings_link.rs
+++ b/crates/daemon/tests/settings_link.rs
@@ -190,7 +190,7 @@
         fleet.write("press", value).await;
     }
     fleet.wait_for("press", "3").await;
-    fleet.platform.lose_everything();
+    fleet.platform.clear_store();
     fleet.write("market", "old").await;
     advance(seconds(60)).await;
     for daemon in 0..3 {
@@ -256,14 +256,14 @@
     assert_eq!(changes.base, 10);
     behind.apply(changes);
     assert_eq!(keys(&behind), ["c", "d"]);
-    assert!(behind.is_same(&view));
+    assert!(behind.has_same_pairs(&view));
     assert!(view.changes_since(14).is_empty());
 
     // Deletions before the first view are unknown.
     assert_eq!(view.changes_since(9).base, 0);
     let mut newcomer = SettingsView::default();
     newcomer.apply(view.changes_since(0));
-    assert!(newcomer.is_same(&view));
+    assert!(newcomer.has_same_pairs(&view));
 }
 
 /// A team's settings are deleted and written again. A peer that already has the
--- a/crates/daemon/tests/support/daemon_process.rs
+++ b/crates/daemon/tests/support/daemon_process.rs
@@ -10,7 +10,7 @@
 use comfreyramp_http::{MessageBody, Method, Request, header};
 use serde_json::{Value, json};
 
-use super::{PATIENCE, TOKEN, TestFleet};
+use super::{TOKEN, TestFleet, WAIT_TIMEOUT};
 
 /// A daemon in its own process, which is killed on drop.
 #[derive(Debug)]
@@ -102,7 +102,7 @@
     /// Waits until the process exits by itself, and returns whether it exited
     /// successfully.
     pub(crate) async fn wait_for_exit(&mut self) -> bool {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("the process state") {
                 return status.success();
@@ -117,7 +117,7 @@
 
     /// Waits until the daemon is ready and knows a server of each group.
     async fn wait_ready(&self, fleet: &TestFleet) {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             let request = Request::builder()
                 .uri(format!("http://{}/status", self.operators))
@@ -136,7 +136,7 @@
 }
 
 pub(super) async fn read_addresses(path: &Path) -> Value {
-    let deadline = tokio::time::Instant::now() + PATIENCE;
+    let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Ok(text) = std::fs::read(path) {
             return serde_json::from_slice(&text).expect("the addresses");
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -38,7 +38,7 @@
 /// The key of the customer `market`.
 pub(crate) const SECOND_KEY: &str = "cfr-key-of-market-0123456789abcdef";
 /// The time limit for each wait of a test.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The daemons, engines and settings that a fleet starts with.
 #[derive(Clone, Debug)]
@@ -56,7 +56,7 @@
         FleetPlan {
             daemons: vec!["zone-1"],
             engines: vec![("zone-1", EngineOptions::default())],
-            settings: Some(usual_settings()),
+            settings: Some(default_settings()),
         }
     }
 }
@@ -107,7 +107,7 @@
 }
 
 /// Returns settings with two customers, a model and a plain service.
-pub(crate) fn usual_settings() -> TeamSettings {
+pub(crate) fn default_settings() -> TeamSettings {
     TeamSettings {
         customers: vec![customer("press", KEY), customer("market", SECOND_KEY)],
         services: vec![
@@ -272,7 +272,7 @@
 
     /// Waits until a daemon is ready and knows a server of each group.
     pub(crate) async fn wait_ready(&self, daemon: usize) {
-        let deadline = tokio::time::Instant::now() + PATIENCE;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             let status = self
                 .operators(daemon, Method::GET, "/status", String::new())
@@ -330,7 +330,7 @@
     pub(crate) async fn fetch(&self, request: Request<MessageBody>) -> WholeAnswer {
         let response = self.open(request).await;
         let (head, body) = response.into_parts();
-        let body = tokio::time::timeout(PATIENCE, collect_limited(body, usize::MAX)).await;
+        let body = tokio::time::timeout(WAIT_TIMEOUT, collect_limited(body, usize::MAX)).await;
         let body = body.expect("an answer in time").expect("a whole answer");
         WholeAnswer {
             status: head.status,
@@ -341,7 +341,7 @@
 
     /// Sends a request and returns its answer with the body still open.
     pub(crate) async fn open(&self, request: Request<MessageBody>) -> Response<Incoming> {
-        let sent = tokio::time::timeout(PATIENCE, self.client.send(request)).await;
+        let sent = tokio::time::timeout(WAIT_TIMEOUT, self.client.send(request)).await;
         sent.expect("an answer in time").expect("an answer")
     }
 
--- a/crates/daemon/tests/uploads.rs
+++ b/crates/daemon/tests/uploads.rs
@@ -10,7 +10,7 @@
 
 use comfreyramp_http::{MessageBody, Method, StatusCode, header};
 use lot_calls::{BOUNDARY, LotCaller, form, input};
-use support::{FleetPlan, KEY, PATIENCE, SECOND_KEY, TestFleet};
+use support::{FleetPlan, KEY, SECOND_KEY, TestFleet, WAIT_TIMEOUT};
 
 /// Starts a fleet of two daemons and one engine.
 async fn fleet() -> TestFleet {
@@ -174,7 +174,7 @@
     let kind = format!("multipart/form-data; boundary={BOUNDARY}");
     headers.insert(header::CONTENT_TYPE, kind.parse().unwrap());
     headers.insert(header::CONTENT_LENGTH, (300_u64 << 20).into());
-    let answer = tokio::time::timeout(PATIENCE, fleet.fetch(request)).await;
+    let answer = tokio::time::timeout(WAIT_TIMEOUT, fleet.fetch(request)).await;
     let answer = answer.unwrap();
     assert_eq!(answer.status, StatusCode::PAYLOAD_TOO_LARGE);
     assert_eq!(answer.code(), "body_too_long");
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -22,7 +22,7 @@
     Connection(#[from] hyper::Error),
     /// The writer aborted the body; what was received so far is incomplete.
     #[error("the body was cut short: {0}")]
-    CutShort(String),
+    Aborted(String),
     /// The body is longer than allowed.
     #[error("the body is longer than {limit} bytes")]
     TooLong {
@@ -127,8 +127,8 @@
     }
 
     /// Aborts the body, so that the reader sees an error instead of a normal end.
-    pub async fn cut_short(self, reason: impl Into<String>) {
-        let error = BodyError::CutShort(reason.into());
+    pub async fn abort(self, reason: impl Into<String>) {
+        let error = BodyError::Aborted(reason.into());
         // If the reader was dropped, nobody needs the error.
         let _ = self.sender.send(Err(error)).await;
     }
--- a/crates/lots/src/content_stream.rs
+++ b/crates/lots/src/content_stream.rs
@@ -6,7 +6,7 @@
 use comfreyramp_store::PlatformStore;
 
 use crate::{
-    FileRecord, LotError, LotKeys, LotOutcome, RecordedResult, RetryPolicy,
+    FileRecord, LotError, LotKeys, LotOutcome, RecordedResult, StoreRetryPolicy,
     codec::{damaged, unpack},
 };
 
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub struct ContentStream<S> {
     store: S,
-    retry: RetryPolicy,
+    retry: StoreRetryPolicy,
     keys: IntoIter<String>,
     filter: LineFilter,
     /// The total length of the content in bytes.
@@ -31,7 +31,7 @@
 }
 
 impl<S: PlatformStore> ContentStream<S> {
-    pub(crate) fn of_file(store: S, retry: RetryPolicy, file: &FileRecord) -> Self {
+    pub(crate) fn of_file(store: S, retry: StoreRetryPolicy, file: &FileRecord) -> Self {
         let keys = (0..file.segments.len()).map(|it| LotKeys.input(&file.content, it));
         ContentStream {
             store,
@@ -44,7 +44,7 @@
 
     pub(crate) fn of_lot(
         store: S,
-        retry: RetryPolicy,
+        retry: StoreRetryPolicy,
         lot: &str,
         outcome: &LotOutcome,
         filter: LineFilter,
--- a/crates/lots/src/error.rs
+++ b/crates/lots/src/error.rs
@@ -47,7 +47,7 @@
     KeyReused,
     /// The key-value store didn't answer, or answered with an error.
     #[error(transparent)]
-    Platform(#[from] StoreError),
+    Store(#[from] StoreError),
     /// A stored value is missing or can't be decoded.
     #[error("the stored value of {key} is damaged: {reason}")]
     Damaged {
@@ -61,7 +61,7 @@
 impl LotError {
     /// Returns whether the request may have taken effect despite the error.
     pub fn may_have_run(&self) -> bool {
-        matches!(self, LotError::Platform(StoreError::AnswerLost(_)))
+        matches!(self, LotError::Store(StoreError::AnswerLost(_)))
     }
 }
 
--- a/crates/lots/src/file_store.rs
+++ b/crates/lots/src/file_store.rs
@@ -7,8 +7,8 @@
 };
 
 use crate::{
-    ContentStream, FileRecord, FileUpload, LotError, LotKeys, LotRecord, RetryPolicy, SystemClock,
-    WallClock, WallTime,
+    ContentStream, FileRecord, FileUpload, LotError, LotKeys, LotRecord, StoreRetryPolicy,
+    SystemClock, WallClock, WallTime,
     codec::{from_json, new_id, to_json},
     content_stream::LineFilter,
     keys::key_part,
@@ -54,7 +54,7 @@
     pub(crate) store: S,
     pub(crate) clock: C,
     /// How requests to the key-value store are retried.
-    pub retry: RetryPolicy,
+    pub retry: StoreRetryPolicy,
     /// How long files and lots are kept.
     pub retention: RetentionPolicy,
 }
@@ -65,7 +65,7 @@
         FileStore {
             store,
             clock,
-            retry: RetryPolicy::default(),
+            retry: StoreRetryPolicy::default(),
             retention: RetentionPolicy::default(),
         }
     }
--- a/crates/lots/src/lib.rs
+++ b/crates/lots/src/lib.rs
@@ -50,7 +50,7 @@
 };
 pub use lot_store::{LotPage, LotStore, NewLot};
 pub use open_lot::{DueOutlook, OpenLot};
-pub use retry::RetryPolicy;
-pub use runner::{ItemOrder, ItemOutcome, ItemRunner, SlotSource};
+pub use retry::StoreRetryPolicy;
+pub use runner::{ItemOutcome, ItemRequest, ItemRunner, SlotSource};
 pub use sweeper::LotSweeper;
 pub use worker::LotWorker;
--- a/crates/lots/src/lot_store.rs
+++ b/crates/lots/src/lot_store.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     BatchObject, CompletionWindow, FileRecord, FileStore, LotCounts, LotError, LotKeys, LotRecord,
-    RetentionPolicy, RetryPolicy, SegmentProgress, SystemClock, WallClock, WallTime,
+    RetentionPolicy, SegmentProgress, StoreRetryPolicy, SystemClock, WallClock, WallTime,
     codec::{digest, from_json, new_id, to_json},
     file_store::{check_id, page_range},
     lot_record::{CancelMark, JobMark, OpenMark},
@@ -99,7 +99,7 @@
     pub(crate) store: S,
     pub(crate) clock: C,
     /// How requests to the key-value store are retried.
-    pub retry: RetryPolicy,
+    pub retry: StoreRetryPolicy,
     /// How long files and lots are kept.
     pub retention: RetentionPolicy,
 }
@@ -110,7 +110,7 @@
         LotStore {
             store,
             clock,
-            retry: RetryPolicy::default(),
+            retry: StoreRetryPolicy::default(),
             retention: RetentionPolicy::default(),
         }
     }
--- a/crates/lots/src/retry.rs
+++ b/crates/lots/src/retry.rs
@@ -8,7 +8,7 @@
 
 /// How often and after which delay a failed request to the store is retried.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryPolicy {
+pub struct StoreRetryPolicy {
     /// The maximum number of attempts, the first one included.
     pub max_attempts: u32,
     /// The delay before the second attempt. It doubles with each further
@@ -16,16 +16,16 @@
     pub initial_delay: Duration,
 }
 
-impl Default for RetryPolicy {
+impl Default for StoreRetryPolicy {
     fn default() -> Self {
-        RetryPolicy {
+        StoreRetryPolicy {
             max_attempts: 4,
             initial_delay: Duration::from_millis(50),
         }
     }
 }
 
-impl RetryPolicy {
+impl StoreRetryPolicy {
     /// Runs a transaction that is safe to repeat.
     ///
     /// After a lost answer the repetition may be rejected because the first
--- a/crates/lots/src/runner.rs
+++ b/crates/lots/src/runner.rs
@@ -8,7 +8,7 @@
 
 /// A request to run one item.
 #[derive(Clone, Debug)]
-pub struct ItemOrder<R> {
+pub struct ItemRequest<R> {
     /// The lot that the item belongs to.
     pub lot: Arc<str>,
     /// The customer that owns the lot.
@@ -63,7 +63,7 @@
         message: String,
     },
     /// The run was preempted by live requests.
-    SteppedAside {
+    Preempted {
         /// Where the run stopped, if it can be resumed there.
         resume: Option<R>,
         /// The tokens used in this run so far.
@@ -84,7 +84,7 @@
     /// and leave nothing of the item running.
     fn run(
         &self,
-        request: ItemOrder<Self::Resume>,
+        request: ItemRequest<Self::Resume>,
         slot: Self::Slot,
         stop: CancellationToken,
     ) -> impl Future<Output = ItemOutcome<Self::Resume>> + Send;
--- a/crates/lots/src/segment_store.rs
+++ b/crates/lots/src/segment_store.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    HeldLease, LotError, LotKeys, RetryPolicy, SegmentProgress,
+    HeldLease, LotError, LotKeys, SegmentProgress, StoreRetryPolicy,
     codec::{damaged, from_json, pack, to_json, unpack},
 };
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentStore<S> {
     pub(crate) store: S,
-    pub(crate) retry: RetryPolicy,
+    pub(crate) retry: StoreRetryPolicy,
 }
 
 impl<S: PlatformStore> SegmentStore<S> {
--- a/crates/lots/src/worker/events.rs
+++ b/crates/lots/src/worker/events.rs
@@ -181,7 +181,7 @@
         let now = self.now();
         self.suspects_running -= usize::from(run.is_suspect);
         let tokens = match &outcome {
-            ItemOutcome::Done { tokens, .. } | ItemOutcome::SteppedAside { tokens, .. } => {
+            ItemOutcome::Done { tokens, .. } | ItemOutcome::Preempted { tokens, .. } => {
                 f64::from(*tokens)
             }
             _ => 0.0,
@@ -227,7 +227,7 @@
             }
             ItemOutcome::ServerFault { message } => self.on_fault(run, &message, now),
             ItemOutcome::ServerCrash { message } => self.on_crash(run, &message, now),
-            ItemOutcome::SteppedAside { resume, .. } => {
+            ItemOutcome::Preempted { resume, .. } => {
                 let item = &mut held.items[run.item];
                 item.state = ItemState::Waiting(now);
                 item.resume = resume;
@@ -266,7 +266,7 @@
         let held = &mut self.held[index];
         let was_stopped = matches!(
             outcome,
-            ItemOutcome::Cancelled | ItemOutcome::SteppedAside { .. }
+            ItemOutcome::Cancelled | ItemOutcome::Preempted { .. }
         );
         if was_stopped {
             held.items[run.item].state = ItemState::Waiting(now);
--- a/crates/lots/src/worker/picking.rs
+++ b/crates/lots/src/worker/picking.rs
@@ -14,7 +14,7 @@
     events::{ItemRun, WorkerEvent},
 };
 use crate::{
-    HeldLease, ItemOrder, ItemRunner, LotError, SlotSource, WallClock,
+    HeldLease, ItemRequest, ItemRunner, LotError, SlotSource, WallClock,
     held_segment::ItemState,
     lot_record::OpenMark,
     lot_view::LotEntry,
@@ -117,7 +117,7 @@
             is_probe: held.items[item].attempts.needs_probe,
             charged,
         };
-        let request = ItemOrder {
+        let request = ItemRequest {
             lot: held.claim.lot.clone(),
             customer: held.mark.customer.as_str().into(),
             endpoint: held.mark.endpoint.as_str().into(),
--- a/crates/lots/tests/acknowledgement.rs
+++ b/crates/lots/tests/acknowledgement.rs
@@ -128,7 +128,7 @@
     };
     store.platform.change_faults(outage(true));
     let error = submit(&lots, CUSTOMER, ITEMS).await.unwrap_err();
-    assert_matches!(error, LotError::Platform(_));
+    assert_matches!(error, LotError::Store(_));
     assert!(!error.may_have_run());
     store.platform.change_faults(outage(false));
     assert_eq!(visible(&lots).await, None);
--- a/crates/lots/tests/support/mod.rs
+++ b/crates/lots/tests/support/mod.rs
@@ -13,7 +13,7 @@
 };
 
 use comfreyramp_lots::{
-    BatchObject, BatchStatus, ItemOrder, ItemOutcome, ItemRunner, LotError, LotStore, LotWorker,
+    BatchObject, BatchStatus, ItemOutcome, ItemRequest, ItemRunner, LotError, LotStore, LotWorker,
     NewLot, SlotSource, WallClock, WallTime,
 };
 use comfreyramp_standins::platform::{MemoryStore, MemoryWatch};
@@ -289,7 +289,7 @@
 
     async fn run(
         &self,
-        request: ItemOrder<u32>,
+        request: ItemRequest<u32>,
         slot: OwnedSemaphorePermit,
         stop: CancellationToken,
     ) -> ItemOutcome<u32> {
@@ -318,7 +318,7 @@
             return ItemOutcome::ServerCrash { message };
         }
         if *self.preempts.lock().unwrap() {
-            return ItemOutcome::SteppedAside {
+            return ItemOutcome::Preempted {
                 resume: Some(7),
                 tokens: 7,
             };
--- a/crates/node/tests/explained.rs
+++ b/crates/node/tests/explained.rs
@@ -50,7 +50,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_stream_names_its_server() {
     let fleet = Fleet::started().await;
-    fleet.servers[0].break_next(4);
+    fleet.servers[0].cut_next_stream(4);
     let response = fleet
         .send(0, CallerRequest::post("/once/1", "broken-1", b"verse"))
         .await;
--- a/crates/node/tests/failing_fleet.rs
+++ b/crates/node/tests/failing_fleet.rs
@@ -19,7 +19,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_goes_on_at_another_server_without_gap_or_repeat() {
     let fleet = Fleet::started().await;
-    fleet.servers[0].break_next(5);
+    fleet.servers[0].cut_next_stream(5);
     let response = fleet
         .send(0, CallerRequest::post("/drafts/1", "r1", b"verse"))
         .await
@@ -45,7 +45,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_runs_once_breaks_with_its_server() {
     let fleet = Fleet::started().await;
-    fleet.servers[0].break_next(5);
+    fleet.servers[0].cut_next_stream(5);
     let response = fleet
         .send(0, CallerRequest::post("/once/1", "r2", b"verse"))
         .await;
@@ -59,8 +59,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_may_have_run_is_not_said_not_to_have() {
     let fleet = Fleet::started().await;
-    fleet.servers[0].break_next(0);
-    fleet.servers[1].break_next(0);
+    fleet.servers[0].cut_next_stream(0);
+    fleet.servers[1].cut_next_stream(0);
     let response = fleet
         .send(0, CallerRequest::post("/once/1", "r3", b"verse"))
         .await;
@@ -98,7 +98,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_withdrawn_key_stops_working_where_the_store_cannot_be_reached() {
     let mut fleet = Fleet::started().await;
-    fleet.daemons[0].store_endpoint.faults.turn_away(true);
+    fleet.daemons[0].store_endpoint.faults.set_rejecting(true);
     fleet.put_settings(&[KEY], 1_000.0);
     tokio::time::sleep(Duration::from_millis(2_000)).await;
     for daemon in [0, 1] {
@@ -129,8 +129,8 @@
 async fn lots_go_on_where_the_store_turns_daemons_away() {
     let fleet = Fleet::started().await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    fleet.daemons[0].store_endpoint.faults.turn_away(true);
-    fleet.daemons[2].store_endpoint.faults.turn_away(true);
+    fleet.daemons[0].store_endpoint.faults.set_rejecting(true);
+    fleet.daemons[2].store_endpoint.faults.set_rejecting(true);
     let mut status = fleet.submit_lot(0, "lot-c", &["one", "two"]).await.unwrap();
     for _ in 0..5 {
         // A daemon learns from its first failed call that the store rejects it. Until its
@@ -165,7 +165,7 @@
 async fn without_a_store_live_requests_are_served_and_lots_refused() {
     let fleet = Fleet::started().await;
     for daemon in &fleet.daemons {
-        daemon.store_endpoint.faults.turn_away(true);
+        daemon.store_endpoint.faults.set_rejecting(true);
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     let response = fleet
@@ -176,7 +176,7 @@
     let status = fleet.submit_lot(0, "lot-e", &["one"]).await.unwrap();
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     for daemon in &fleet.daemons {
-        daemon.store_endpoint.faults.turn_away(false);
+        daemon.store_endpoint.faults.set_rejecting(false);
     }
     tokio::time::sleep(Duration::from_millis(3_000)).await;
     let unknown = fleet
@@ -218,7 +218,7 @@
 async fn a_leaving_server_gets_no_new_requests() {
     let fleet = Fleet::started().await;
     fleet.servers[0].register(&fleet.store, "draining");
-    fleet.store.forget_history();
+    fleet.store.drop_history();
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let before = fleet.servers[0].arrivals().len();
     for number in 0..5 {
@@ -398,7 +398,7 @@
         })
         .await;
     for daemon in &fleet.daemons {
-        daemon.store_endpoint.faults.turn_away(true);
+        daemon.store_endpoint.faults.set_rejecting(true);
     }
     let before = count();
     fleet.resume(2);
@@ -418,7 +418,7 @@
         .eventually("the lot is run", async || count() > 0)
         .await;
     for daemon in &fleet.daemons {
-        daemon.store_endpoint.faults.turn_away(true);
+        daemon.store_endpoint.faults.set_rejecting(true);
     }
     tokio::time::sleep(Duration::from_millis(4_500)).await;
     let before = count();
@@ -435,7 +435,7 @@
     fleet
         .store
         .put("lots/other", b"a change that watches don't show");
-    fleet.store.forget_history();
+    fleet.store.drop_history();
     tokio::time::sleep(Duration::from_millis(300)).await;
     for daemon in [0, 1] {
         let lot = format!("lot-i-{daemon}");
--- a/crates/node/tests/fleet/mod.rs
+++ b/crates/node/tests/fleet/mod.rs
@@ -19,9 +19,9 @@
 
 use comfreyramp_http::{Bytes, HttpClient, MessageBody, Method, Request, Response, StatusCode};
 use comfreyramp_standins::{
-    kv::{KvDoor, KvState},
+    kv::{KvEndpoint, KvState},
     link::FaultLink,
-    runner::{RunnerKind, RunnerOptions, RunnerServer},
+    runner::{BackendKind, BackendOptions, BackendServer},
 };
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -52,7 +52,7 @@
     peer_address: SocketAddr,
     metrics_address: SocketAddr,
     /// The daemon's own endpoint of the store, with its own fault injection.
-    pub(crate) store_endpoint: KvDoor,
+    pub(crate) store_endpoint: KvEndpoint,
     data_folder: tempfile::TempDir,
 }
 
@@ -61,7 +61,7 @@
     pub(crate) store: Arc<KvState>,
     pub(crate) daemons: Vec<DaemonProcess>,
     /// The backend servers: two engines and a plain service.
-    pub(crate) servers: Vec<Arc<RunnerServer>>,
+    pub(crate) servers: Vec<Arc<BackendServer>>,
     /// The links to servers, to the store and from callers; empty in a fleet without links.
     pub(crate) links: Vec<FaultLink>,
     has_links: bool,
@@ -123,24 +123,24 @@
     pub(crate) async fn new() -> Fleet {
         let stop = CancellationToken::new();
         let store = Arc::new(KvState::default());
-        let engine = RunnerKind::Engine {
+        let engine = BackendKind::Engine {
             events: 12,
-            pause: Duration::from_millis(15),
+            event_interval: Duration::from_millis(15),
         };
         let mut servers = Vec::new();
         for (id, service, zone, kind) in [
             ("engine-1", "drafts", "zone-1", engine),
             ("engine-2", "drafts", "zone-2", engine),
-            ("plain-1", "proofs", "zone-1", RunnerKind::Plain),
+            ("plain-1", "proofs", "zone-1", BackendKind::Plain),
         ] {
-            let options = RunnerOptions {
+            let options = BackendOptions {
                 id: id.to_owned(),
                 service: service.to_owned(),
                 zone: zone.to_owned(),
                 kind,
             };
             servers.push(
-                RunnerServer::start(options, &store, stop.clone())
+                BackendServer::start(options, &store, stop.clone())
                     .await
                     .unwrap(),
             );
@@ -173,7 +173,7 @@
             let link_address = fleet
                 .address_through_link(fleet.servers[index].address)
                 .await;
-            fleet.servers[index].show_at(link_address, &fleet.store);
+            fleet.servers[index].set_published_address(link_address, &fleet.store);
         }
         fleet.with_daemons().await
     }
@@ -240,7 +240,7 @@
 
     /// Starts a daemon that serves callers, or else one that runs lots.
     pub(crate) async fn add_daemon(&mut self, name: &str, zone: &str, has_callers: bool) {
-        let store_endpoint = KvDoor::open(self.store.clone(), self.stop.clone())
+        let store_endpoint = KvEndpoint::open(self.store.clone(), self.stop.clone())
             .await
             .unwrap();
         let [
--- a/crates/node/tests/silent_store.rs
+++ b/crates/node/tests/silent_store.rs
@@ -53,7 +53,7 @@
         fleet.daemons[daemon]
             .store_endpoint
             .faults
-            .fall_silent(is_on);
+            .set_silent(is_on);
     }
 }
 
--- a/crates/node/tests/soak/checks.rs
+++ b/crates/node/tests/soak/checks.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use comfreyramp_http::StatusCode;
-use comfreyramp_standins::runner::RunnerArrival;
+use comfreyramp_standins::runner::BackendArrival;
 use serde_json::Value;
 
 use crate::{
@@ -109,7 +109,7 @@
 
 /// Returns how long after the acknowledged end of its lot an item started, if that is too
 /// late.
-fn late_arrival(context: &SoakContext, arrival: &RunnerArrival) -> Option<Duration> {
+fn late_arrival(context: &SoakContext, arrival: &BackendArrival) -> Option<Duration> {
     let (lot, _) = arrival.request_id.rsplit_once('-')?;
     let ledger = context.ledger();
     let record = ledger.lots.iter().find(|it| it.id == lot)?;
--- a/crates/node/tests/soak/fault_driver.rs
+++ b/crates/node/tests/soak/fault_driver.rs
@@ -90,10 +90,10 @@
             Fault::Restart(daemon) => self.restart(daemon),
             Fault::AtWrite(daemon, fault) => self.arm(daemon, fault),
             Fault::ReleaseAnswers(daemon) => self.hold_answers(daemon, false),
-            Fault::BreakServer(server) => self.fleet.servers[server].break_next(3),
+            Fault::BreakServer(server) => self.fleet.servers[server].cut_next_stream(3),
             Fault::SetServerFull(server) => self.fleet.servers[server].set_full(true),
             Fault::SetServerFree(server) => self.fleet.servers[server].set_full(false),
-            Fault::ForgetHistory => self.fleet.store.forget_history(),
+            Fault::ForgetHistory => self.fleet.store.drop_history(),
             Fault::ChangeSettings => self.change_settings(),
             Fault::SilenceStore => self.set_store_silent(true),
             Fault::RestoreStore => self.set_store_silent(false),
@@ -107,7 +107,7 @@
         self.fleet.daemons[daemon]
             .store_endpoint
             .faults
-            .turn_away(is_on);
+            .set_rejecting(is_on);
         self.record(ActiveFault::StoreRejects(daemon), is_on);
     }
 
@@ -121,7 +121,7 @@
 
     fn set_store_silent(&self, is_on: bool) {
         for daemon in &self.fleet.daemons {
-            daemon.store_endpoint.faults.fall_silent(is_on);
+            daemon.store_endpoint.faults.set_silent(is_on);
         }
         self.record(ActiveFault::StoreSilent, is_on);
     }
--- a/crates/peers/examples/peer_cost.rs
+++ b/crates/peers/examples/peer_cost.rs
@@ -9,8 +9,8 @@
 
 use anyhow::Context;
 use comfreyramp_peers::{
-    LinkTiming, LiveNotice, PeerBeat, PeerHandler, PeerLink, PeerRequest, SettingsAnswer,
-    SettingsAsk,
+    LinkTiming, LiveAnnouncement, PeerHandler, PeerHeartbeat, PeerLink, PeerRequest,
+    SettingsAnswer, SettingsRequest,
 };
 use comfreyramp_policy::{
     Heartbeat, Incarnation, NoticeAck, ServerKey, SuspectNotice, ZoneId,
@@ -28,8 +28,8 @@
 #[derive(Clone)]
 struct Echo;
 
-fn beat() -> PeerBeat {
-    PeerBeat {
+fn beat() -> PeerHeartbeat {
+    PeerHeartbeat {
         member: Heartbeat {
             name: "entry-wa-south-1-017".to_owned(),
             zone: ZoneId(1),
@@ -44,17 +44,17 @@
 }
 
 impl PeerHandler for Echo {
-    fn announce(&self, notices: &[LiveNotice]) -> Vec<u32> {
+    fn announce(&self, notices: &[LiveAnnouncement]) -> Vec<u32> {
         vec![3; notices.len()]
     }
 
-    fn own_beat(&self) -> PeerBeat {
+    fn own_heartbeat(&self) -> PeerHeartbeat {
         beat()
     }
 
-    fn take_beat(&self, _beat: &PeerBeat) {}
+    fn handle_heartbeat(&self, _beat: &PeerHeartbeat) {}
 
-    fn rates(&self, _from: &PeerBeat, ask: &RateRequest) -> RateAnswer {
+    fn rates(&self, _from: &PeerHeartbeat, ask: &RateRequest) -> RateAnswer {
         match ask {
             RateRequest::Tokens(_) => RateAnswer::Tokens(TokenAnswer::Granted {
                 grant: u64::MAX / 5,
@@ -79,11 +79,11 @@
         }
     }
 
-    async fn settings(&self, _ask: SettingsAsk) -> Option<SettingsAnswer> {
+    async fn settings(&self, _ask: SettingsRequest) -> Option<SettingsAnswer> {
         None
     }
 
-    fn suspects(&self, _from: &PeerBeat, _notice: SuspectNotice) -> NoticeAck {
+    fn suspects(&self, _from: &PeerHeartbeat, _notice: SuspectNotice) -> NoticeAck {
         NoticeAck::default()
     }
 }
@@ -140,7 +140,7 @@
         ("tokens", PeerRequest::Rates(RateRequest::Tokens(token))),
         (
             "1 announcement",
-            PeerRequest::Announce(vec![LiveNotice {
+            PeerRequest::Announce(vec![LiveAnnouncement {
                 server: ServerKey(u64::MAX / 3),
                 count: 1,
             }]),
--- a/crates/peers/src/codec/announce.rs
+++ b/crates/peers/src/codec/announce.rs
@@ -3,11 +3,11 @@
 use capnp::{primitive_list, struct_list};
 use comfreyramp_policy::ServerKey;
 
-use crate::{LiveNotice, generated::peers_capnp::live_notice};
+use crate::{LiveAnnouncement, generated::peers_capnp::live_notice};
 
 pub(crate) fn write_notices(
     mut list: struct_list::Builder<'_, live_notice::Owned>,
-    notices: &[LiveNotice],
+    notices: &[LiveAnnouncement],
 ) {
     for (index, notice) in notices.iter().enumerate() {
         let mut builder = list.reborrow().get(index as u32);
@@ -16,8 +16,10 @@
     }
 }
 
-pub(crate) fn read_notices(list: struct_list::Reader<'_, live_notice::Owned>) -> Vec<LiveNotice> {
-    let notices = list.iter().map(|reader| LiveNotice {
+pub(crate) fn read_notices(
+    list: struct_list::Reader<'_, live_notice::Owned>,
+) -> Vec<LiveAnnouncement> {
+    let notices = list.iter().map(|reader| LiveAnnouncement {
         server: ServerKey(reader.get_server()),
         count: reader.get_count(),
     });
--- a/crates/peers/src/codec/beat.rs
+++ b/crates/peers/src/codec/beat.rs
@@ -4,11 +4,11 @@
 
 use comfreyramp_policy::{Heartbeat, Incarnation, ZoneId};
 
-use crate::{PeerBeat, generated::peers_capnp::beat};
+use crate::{PeerHeartbeat, generated::peers_capnp::beat};
 
 use super::{micros, text};
 
-pub(crate) fn write_beat(mut builder: beat::Builder<'_>, beat: &PeerBeat) {
+pub(crate) fn write_beat(mut builder: beat::Builder<'_>, beat: &PeerHeartbeat) {
     builder.set_name(&beat.member.name);
     builder.set_zone(beat.member.zone.0);
     builder.set_address(&beat.member.address);
@@ -19,8 +19,8 @@
     builder.set_view_age_micros(micros(beat.view_age));
 }
 
-pub(crate) fn read_beat(reader: beat::Reader<'_>) -> Result<PeerBeat, capnp::Error> {
-    Ok(PeerBeat {
+pub(crate) fn read_beat(reader: beat::Reader<'_>) -> Result<PeerHeartbeat, capnp::Error> {
+    Ok(PeerHeartbeat {
         member: Heartbeat {
             name: text(reader.get_name()?)?,
             zone: ZoneId(reader.get_zone()),
--- a/crates/peers/src/codec/mod.rs
+++ b/crates/peers/src/codec/mod.rs
@@ -14,7 +14,7 @@
 };
 
 use crate::{
-    LiveNotice, PeerAnswer, PeerBeat, PeerError, PeerRequest, SettingsAsk,
+    LiveAnnouncement, PeerAnswer, PeerError, PeerHeartbeat, PeerRequest, SettingsRequest,
     generated::peers_capnp::session,
 };
 
@@ -40,7 +40,10 @@
     }
 }
 
-async fn call_beat(session: &session::Client, beat: &PeerBeat) -> Result<PeerBeat, PeerError> {
+async fn call_beat(
+    session: &session::Client,
+    beat: &PeerHeartbeat,
+) -> Result<PeerHeartbeat, PeerError> {
     let mut request = session.beat_request();
     write_beat(request.get().init_beat(), beat);
     let answer = request.send().promise.await.map_err(call_error)?;
@@ -93,11 +96,11 @@
 
 async fn call_settings(
     session: &session::Client,
-    ask: &SettingsAsk,
+    ask: &SettingsRequest,
 ) -> Result<PeerAnswer, PeerError> {
     let mut request = session.settings_request();
-    request.get().set_known(ask.known);
-    let hold = u32::try_from(ask.hold.as_millis()).unwrap_or(u32::MAX);
+    request.get().set_known(ask.known_revision);
+    let hold = u32::try_from(ask.max_hold.as_millis()).unwrap_or(u32::MAX);
     request.get().set_hold_millis(hold);
     let answer = request.send().promise.await.map_err(call_error)?;
     let view = answer
@@ -127,7 +130,7 @@
 
 async fn call_announce(
     session: &session::Client,
-    notices: &[LiveNotice],
+    notices: &[LiveAnnouncement],
 ) -> Result<PeerAnswer, PeerError> {
     let mut request = session.announce_request();
     let list = request.get().init_notices(notices.len() as u32);
--- a/crates/peers/src/connection_pool.rs
+++ b/crates/peers/src/connection_pool.rs
@@ -69,7 +69,7 @@
             connection.close.cancel();
         }
         if let Ok(PeerAnswer::Heartbeat(beat)) = &answer {
-            self.context.handler.take_beat(beat);
+            self.context.handler.handle_heartbeat(beat);
         }
         answer
     }
@@ -211,13 +211,13 @@
         }
     });
     let mut request = door.hello_request();
-    codec::write_beat(request.get().init_beat(), &context.handler.own_beat());
+    codec::write_beat(request.get().init_beat(), &context.handler.own_heartbeat());
     let answer = request.send().promise.await;
     let answer = answer.map_err(|error| unreachable(&error))?;
     let answer = answer.get().map_err(|error| unreachable(&error))?;
     let beat = answer.get_beat().and_then(codec::read_beat);
     context
         .handler
-        .take_beat(&beat.map_err(|error| unreachable(&error))?);
+        .handle_heartbeat(&beat.map_err(|error| unreachable(&error))?);
     answer.get_session().map_err(|error| unreachable(&error))
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -18,7 +18,8 @@
 mod peer_server;
 
 pub use messages::{
-    LiveNotice, PeerAnswer, PeerBeat, PeerRequest, SettingsAnswer, SettingsAsk, SettingsPair,
+    LiveAnnouncement, PeerAnswer, PeerHeartbeat, PeerRequest, SettingsAnswer, SettingsPair,
+    SettingsRequest,
 };
 pub use metered_stream::PeerTraffic;
 pub use peer_error::PeerError;
--- a/crates/peers/src/messages.rs
+++ b/crates/peers/src/messages.rs
@@ -10,7 +10,7 @@
 /// A heartbeat: the state that a daemon reports when it connects, at intervals,
 /// and when it stops. The answer is the heartbeat of the other daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PeerBeat {
+pub struct PeerHeartbeat {
     /// The daemon's identity, and whether it is about to stop.
     pub member: Heartbeat,
     /// The revision of the settings that the daemon has in force.
@@ -23,11 +23,11 @@
 
 /// A request for a daemon's view of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SettingsAsk {
+pub struct SettingsRequest {
     /// The revision that the requesting daemon has; 0 if it has none.
-    pub known: i64,
+    pub known_revision: i64,
     /// How long the peer may delay the answer while it has nothing newer.
-    pub hold: Duration,
+    pub max_hold: Duration,
 }
 
 /// A daemon's view of the settings, or the changes that lead to it.
@@ -58,7 +58,7 @@
 
 /// Announces live requests that are about to reach a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LiveNotice {
+pub struct LiveAnnouncement {
     /// The backend server.
     pub server: ServerKey,
     /// The number of live requests.
@@ -69,22 +69,22 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerRequest {
     /// A heartbeat. If `leaving` is set, the sender is about to stop.
-    Heartbeat(PeerBeat),
+    Heartbeat(PeerHeartbeat),
     /// A message about tokens and slices of customers' rates.
     Rates(RateRequest),
     /// The settings.
-    Settings(SettingsAsk),
+    Settings(SettingsRequest),
     /// Suspects and blocked fingerprints.
     Suspects(SuspectNotice),
     /// Live requests that are about to reach servers whose home is the peer.
-    Announce(Vec<LiveNotice>),
+    Announce(Vec<LiveAnnouncement>),
 }
 
 /// The answer to a [`PeerRequest`], of the same kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerAnswer {
     /// The heartbeat of the peer.
-    Heartbeat(PeerBeat),
+    Heartbeat(PeerHeartbeat),
     /// A message about tokens and slices of customers' rates.
     Rates(RateAnswer),
     /// The settings, or `None` if the peer has none yet.
--- a/crates/peers/src/peer_handler.rs
+++ b/crates/peers/src/peer_handler.rs
@@ -7,7 +7,7 @@
     rates::{RateAnswer, RateRequest},
 };
 
-use crate::{LiveNotice, PeerBeat, SettingsAnswer, SettingsAsk};
+use crate::{LiveAnnouncement, PeerHeartbeat, SettingsAnswer, SettingsRequest};
 
 /// Answers requests from other daemons.
 ///
@@ -15,22 +15,23 @@
 /// last heartbeat that the peer sent on the connection.
 pub trait PeerHandler: Clone + Send + 'static {
     /// Returns the heartbeat of this daemon.
-    fn own_beat(&self) -> PeerBeat;
+    fn own_heartbeat(&self) -> PeerHeartbeat;
 
     /// Processes a peer's heartbeat, which came in a request or an answer.
-    fn take_beat(&self, beat: &PeerBeat);
+    fn handle_heartbeat(&self, beat: &PeerHeartbeat);
 
     /// Answers a request about rates.
-    fn rates(&self, from: &PeerBeat, ask: &RateRequest) -> RateAnswer;
+    fn rates(&self, from: &PeerHeartbeat, ask: &RateRequest) -> RateAnswer;
 
     /// Answers a request for the settings, with `None` while there are none.
-    fn settings(&self, ask: SettingsAsk) -> impl Future<Output = Option<SettingsAnswer>> + Send;
+    fn settings(&self, ask: SettingsRequest)
+    -> impl Future<Output = Option<SettingsAnswer>> + Send;
 
     /// Processes a notice of suspects.
-    fn suspects(&self, from: &PeerBeat, notice: SuspectNotice) -> NoticeAck;
+    fn suspects(&self, from: &PeerHeartbeat, notice: SuspectNotice) -> NoticeAck;
 
     /// Preempts bulk requests in favour of live requests that a peer sends to
     /// servers whose home is this daemon. Returns the number of bulk requests
     /// left on each server, in the order of `notices`.
-    fn announce(&self, notices: &[LiveNotice]) -> Vec<u32>;
+    fn announce(&self, notices: &[LiveAnnouncement]) -> Vec<u32>;
 }
--- a/crates/peers/src/peer_link.rs
+++ b/crates/peers/src/peer_link.rs
@@ -16,8 +16,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    LiveNotice, PeerAnswer, PeerBeat, PeerError, PeerHandler, PeerRequest, PeerTraffic,
-    SettingsAnswer, SettingsAsk,
+    LiveAnnouncement, PeerAnswer, PeerError, PeerHandler, PeerHeartbeat, PeerRequest, PeerTraffic,
+    SettingsAnswer, SettingsRequest,
     link_thread::{self, LinkContext},
 };
 
@@ -121,12 +121,12 @@
     }
 
     /// Sends a heartbeat to a daemon and returns the daemon's own.
-    pub async fn beat(
+    pub async fn heartbeat(
         &self,
         to: SocketAddr,
-        beat: PeerBeat,
+        beat: PeerHeartbeat,
         timeout: Duration,
-    ) -> Result<PeerBeat, PeerError> {
+    ) -> Result<PeerHeartbeat, PeerError> {
         match self
             .request(to, PeerRequest::Heartbeat(beat), timeout)
             .await?
@@ -153,7 +153,7 @@
     pub async fn settings(
         &self,
         to: SocketAddr,
-        ask: SettingsAsk,
+        ask: SettingsRequest,
         timeout: Duration,
     ) -> Result<Option<SettingsAnswer>, PeerError> {
         match self
@@ -186,7 +186,7 @@
     pub async fn announce(
         &self,
         to: SocketAddr,
-        notices: Vec<LiveNotice>,
+        notices: Vec<LiveAnnouncement>,
         timeout: Duration,
     ) -> Result<Vec<u32>, PeerError> {
         match self
--- a/crates/peers/src/peer_server.rs
+++ b/crates/peers/src/peer_server.rs
@@ -17,7 +17,7 @@
 use tokio_util::compat::TokioAsyncReadCompatExt;
 
 use crate::{
-    PeerBeat, PeerHandler, SettingsAsk, codec,
+    PeerHandler, PeerHeartbeat, SettingsRequest, codec,
     generated::peers_capnp::{door, session},
     link_thread::LinkContext,
     metered_stream::MeteredStream,
@@ -97,14 +97,14 @@
     ) -> Result<(), capnp::Error> {
         let beat = codec::read_beat(params.get()?.get_beat()?)?;
         let handler = &self.context.handler;
-        handler.take_beat(&beat);
+        handler.handle_heartbeat(&beat);
         let session = PeerSession {
             handler: handler.clone(),
             last_used: self.last_used.clone(),
             from: RefCell::new(beat),
         };
         let mut results = results.get();
-        codec::write_beat(results.reborrow().init_beat(), &handler.own_beat());
+        codec::write_beat(results.reborrow().init_beat(), &handler.own_heartbeat());
         results.set_session(capnp_rpc::new_client(session));
         Ok(())
     }
@@ -114,7 +114,7 @@
 struct PeerSession<H> {
     handler: H,
     last_used: Rc<Cell<Instant>>,
-    from: RefCell<PeerBeat>,
+    from: RefCell<PeerHeartbeat>,
 }
 
 impl<H: PeerHandler> PeerSession<H> {
@@ -136,9 +136,9 @@
     ) -> Result<(), capnp::Error> {
         self.record_use();
         let beat = codec::read_beat(params.get()?.get_beat()?)?;
-        self.handler.take_beat(&beat);
+        self.handler.handle_heartbeat(&beat);
         self.from.replace(beat);
-        codec::write_beat(results.get().init_beat(), &self.handler.own_beat());
+        codec::write_beat(results.get().init_beat(), &self.handler.own_heartbeat());
         Ok(())
     }
 
@@ -189,9 +189,9 @@
     ) -> Result<(), capnp::Error> {
         self.record_use();
         let params = params.get()?;
-        let ask = SettingsAsk {
-            known: params.get_known(),
-            hold: Duration::from_millis(u64::from(params.get_hold_millis())),
+        let ask = SettingsRequest {
+            known_revision: params.get_known(),
+            max_hold: Duration::from_millis(u64::from(params.get_hold_millis())),
         };
         if let Some(answer) = self.handler.settings(ask).await {
             codec::write_settings(results.get().init_view(), &answer);
--- a/crates/peers/tests/peer_link.rs
+++ b/crates/peers/tests/peer_link.rs
@@ -9,8 +9,8 @@
 
 use assert_matches::assert_matches;
 use comfreyramp_peers::{
-    LinkTiming, LiveNotice, PeerBeat, PeerError, PeerHandler, PeerLink, SettingsAnswer,
-    SettingsAsk, SettingsPair,
+    LinkTiming, LiveAnnouncement, PeerError, PeerHandler, PeerHeartbeat, PeerLink, SettingsAnswer,
+    SettingsPair, SettingsRequest,
 };
 use comfreyramp_policy::{
     DeathFact, DeathId, Fingerprint, Heartbeat, Incarnation, NoticeAck, ServerKey, SuspectFact,
@@ -29,7 +29,7 @@
 struct Recorder {
     name: &'static str,
     requests: Arc<Mutex<Vec<RateRequest>>>,
-    beats: Arc<Mutex<Vec<PeerBeat>>>,
+    beats: Arc<Mutex<Vec<PeerHeartbeat>>>,
     answer: Arc<Mutex<RateAnswer>>,
     view: Option<SettingsAnswer>,
 }
@@ -44,8 +44,8 @@
     }
 }
 
-fn beat_of(name: &str) -> PeerBeat {
-    PeerBeat {
+fn beat_of(name: &str) -> PeerHeartbeat {
+    PeerHeartbeat {
         member: Heartbeat {
             name: name.to_owned(),
             zone: ZoneId(2),
@@ -60,28 +60,28 @@
 }
 
 impl PeerHandler for Recorder {
-    fn own_beat(&self) -> PeerBeat {
+    fn own_heartbeat(&self) -> PeerHeartbeat {
         beat_of(self.name)
     }
 
-    fn take_beat(&self, beat: &PeerBeat) {
+    fn handle_heartbeat(&self, beat: &PeerHeartbeat) {
         self.beats.lock().unwrap().push(beat.clone());
     }
 
-    fn rates(&self, from: &PeerBeat, ask: &RateRequest) -> RateAnswer {
+    fn rates(&self, from: &PeerHeartbeat, ask: &RateRequest) -> RateAnswer {
         assert_eq!(from.member.name, "asker");
         self.requests.lock().unwrap().push(ask.clone());
         self.answer.lock().unwrap().clone()
     }
 
-    async fn settings(&self, ask: SettingsAsk) -> Option<SettingsAnswer> {
-        tokio::time::sleep(ask.hold).await;
+    async fn settings(&self, ask: SettingsRequest) -> Option<SettingsAnswer> {
+        tokio::time::sleep(ask.max_hold).await;
         self.view
             .clone()
-            .filter(|view| view.offer.base == ask.known)
+            .filter(|view| view.offer.base == ask.known_revision)
     }
 
-    fn suspects(&self, _from: &PeerBeat, notice: SuspectNotice) -> NoticeAck {
+    fn suspects(&self, _from: &PeerHeartbeat, notice: SuspectNotice) -> NoticeAck {
         let fingerprints: Vec<_> = notice.facts.iter().map(|fact| fact.fingerprint).collect();
         NoticeAck {
             running: fingerprints.clone(),
@@ -90,7 +90,7 @@
         }
     }
 
-    fn announce(&self, notices: &[LiveNotice]) -> Vec<u32> {
+    fn announce(&self, notices: &[LiveAnnouncement]) -> Vec<u32> {
         notices.iter().map(|it| it.count + 1).collect()
     }
 }
@@ -212,11 +212,14 @@
 async fn heartbeats_go_both_ways_and_come_with_each_connection() {
     let answerer = recorder("answerer");
     let (asker, other) = pair(answerer.clone());
-    let sent = PeerBeat {
+    let sent = PeerHeartbeat {
         settings_revision: 8,
         ..beat_of("asker")
     };
-    let received = asker.link.beat(other.address, sent.clone(), TIMEOUT).await;
+    let received = asker
+        .link
+        .heartbeat(other.address, sent.clone(), TIMEOUT)
+        .await;
     assert_eq!(received.unwrap(), beat_of("answerer"));
     assert_eq!(*answerer.beats.lock().unwrap(), [beat_of("asker"), sent]);
     asker.stop();
@@ -245,10 +248,16 @@
     answerer.view = Some(view.clone());
     let (asker, other) = pair(answerer);
     let hold = Duration::ZERO;
-    let known = SettingsAsk { known: 4, hold };
+    let known = SettingsRequest {
+        known_revision: 4,
+        max_hold: hold,
+    };
     let got = asker.link.settings(other.address, known, TIMEOUT).await;
     assert_eq!(got.unwrap(), Some(view));
-    let unknown = SettingsAsk { known: 9, hold };
+    let unknown = SettingsRequest {
+        known_revision: 9,
+        max_hold: hold,
+    };
     let got = asker.link.settings(other.address, unknown, TIMEOUT).await;
     assert_eq!(got.unwrap(), None);
 
@@ -318,7 +327,10 @@
     // Requests for tokens use the same connection and must not be delayed by it.
     let (asker, other) = pair(recorder("answerer"));
     let hold = Duration::from_secs(3_600);
-    let waiting = SettingsAsk { known: 0, hold };
+    let waiting = SettingsRequest {
+        known_revision: 0,
+        max_hold: hold,
+    };
     let timeout = Duration::from_millis(200);
     let held = asker.link.settings(other.address, waiting, timeout);
     let settle = RateRequest::Settle(Vec::new());
@@ -376,7 +388,7 @@
 #[tokio::test]
 async fn announcements_arrive_in_order_and_so_does_the_answer() {
     let (asker, other) = pair(recorder("answerer"));
-    let notices = [(7, 1), (u64::MAX, 2), (0, 40)].map(|(server, count)| LiveNotice {
+    let notices = [(7, 1), (u64::MAX, 2), (0, 40)].map(|(server, count)| LiveAnnouncement {
         server: ServerKey(server),
         count,
     });
--- a/crates/serving/src/path/live_request.rs
+++ b/crates/serving/src/path/live_request.rs
@@ -193,7 +193,7 @@
         .await
         .map_err(|error| match error {
             BodyError::TooLong { .. } => RefusalCause::BodyTooLong.into(),
-            BodyError::Connection(_) | BodyError::CutShort(_) => RefusalCause::BadRequest.into(),
+            BodyError::Connection(_) | BodyError::Aborted(_) => RefusalCause::BadRequest.into(),
         })
 }
 
--- a/crates/standins/src/engine/generate.rs
+++ b/crates/standins/src/engine/generate.rs
@@ -225,9 +225,9 @@
             RunEnd::Broken => {
                 self.sequence.end(RequestEnd::Broken);
                 tokio::time::sleep(CUT_DELAY).await;
-                sender.cut_short("broken by a fault switch").await;
+                sender.abort("broken by a fault switch").await;
             }
-            RunEnd::Cancelled => sender.cut_short("cancelled").await,
+            RunEnd::Cancelled => sender.abort("cancelled").await,
             RunEnd::ClientGone => {}
         }
     }
@@ -302,7 +302,7 @@
         tokio::spawn(async move {
             sender.send(Bytes::from(text)).await;
             tokio::time::sleep(CUT_DELAY).await;
-            sender.cut_short("broken by a fault switch").await;
+            sender.abort("broken by a fault switch").await;
         });
         Response::new(body)
     }
--- a/crates/standins/src/kv/endpoint.rs
+++ b/crates/standins/src/kv/endpoint.rs
@@ -22,20 +22,20 @@
 
 /// An HTTP endpoint of the store, with its own faults.
 #[derive(Clone, Debug)]
-pub struct KvDoor {
+pub struct KvEndpoint {
     /// The fault switches of this endpoint.
     pub faults: Arc<KvFaults>,
     /// The address at which it listens.
     pub address: SocketAddr,
 }
 
-impl KvDoor {
+impl KvEndpoint {
     /// Opens an endpoint that serves until `stop` is cancelled.
     ///
     /// # Errors
     ///
     /// Fails if there is no free port.
-    pub async fn open(state: Arc<KvState>, stop: CancellationToken) -> anyhow::Result<KvDoor> {
+    pub async fn open(state: Arc<KvState>, stop: CancellationToken) -> anyhow::Result<KvEndpoint> {
         let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?;
         let faults = Arc::new(KvFaults::default());
@@ -52,7 +52,7 @@
                 answer
             }
         }));
-        Ok(KvDoor { faults, address })
+        Ok(KvEndpoint { faults, address })
     }
 }
 
@@ -207,6 +207,6 @@
 /// effect.
 async fn truncated_answer() -> Response<MessageBody> {
     let (sender, body) = MessageBody::stream();
-    sender.cut_short("the answer is lost").await;
+    sender.abort("the answer is lost").await;
     Response::new(body)
 }
--- a/crates/standins/src/kv/faults.rs
+++ b/crates/standins/src/kv/faults.rs
@@ -31,13 +31,13 @@
 
 impl KvFaults {
     /// Sets whether all calls are rejected with 503, which means that they had no effect.
-    pub fn turn_away(&self, is_on: bool) {
+    pub fn set_rejecting(&self, is_on: bool) {
         self.is_rejecting.store(is_on, Ordering::SeqCst);
     }
 
     /// Sets whether the endpoint is silent: no call is answered. Calls that were open at any
     /// time during the silence, including waiting watches, get no answer afterwards either.
-    pub fn fall_silent(&self, is_on: bool) {
+    pub fn set_silent(&self, is_on: bool) {
         if is_on {
             self.silence_count.fetch_add(1, Ordering::SeqCst);
         }
--- a/crates/standins/src/kv/state.rs
+++ b/crates/standins/src/kv/state.rs
@@ -142,7 +142,7 @@
 
     /// Drops the history of changes, so that watches from an older revision fail and must
     /// list the keys again.
-    pub fn forget_history(&self) {
+    pub fn drop_history(&self) {
         let mut tables = self.lock();
         tables.compacted_revision = tables.revision;
         tables.events.clear();
--- a/crates/standins/src/platform/server.rs
+++ b/crates/standins/src/platform/server.rs
@@ -231,7 +231,7 @@
                     self.write(message).await;
                 }
                 Ok(WatchUpdate::Compacted(oldest)) => return self.write_compacted(oldest).await,
-                Ok(WatchUpdate::Broken) => return self.sender.cut_short("the watch broke").await,
+                Ok(WatchUpdate::Broken) => return self.sender.abort("the watch broke").await,
             }
         }
     }
@@ -305,7 +305,7 @@
             Ok(json(&change))
         }
         ("POST", ["stand-in", "lose-everything"]) => {
-            platform.lose_everything();
+            platform.clear_store();
             Ok(json(&serde_json::json!({})))
         }
         ("POST", ["stand-in", "break-watches"]) => {
@@ -334,7 +334,7 @@
 /// when the connection fails after the write took effect.
 fn truncated_answer() -> Response<MessageBody> {
     let (sender, body) = MessageBody::stream();
-    tokio::spawn(sender.cut_short("answer lost by a fault switch"));
+    tokio::spawn(sender.abort("answer lost by a fault switch"));
     Response::new(body)
 }
 
--- a/crates/standins/src/platform/shared_platform.rs
+++ b/crates/standins/src/platform/shared_platform.rs
@@ -206,7 +206,7 @@
 
     /// Drops all pairs, leases and revisions, as a restore from an empty backup does, and
     /// breaks all open watches.
-    pub fn lose_everything(&self) {
+    pub fn clear_store(&self) {
         let mut state = self.lock();
         state.model = KeyValueModel::default();
         state.watch_epoch += 1;
--- a/crates/standins/src/runner/runner_server.rs
+++ b/crates/standins/src/runner/backend_server.rs
@@ -23,7 +23,7 @@
 
 /// The kind of responses that a server sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunnerKind {
+pub enum BackendKind {
     /// A stream of events. If the request's body is `takes 40`, the whole stream takes
     /// 40 ms.
     Engine {
@@ -31,7 +31,7 @@
         events: u64,
         /// The delay before each event, unless the request's body sets the duration of the
         /// stream.
-        pause: Duration,
+        event_interval: Duration,
     },
     /// The request's body is sent back; after 40 ms if it is `takes 40`.
     Plain,
@@ -39,7 +39,7 @@
 
 /// The identity and the kind of a server.
 #[derive(Clone, Debug)]
-pub struct RunnerOptions {
+pub struct BackendOptions {
     /// Its id, under which it registers in the store.
     pub id: String,
     /// The name of the service it belongs to.
@@ -47,12 +47,12 @@
     /// Its availability zone.
     pub zone: String,
     /// The kind of responses it sends.
-    pub kind: RunnerKind,
+    pub kind: BackendKind,
 }
 
 /// A request that a server received.
 #[derive(Clone, Debug)]
-pub struct RunnerArrival {
+pub struct BackendArrival {
     /// The time of arrival.
     pub at: Instant,
     /// The `x-request-id` header; empty if there is none.
@@ -67,31 +67,31 @@
 
 /// A running server.
 #[derive(Debug)]
-pub struct RunnerServer {
-    options: RunnerOptions,
+pub struct BackendServer {
+    options: BackendOptions,
     /// The address at which it listens.
     pub address: SocketAddr,
     /// The address in its store entry, which differs from the own one behind a link.
     published_address: Mutex<SocketAddr>,
-    arrivals: Mutex<Vec<RunnerArrival>>,
+    arrivals: Mutex<Vec<BackendArrival>>,
     is_full: AtomicBool,
     break_after: AtomicU32,
 }
 
-impl RunnerServer {
+impl BackendServer {
     /// Starts a server and registers it in the store as ready.
     ///
     /// # Errors
     ///
     /// Fails if there is no free port.
     pub async fn start(
-        options: RunnerOptions,
+        options: BackendOptions,
         store: &KvState,
         stop: CancellationToken,
-    ) -> anyhow::Result<Arc<RunnerServer>> {
+    ) -> anyhow::Result<Arc<BackendServer>> {
         let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?;
-        let server = Arc::new(RunnerServer {
+        let server = Arc::new(BackendServer {
             address,
             published_address: Mutex::new(address),
             options,
@@ -110,7 +110,7 @@
 
     /// Registers the server under another address, such as that of a fault link in front
     /// of it.
-    pub fn show_at(&self, address: SocketAddr, store: &KvState) {
+    pub fn set_published_address(&self, address: SocketAddr, store: &KvState) {
         *self
             .published_address
             .lock()
@@ -140,12 +140,12 @@
     }
 
     /// Cuts the next stream of events after this many events.
-    pub fn break_next(&self, events: u32) {
+    pub fn cut_next_stream(&self, events: u32) {
         self.break_after.store(events, Ordering::SeqCst);
     }
 
     /// Returns the requests received so far.
-    pub fn arrivals(&self) -> Vec<RunnerArrival> {
+    pub fn arrivals(&self) -> Vec<BackendArrival> {
         self.arrivals
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -164,7 +164,7 @@
         let request_id = text("x-request-id");
         let is_expected = text("x-expect-instance") == self.options.id;
         let is_full = self.is_full.load(Ordering::SeqCst);
-        let arrival = RunnerArrival {
+        let arrival = BackendArrival {
             at: Instant::now(),
             request_id: request_id.clone(),
             path: head.uri.path().to_owned(),
@@ -187,11 +187,14 @@
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         } else {
             match self.options.kind {
-                RunnerKind::Plain => {
+                BackendKind::Plain => {
                     tokio::time::sleep(requested_duration(&body).unwrap_or_default()).await;
                     *answer.body_mut() = MessageBody::from(body);
                 }
-                RunnerKind::Engine { events, pause } => {
+                BackendKind::Engine {
+                    events,
+                    event_interval: pause,
+                } => {
                     let (sender, stream) = MessageBody::stream();
                     *answer.body_mut() = stream;
                     let pause = requested_duration(&body).map_or(pause, |it| it / events as u32);
@@ -232,7 +235,7 @@
         if sent as u32 == break_after {
             // The stream is cut in the middle of an event, as a crash of the server would do.
             sender.send(format!("id: {id}\nda")).await;
-            return sender.cut_short("the server cuts the stream").await;
+            return sender.abort("the server cuts the stream").await;
         }
         tokio::time::sleep(pause).await;
         if !sender.send(format!("id: {id}\ndata: word {id}\n\n")).await {
--- a/crates/standins/src/runner/mod.rs
+++ b/crates/standins/src/runner/mod.rs
@@ -1,6 +1,6 @@
 //! A stand-in for a customer's backend server: an engine that streams events, or a plain
 //! service.
 
-mod runner_server;
+mod backend_server;
 
-pub use runner_server::{RunnerArrival, RunnerKind, RunnerOptions, RunnerServer};
+pub use backend_server::{BackendArrival, BackendKind, BackendOptions, BackendServer};
--- a/crates/standins/src/service/server.rs
+++ b/crates/standins/src/service/server.rs
@@ -214,7 +214,7 @@
             Ok(Err(_trailers)) => continue,
             Err(error) => {
                 call.end(RequestEnd::Broken, bytes);
-                sender.cut_short(error.to_string()).await;
+                sender.abort(error.to_string()).await;
                 return;
             }
         };
--- a/crates/standins/tests/service_http.rs
+++ b/crates/standins/tests/service_http.rs
@@ -59,7 +59,7 @@
     sender.send("half").await;
     let mut response = stand_in.send(Method::POST, "/echo", &[], body).await;
     next_frame(response.body_mut()).await;
-    sender.cut_short("the caller gave up").await;
+    sender.abort("the caller gave up").await;
     wait_for_record(server.log(), |it| {
         it.index == 1 && it.end != RequestEnd::Running
     })
--- a/crates/tool/tests/fleet_commands.rs
+++ b/crates/tool/tests/fleet_commands.rs
@@ -14,7 +14,7 @@
 use comfreyramp_standins::{engine::EngineOptions, platform::FaultChange};
 use comfreyramp_store::VmState;
 use serde_json::{Value, json};
-use support::{FleetPlan, KEY, PATIENCE, TOKEN, TestFleet, chat, usual_settings, vm};
+use support::{FleetPlan, KEY, TOKEN, TestFleet, WAIT_TIMEOUT, chat, default_settings, vm};
 use tokio::process::Command;
 
 /// Runs the tool with the addresses of a fleet.
@@ -169,7 +169,7 @@
     let tool = Tool::new(&fleet);
     let folder = tempfile::TempDir::new().expect("a folder");
     let path = folder.path().join("studio.json");
-    let mut settings = usual_settings();
+    let mut settings = default_settings();
     settings.customers[0].rate = 5.0;
     std::fs::write(&path, json!(settings).to_string()).expect("the file can be written");
     let path = path.to_str().expect("a path in UTF-8");
@@ -292,7 +292,7 @@
         {
             break status;
         }
-        assert!(began.elapsed() < PATIENCE, "{status}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "{status}");
         tokio::time::sleep(Duration::from_millis(100)).await;
     };
 
@@ -317,7 +317,7 @@
         if degraded.iter().all(|it| shown.contains(it)) {
             break;
         }
-        assert!(began.elapsed() < PATIENCE, "{shown}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "{shown}");
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     fleet.platform.change_faults(FaultChange {
