--- a/crates/daemon/src/lot_work/engine_runner.rs
+++ b/crates/daemon/src/lot_work/engine_runner.rs
@@ -134,7 +134,7 @@
             .and_then(|it| it["usage"]["completion_tokens"].as_u64());
         ItemOutcome::Done {
             status: status.as_u16(),
-            request_id: run.order.id.clone(),
+            request_id: run.item_request.id.clone(),
             body: raw,
             tokens: tokens.and_then(|it| it.try_into().ok()).unwrap_or(0),
         }
@@ -176,14 +176,14 @@
 
     async fn run(
         &self,
-        order: ItemRequest<AnswerBuilder>,
+        item_request: ItemRequest<AnswerBuilder>,
         slot: BulkSlot,
         stop: CancellationToken,
     ) -> Outcome {
         let started_at = self.state.clock.now();
-        let customer = order.customer.clone();
+        let customer = item_request.customer.clone();
         let preempt = slot.stop.clone();
-        let mut run = ItemRun::new(order, slot);
+        let mut run = ItemRun::new(item_request, slot);
         let outcome = tokio::select! {
             biased;
             () = stop.cancelled() => Some(ItemOutcome::Cancelled),
@@ -200,7 +200,7 @@
 
 /// An item that is running.
 struct ItemRun {
-    order: ItemRequest<AnswerBuilder>,
+    item_request: ItemRequest<AnswerBuilder>,
     slot: BulkSlot,
     builder: AnswerBuilder,
     resumed_at: u32,
@@ -208,12 +208,12 @@
 }
 
 impl ItemRun {
-    fn new(mut order: ItemRequest<AnswerBuilder>, slot: BulkSlot) -> Self {
-        let builder = order.resume.take().unwrap_or_default();
+    fn new(mut item_request: ItemRequest<AnswerBuilder>, slot: BulkSlot) -> Self {
+        let builder = item_request.resume.take().unwrap_or_default();
         ItemRun {
             resumed_at: builder.tokens,
             builder,
-            order,
+            item_request,
             slot,
             is_stream: true,
         }
@@ -221,7 +221,10 @@
 
     fn request(&mut self) -> Option<Request<MessageBody>> {
         let body = self.body()?;
-        let uri = format!("http://{}{}", self.slot.server.address, self.order.endpoint);
+        let uri = format!(
+            "http://{}{}",
+            self.slot.server.address, self.item_request.endpoint
+        );
         let mut request = Request::builder()
             .method(Method::POST)
             .uri(uri)
@@ -230,14 +233,15 @@
         let headers = request.headers_mut();
         let json = HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, json);
-        headers.insert("x-request-id", self.order.id.parse().ok()?);
+        headers.insert("x-request-id", self.item_request.id.parse().ok()?);
         Some(request)
     }
 
     /// Returns the item's body. It requests a stream where the answer can be
     /// assembled from one, since a stream can be stopped and resumed.
     fn body(&mut self) -> Option<Bytes> {
-        let mut fields: Map<String, Value> = serde_json::from_slice(&self.order.body).ok()?;
+        let mut fields: Map<String, Value> =
+            serde_json::from_slice(&self.item_request.body).ok()?;
         self.is_stream = !UNSTREAMABLE_FIELDS
             .iter()
             .any(|it| fields.contains_key(*it));
@@ -260,10 +264,10 @@
         self.slot.server.note_outcome(ServerOutcome::Ok);
         let tokens = self.tokens();
         let builder = std::mem::take(&mut self.builder);
-        match builder.finish(AnswerShape::of(&self.order.endpoint)) {
+        match builder.finish(AnswerShape::of(&self.item_request.endpoint)) {
             Some(body) => ItemOutcome::Done {
                 status: StatusCode::OK.as_u16(),
-                request_id: self.order.id.clone(),
+                request_id: self.item_request.id.clone(),
                 body,
                 tokens,
             },
--- a/crates/daemon/src/rates/peer_request_handler.rs
+++ b/crates/daemon/src/rates/peer_request_handler.rs
@@ -32,11 +32,11 @@
 
 impl<S: PlatformStore, P: PeerSource> PeerHandler for PeerRequestHandler<S, P> {
     fn own_heartbeat(&self) -> PeerHeartbeat {
-        self.state.own_beat()
+        self.state.own_heartbeat()
     }
 
-    fn handle_heartbeat(&self, beat: &PeerHeartbeat) {
-        self.state.rates.record_heartbeat(beat);
+    fn handle_heartbeat(&self, heartbeat: &PeerHeartbeat) {
+        self.state.rates.record_heartbeat(heartbeat);
     }
 
     fn rates(&self, from: &PeerHeartbeat, query: &RateRequest) -> RateAnswer {
@@ -82,7 +82,7 @@
 
 impl SharedState {
     /// Returns the heartbeat that this daemon sends to others.
-    pub fn own_beat(&self) -> PeerHeartbeat {
+    pub fn own_heartbeat(&self) -> PeerHeartbeat {
         self.rates.own_heartbeat(self.snapshot().revision)
     }
 }
--- a/crates/daemon/src/rates/rate_limiter.rs
+++ b/crates/daemon/src/rates/rate_limiter.rs
@@ -163,14 +163,14 @@
     }
 
     /// Records the heartbeat of another daemon.
-    pub fn record_heartbeat(&self, beat: &PeerHeartbeat) {
+    pub fn record_heartbeat(&self, heartbeat: &PeerHeartbeat) {
         let mut state = self.lock();
-        let id = state.id_of(&beat.member.name);
-        let revision = beat.roster_revision;
+        let id = state.id_of(&heartbeat.member.name);
+        let revision = heartbeat.roster_revision;
         state.peer_revision = state.peer_revision.max(revision);
         let daemon = &mut state.daemons[id.index()];
         daemon.silent_since = None;
-        if let Ok(address) = beat.member.address.parse() {
+        if let Ok(address) = heartbeat.member.address.parse() {
             daemon.address = Some(address);
         }
     }
--- a/crates/daemon/src/rates/roster_sync.rs
+++ b/crates/daemon/src/rates/roster_sync.rs
@@ -180,12 +180,12 @@
 /// age of its view, and confirms the own view if the revisions are equal.
 async fn confirm_by_watcher(state: &SharedState, watcher: DaemonId) {
     let sent = state.clock.now();
-    let Some(beat) = query_peer(state, watcher).await else {
+    let Some(heartbeat) = query_peer(state, watcher).await else {
         return;
     };
     let mut limiter = state.rates.lock();
-    if beat.roster_revision == limiter.view.revision {
-        limiter.verified = limiter.verified.max(Some(sent - beat.view_age));
+    if heartbeat.roster_revision == limiter.view.revision {
+        limiter.verified = limiter.verified.max(Some(sent - heartbeat.view_age));
     }
 }
 
@@ -194,12 +194,12 @@
     let peers = state.rates.lock().zone_peers();
     let queries = peers.into_iter().map(|peer| async move {
         let sent = state.clock.now();
-        let Some(beat) = query_peer(state, peer).await else {
+        let Some(heartbeat) = query_peer(state, peer).await else {
             return;
         };
         let mut limiter = state.rates.lock();
         if let Some(ledger) = &mut limiter.ledger {
-            ledger.note_peer(peer, sent, sent - beat.view_age);
+            ledger.note_peer(peer, sent, sent - heartbeat.view_age);
         }
     });
     join_all(queries).await;
@@ -230,18 +230,18 @@
     let (link, address) = state.rates.link_to(peer)?;
     let sent = state.clock.now();
     let answer = link
-        .heartbeat(address, state.own_beat(), PEER_TIMEOUT)
+        .heartbeat(address, state.own_heartbeat(), PEER_TIMEOUT)
         .await;
     let now = state.clock.now();
     let mut limiter = state.rates.lock();
     let known = &mut limiter.daemons[peer.index()];
     match answer {
-        Ok(beat) if beat.member.name == known.name => {
+        Ok(heartbeat) if heartbeat.member.name == known.name => {
             known.silent_since = None;
             if let Some(ledger) = &mut limiter.ledger {
-                ledger.note_peer_revision(peer, beat.roster_revision, sent);
+                ledger.note_peer_revision(peer, heartbeat.roster_revision, sent);
             }
-            Some(beat)
+            Some(heartbeat)
         }
         _ => {
             known.silent_since = known.silent_since.or(Some(now));
--- a/crates/daemon/src/suspects/suspect_manager.rs
+++ b/crates/daemon/src/suspects/suspect_manager.rs
@@ -24,7 +24,7 @@
 /// How long a caller waits at most until the facts about its request are written.
 /// An outage of the platform must not delay callers for longer.
 const MAX_DELIVERY_WAIT: Duration = Duration::from_secs(2);
-/// How often a waiting request checks again whether it may go on.
+/// How often a waiting request checks again whether it may proceed.
 pub(super) const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The state of sending a fact to the other daemons.
--- a/crates/daemon/tests/bulk_limiter.rs
+++ b/crates/daemon/tests/bulk_limiter.rs
@@ -18,7 +18,7 @@
 
 /// A daemon's limiters and server pool with a clock that the test advances.
 struct TestLimiter {
-    gates: BulkLimiters,
+    limiters: BulkLimiters,
     pool: ServerPool,
     settings: DaemonSettings,
     now: Timestamp,
@@ -28,7 +28,7 @@
     fn new(vms: &[ListedVm]) -> Self {
         let free = ([127, 0, 0, 1], 0).into();
         let mut limiter = TestLimiter {
-            gates: BulkLimiters::default(),
+            limiters: BulkLimiters::default(),
             pool: ServerPool::default(),
             settings: DaemonSettings {
                 name: "daemon-1".to_owned(),
@@ -56,26 +56,26 @@
     fn advance(&mut self, duration: Duration) {
         self.now = self.now + duration;
         self.pool
-            .update_limiters(&self.gates, &self.settings, self.now);
+            .update_limiters(&self.limiters, &self.settings, self.now);
     }
 
     fn open(&self) -> Option<BulkSlot> {
         let take = |id| self.pool.take(id, ProcessClock::default());
-        self.gates
+        self.limiters
             .open("engines", ProcessClock::default(), self.now, take)
     }
 
     /// Delivers a load report from each server, with `others` requests of other
     /// daemons.
     fn report(&self, slots: &[BulkSlot], others: u32) {
-        for (server, _) in self.gates.servers_to_query(self.now) {
+        for (server, _) in self.limiters.servers_to_query(self.now) {
             let own = slots.iter().filter(|it| it.server.id == server).count();
             let report = LoadReport {
                 running: u32::try_from(own).unwrap() + others,
                 waiting: 0,
                 batch: BATCH,
             };
-            self.gates.note_report(server, report, self.now);
+            self.limiters.note_report(server, report, self.now);
         }
     }
 
@@ -116,7 +116,7 @@
     assert_eq!(slots.len(), BATCH as usize);
     let server = slots[0].server.id;
     for live in 1..=slots.len() {
-        limiter.gates.note_arrival(server, limiter.now);
+        limiter.limiters.note_arrival(server, limiter.now);
         assert_eq!(stopped_count(&slots), live);
     }
     drop(slots);
--- a/crates/node/tests/failing_fleet.rs
+++ b/crates/node/tests/failing_fleet.rs
@@ -461,7 +461,7 @@
     assert!(fleet.store.keys(entry).is_empty(), "the entry is removed");
 }
 
-/// A daemon stores a lot and is lost before it has told any peer to run it, here because
+/// A daemon stores a lot and is lost before it has asked any peer to run it, here because
 /// the store's answer never arrives. The customer submits the lot again at another daemon,
 /// which finds it in the store. Unless that one announces it, the lot waits until a daemon
 /// happens to list all open lots, and its results are late.
--- a/crates/node/tests/lot_reads.rs
+++ b/crates/node/tests/lot_reads.rs
@@ -70,11 +70,11 @@
 }
 
 /// The VM that runs a lot is lost just when its last results are in the store, and is back
-/// within a second. No peer has heard of these results, and the daemon's next incarnation
+/// within a second. No peer has a report of these results, and the daemon's next incarnation
 /// doesn't report the lot. A customer reads them at one daemon, and another reader at a
 /// daemon that had read the lot before is told that there are none. That daemon took its
-/// copy for complete because it heard every daemon that runs lots, including the new
-/// incarnation of the lost one. The logs had both answers side by side:
+/// copy for complete because it received reports from every daemon that runs lots,
+/// including the new incarnation of the lost one. The logs had both answers side by side:
 ///
 /// ```text
 /// entry-2 lots: read after=0 known=2 copy_from=store copy_age_ms=0
@@ -93,7 +93,7 @@
 
 /// The VM that runs a lot is paused while its results are written, and resumes a moment
 /// later without an answer from the store. Meanwhile the store has returned the results to
-/// a reader. The daemon is heard again and reports that there are none, as far as it knows.
+/// a reader. The daemon's reports arrive again and state no results, as far as it knows.
 /// Readers at a daemon that relies on this report must not be told the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn results_that_were_returned_stay_while_their_daemon_waits_for_the_store() {
--- a/crates/node/tests/soak/main.rs
+++ b/crates/node/tests/soak/main.rs
@@ -48,7 +48,7 @@
     1,
     // A daemon that runs lots is lost right after a write, and restarted at once. Results
     // that one daemon had returned were missing at another one, which took its copy for
-    // complete as long as it heard all daemons that run lots.
+    // complete as long as reports arrived from all daemons that run lots.
     2, 28, 36,
 ];
 /// The seeds of the check script for the test in which settings change.
--- a/crates/node/tests/stale_zone.rs
+++ b/crates/node/tests/stale_zone.rs
@@ -147,8 +147,8 @@
     }
 }
 
-/// The daemon that watches the store for its zone is heard and has the newest settings, but
-/// its responses never arrive: it hangs, or its connection is saturated. Another zone has
+/// The daemon that watches the store for its zone still reports and has the newest settings,
+/// but its responses never arrive: it hangs, or its connection is saturated. Another zone has
 /// these settings as well. When only the own zone was queried, callers with a withdrawn key
 /// were admitted for as long as that lasted, and callers of new routes were refused.
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/peers/examples/peer_cost.rs
+++ b/crates/peers/examples/peer_cost.rs
@@ -28,7 +28,7 @@
 #[derive(Clone)]
 struct Echo;
 
-fn beat() -> PeerHeartbeat {
+fn heartbeat() -> PeerHeartbeat {
     PeerHeartbeat {
         member: Heartbeat {
             name: "entry-wa-south-1-017".to_owned(),
@@ -49,13 +49,13 @@
     }
 
     fn own_heartbeat(&self) -> PeerHeartbeat {
-        beat()
+        heartbeat()
     }
 
     fn handle_heartbeat(&self, _beat: &PeerHeartbeat) {}
 
-    fn rates(&self, _from: &PeerHeartbeat, ask: &RateRequest) -> RateAnswer {
-        match ask {
+    fn rates(&self, _from: &PeerHeartbeat, request: &RateRequest) -> RateAnswer {
+        match request {
             RateRequest::Tokens(_) => RateAnswer::Tokens(TokenAnswer::Granted {
                 grant: u64::MAX / 5,
                 count: 1,
@@ -136,7 +136,7 @@
         unspent: 0,
     };
     let requests = [
-        ("heartbeat", PeerRequest::Heartbeat(beat())),
+        ("heartbeat", PeerRequest::Heartbeat(heartbeat())),
         ("tokens", PeerRequest::Rates(RateRequest::Tokens(token))),
         (
             "1 announcement",
--- a/crates/peers/src/codec/beat.rs
+++ b/crates/peers/src/codec/beat.rs
@@ -8,15 +8,15 @@
 
 use super::{micros, text};
 
-pub(crate) fn write_beat(mut builder: beat::Builder<'_>, beat: &PeerHeartbeat) {
-    builder.set_name(&beat.member.name);
-    builder.set_zone(beat.member.zone.0);
-    builder.set_address(&beat.member.address);
-    builder.set_incarnation(beat.member.incarnation.0);
-    builder.set_leaving(beat.member.leaving);
-    builder.set_settings_revision(beat.settings_revision);
-    builder.set_roster_revision(beat.roster_revision);
-    builder.set_view_age_micros(micros(beat.view_age));
+pub(crate) fn write_beat(mut builder: beat::Builder<'_>, heartbeat: &PeerHeartbeat) {
+    builder.set_name(&heartbeat.member.name);
+    builder.set_zone(heartbeat.member.zone.0);
+    builder.set_address(&heartbeat.member.address);
+    builder.set_incarnation(heartbeat.member.incarnation.0);
+    builder.set_leaving(heartbeat.member.leaving);
+    builder.set_settings_revision(heartbeat.settings_revision);
+    builder.set_roster_revision(heartbeat.roster_revision);
+    builder.set_view_age_micros(micros(heartbeat.view_age));
 }
 
 pub(crate) fn read_beat(reader: beat::Reader<'_>) -> Result<PeerHeartbeat, capnp::Error> {
--- a/crates/peers/src/codec/mod.rs
+++ b/crates/peers/src/codec/mod.rs
@@ -32,7 +32,9 @@
     request: &PeerRequest,
 ) -> Result<PeerAnswer, PeerError> {
     match request {
-        PeerRequest::Heartbeat(beat) => call_beat(session, beat).await.map(PeerAnswer::Heartbeat),
+        PeerRequest::Heartbeat(heartbeat) => call_beat(session, heartbeat)
+            .await
+            .map(PeerAnswer::Heartbeat),
         PeerRequest::Rates(ask) => call_rates(session, ask).await.map(PeerAnswer::Rates),
         PeerRequest::Settings(ask) => call_settings(session, ask).await,
         PeerRequest::Suspects(notice) => call_suspects(session, notice).await,
@@ -42,10 +44,10 @@
 
 async fn call_beat(
     session: &session::Client,
-    beat: &PeerHeartbeat,
+    heartbeat: &PeerHeartbeat,
 ) -> Result<PeerHeartbeat, PeerError> {
     let mut request = session.beat_request();
-    write_beat(request.get().init_beat(), beat);
+    write_beat(request.get().init_beat(), heartbeat);
     let answer = request.send().promise.await.map_err(call_error)?;
     read_beat(
         answer
--- a/crates/peers/src/codec/rates.rs
+++ b/crates/peers/src/codec/rates.rs
@@ -14,13 +14,13 @@
 
 use super::micros;
 
-pub(crate) fn write_token_ask(mut builder: token_ask::Builder<'_>, ask: &TokenRequest) {
-    builder.set_customer(ask.customer.0);
-    builder.set_slot(ask.slot);
-    builder.set_want(ask.want);
-    builder.set_home(ask.home);
-    builder.set_has_spent(ask.spent.is_some());
-    builder.set_spent(ask.spent.unwrap_or_default());
+pub(crate) fn write_token_ask(mut builder: token_ask::Builder<'_>, request: &TokenRequest) {
+    builder.set_customer(request.customer.0);
+    builder.set_slot(request.slot);
+    builder.set_want(request.want);
+    builder.set_home(request.home);
+    builder.set_has_spent(request.spent.is_some());
+    builder.set_spent(request.spent.unwrap_or_default());
 }
 
 pub(crate) fn read_token_ask(reader: token_ask::Reader<'_>) -> TokenRequest {
--- a/crates/peers/src/connection_pool.rs
+++ b/crates/peers/src/connection_pool.rs
@@ -68,8 +68,8 @@
         if let Err(PeerError::AnswerLost(_)) = &answer {
             connection.close.cancel();
         }
-        if let Ok(PeerAnswer::Heartbeat(beat)) = &answer {
-            self.context.handler.handle_heartbeat(beat);
+        if let Ok(PeerAnswer::Heartbeat(heartbeat)) = &answer {
+            self.context.handler.handle_heartbeat(heartbeat);
         }
         answer
     }
@@ -215,9 +215,9 @@
     let answer = request.send().promise.await;
     let answer = answer.map_err(|error| unreachable(&error))?;
     let answer = answer.get().map_err(|error| unreachable(&error))?;
-    let beat = answer.get_beat().and_then(codec::read_beat);
+    let heartbeat = answer.get_beat().and_then(codec::read_beat);
     context
         .handler
-        .handle_heartbeat(&beat.map_err(|error| unreachable(&error))?);
+        .handle_heartbeat(&heartbeat.map_err(|error| unreachable(&error))?);
     answer.get_session().map_err(|error| unreachable(&error))
 }
--- a/crates/peers/src/peer_handler.rs
+++ b/crates/peers/src/peer_handler.rs
@@ -18,10 +18,10 @@
     fn own_heartbeat(&self) -> PeerHeartbeat;
 
     /// Processes a peer's heartbeat, which came in a request or an answer.
-    fn handle_heartbeat(&self, beat: &PeerHeartbeat);
+    fn handle_heartbeat(&self, heartbeat: &PeerHeartbeat);
 
     /// Answers a request about rates.
-    fn rates(&self, from: &PeerHeartbeat, ask: &RateRequest) -> RateAnswer;
+    fn rates(&self, from: &PeerHeartbeat, request: &RateRequest) -> RateAnswer;
 
     /// Answers a request for the settings, with `None` while there are none.
     fn settings(&self, ask: SettingsRequest)
--- a/crates/peers/src/peer_link.rs
+++ b/crates/peers/src/peer_link.rs
@@ -124,14 +124,14 @@
     pub async fn heartbeat(
         &self,
         to: SocketAddr,
-        beat: PeerHeartbeat,
+        heartbeat: PeerHeartbeat,
         timeout: Duration,
     ) -> Result<PeerHeartbeat, PeerError> {
         match self
-            .request(to, PeerRequest::Heartbeat(beat), timeout)
+            .request(to, PeerRequest::Heartbeat(heartbeat), timeout)
             .await?
         {
-            PeerAnswer::Heartbeat(beat) => Ok(beat),
+            PeerAnswer::Heartbeat(heartbeat) => Ok(heartbeat),
             _ => Err(wrong_kind()),
         }
     }
@@ -140,10 +140,13 @@
     pub async fn rates(
         &self,
         to: SocketAddr,
-        ask: RateRequest,
+        request: RateRequest,
         timeout: Duration,
     ) -> Result<RateAnswer, PeerError> {
-        match self.request(to, PeerRequest::Rates(ask), timeout).await? {
+        match self
+            .request(to, PeerRequest::Rates(request), timeout)
+            .await?
+        {
             PeerAnswer::Rates(answer) => Ok(answer),
             _ => Err(wrong_kind()),
         }
@@ -153,11 +156,11 @@
     pub async fn settings(
         &self,
         to: SocketAddr,
-        ask: SettingsRequest,
+        request: SettingsRequest,
         timeout: Duration,
     ) -> Result<Option<SettingsAnswer>, PeerError> {
         match self
-            .request(to, PeerRequest::Settings(ask), timeout)
+            .request(to, PeerRequest::Settings(request), timeout)
             .await?
         {
             PeerAnswer::Settings(answer) => Ok(answer),
--- a/crates/peers/src/peer_server.rs
+++ b/crates/peers/src/peer_server.rs
@@ -95,13 +95,13 @@
         params: door::HelloParams,
         mut results: door::HelloResults,
     ) -> Result<(), capnp::Error> {
-        let beat = codec::read_beat(params.get()?.get_beat()?)?;
+        let heartbeat = codec::read_beat(params.get()?.get_beat()?)?;
         let handler = &self.context.handler;
-        handler.handle_heartbeat(&beat);
+        handler.handle_heartbeat(&heartbeat);
         let session = PeerSession {
             handler: handler.clone(),
             last_used: self.last_used.clone(),
-            from: RefCell::new(beat),
+            from: RefCell::new(heartbeat),
         };
         let mut results = results.get();
         codec::write_beat(results.reborrow().init_beat(), &handler.own_heartbeat());
@@ -122,9 +122,9 @@
         self.last_used.set(Instant::now());
     }
 
-    fn rates(&self, ask: &RateRequest) -> RateAnswer {
+    fn rates(&self, request: &RateRequest) -> RateAnswer {
         self.record_use();
-        self.handler.rates(&self.from.borrow(), ask)
+        self.handler.rates(&self.from.borrow(), request)
     }
 }
 
@@ -135,9 +135,9 @@
         mut results: session::BeatResults,
     ) -> Result<(), capnp::Error> {
         self.record_use();
-        let beat = codec::read_beat(params.get()?.get_beat()?)?;
-        self.handler.handle_heartbeat(&beat);
-        self.from.replace(beat);
+        let heartbeat = codec::read_beat(params.get()?.get_beat()?)?;
+        self.handler.handle_heartbeat(&heartbeat);
+        self.from.replace(heartbeat);
         codec::write_beat(results.get().init_beat(), &self.handler.own_heartbeat());
         Ok(())
     }
@@ -147,8 +147,8 @@
         params: session::TokensParams,
         mut results: session::TokensResults,
     ) -> Result<(), capnp::Error> {
-        let ask = codec::read_token_ask(params.get()?.get_ask()?);
-        let answer = self.rates(&RateRequest::Tokens(ask));
+        let request = codec::read_token_ask(params.get()?.get_ask()?);
+        let answer = self.rates(&RateRequest::Tokens(request));
         codec::write_token_answer(results.get().init_answer(), &answer)
     }
 
@@ -189,11 +189,11 @@
     ) -> Result<(), capnp::Error> {
         self.record_use();
         let params = params.get()?;
-        let ask = SettingsRequest {
+        let request = SettingsRequest {
             known_revision: params.get_known(),
             max_hold: Duration::from_millis(u64::from(params.get_hold_millis())),
         };
-        if let Some(answer) = self.handler.settings(ask).await {
+        if let Some(answer) = self.handler.settings(request).await {
             codec::write_settings(results.get().init_view(), &answer);
         }
         self.record_use();
--- a/crates/peers/tests/peer_link.rs
+++ b/crates/peers/tests/peer_link.rs
@@ -29,7 +29,7 @@
 struct Recorder {
     name: &'static str,
     requests: Arc<Mutex<Vec<RateRequest>>>,
-    beats: Arc<Mutex<Vec<PeerHeartbeat>>>,
+    heartbeats: Arc<Mutex<Vec<PeerHeartbeat>>>,
     answer: Arc<Mutex<RateAnswer>>,
     view: Option<SettingsAnswer>,
 }
@@ -38,13 +38,13 @@
     Recorder {
         name,
         requests: Arc::default(),
-        beats: Arc::default(),
+        heartbeats: Arc::default(),
         answer: Arc::new(Mutex::new(RateAnswer::Done)),
         view: None,
     }
 }
 
-fn beat_of(name: &str) -> PeerHeartbeat {
+fn heartbeat_of(name: &str) -> PeerHeartbeat {
     PeerHeartbeat {
         member: Heartbeat {
             name: name.to_owned(),
@@ -61,24 +61,24 @@
 
 impl PeerHandler for Recorder {
     fn own_heartbeat(&self) -> PeerHeartbeat {
-        beat_of(self.name)
+        heartbeat_of(self.name)
     }
 
-    fn handle_heartbeat(&self, beat: &PeerHeartbeat) {
-        self.beats.lock().unwrap().push(beat.clone());
+    fn handle_heartbeat(&self, heartbeat: &PeerHeartbeat) {
+        self.heartbeats.lock().unwrap().push(heartbeat.clone());
     }
 
-    fn rates(&self, from: &PeerHeartbeat, ask: &RateRequest) -> RateAnswer {
+    fn rates(&self, from: &PeerHeartbeat, request: &RateRequest) -> RateAnswer {
         assert_eq!(from.member.name, "asker");
-        self.requests.lock().unwrap().push(ask.clone());
+        self.requests.lock().unwrap().push(request.clone());
         self.answer.lock().unwrap().clone()
     }
 
-    async fn settings(&self, ask: SettingsRequest) -> Option<SettingsAnswer> {
-        tokio::time::sleep(ask.max_hold).await;
+    async fn settings(&self, request: SettingsRequest) -> Option<SettingsAnswer> {
+        tokio::time::sleep(request.max_hold).await;
         self.view
             .clone()
-            .filter(|view| view.offer.base == ask.known_revision)
+            .filter(|view| view.offer.base == request.known_revision)
     }
 
     fn suspects(&self, _from: &PeerHeartbeat, notice: SuspectNotice) -> NoticeAck {
@@ -198,11 +198,14 @@
         unspent: 3,
     };
     exchanges.push((RateRequest::Settle(vec![settlement]), RateAnswer::Done));
-    for (ask, answer) in exchanges {
+    for (request, answer) in exchanges {
         *answerer.answer.lock().unwrap() = answer.clone();
-        let got = asker.link.rates(other.address, ask.clone(), TIMEOUT).await;
+        let got = asker
+            .link
+            .rates(other.address, request.clone(), TIMEOUT)
+            .await;
         assert_eq!(got.unwrap(), answer);
-        assert_eq!(answerer.requests.lock().unwrap().pop(), Some(ask));
+        assert_eq!(answerer.requests.lock().unwrap().pop(), Some(request));
     }
     asker.stop();
     other.stop();
@@ -214,14 +217,17 @@
     let (asker, other) = pair(answerer.clone());
     let sent = PeerHeartbeat {
         settings_revision: 8,
-        ..beat_of("asker")
+        ..heartbeat_of("asker")
     };
     let received = asker
         .link
         .heartbeat(other.address, sent.clone(), TIMEOUT)
         .await;
-    assert_eq!(received.unwrap(), beat_of("answerer"));
-    assert_eq!(*answerer.beats.lock().unwrap(), [beat_of("asker"), sent]);
+    assert_eq!(received.unwrap(), heartbeat_of("answerer"));
+    assert_eq!(
+        *answerer.heartbeats.lock().unwrap(),
+        [heartbeat_of("asker"), sent]
+    );
     asker.stop();
     other.stop();
 }
@@ -302,20 +308,23 @@
     // another daemon. Requests after the restart must not be lost on the broken
     // connection.
     let (asker, other) = pair(recorder("answerer"));
-    let ask = RateRequest::Settle(Vec::new());
-    let got = asker.link.rates(other.address, ask.clone(), TIMEOUT).await;
+    let request = RateRequest::Settle(Vec::new());
+    let got = asker
+        .link
+        .rates(other.address, request.clone(), TIMEOUT)
+        .await;
     assert_eq!(got, Ok(RateAnswer::Done));
     let address = other.address;
     other.stop();
     loop {
         // First the broken connection is detected, then none can be opened.
-        match asker.link.rates(address, ask.clone(), TIMEOUT).await {
+        match asker.link.rates(address, request.clone(), TIMEOUT).await {
             Err(PeerError::Unreachable(_)) => break,
             answer => assert_matches!(answer, Err(PeerError::AnswerLost(_))),
         }
     }
     let successor = Daemon::start(recorder("successor"), address, LinkTiming::default());
-    let got = asker.link.rates(address, ask, TIMEOUT).await;
+    let got = asker.link.rates(address, request, TIMEOUT).await;
     assert_eq!(got, Ok(RateAnswer::Done));
     asker.stop();
     successor.stop();
@@ -350,14 +359,14 @@
     let address = silent.local_addr().unwrap();
     let asker = Daemon::start(recorder("asker"), any_port(), LinkTiming::default());
     let timeout = Duration::from_millis(30);
-    let ask = RateRequest::Settle(Vec::new());
+    let request = RateRequest::Settle(Vec::new());
     for _ in 0..4 {
-        let got = asker.link.rates(address, ask.clone(), timeout).await;
+        let got = asker.link.rates(address, request.clone(), timeout).await;
         assert_eq!(got, Err(PeerError::TimedOut));
     }
     drop(silent);
     let other = Daemon::start(recorder("answerer"), address, LinkTiming::default());
-    let got = asker.link.rates(address, ask, TIMEOUT).await;
+    let got = asker.link.rates(address, request, TIMEOUT).await;
     assert_eq!(got, Ok(RateAnswer::Done));
     asker.stop();
     other.stop();
@@ -374,10 +383,13 @@
     let asker = Daemon::start(recorder("asker"), any_port(), timing);
     let answerer = recorder("answerer");
     let other = Daemon::start(answerer.clone(), any_port(), timing);
-    let ask = RateRequest::Settle(Vec::new());
-    while answerer.beats.lock().unwrap().len() < 2 {
+    let request = RateRequest::Settle(Vec::new());
+    while answerer.heartbeats.lock().unwrap().len() < 2 {
         // Each new connection starts with a heartbeat.
-        let got = asker.link.rates(other.address, ask.clone(), TIMEOUT).await;
+        let got = asker
+            .link
+            .rates(other.address, request.clone(), TIMEOUT)
+            .await;
         assert_eq!(got, Ok(RateAnswer::Done));
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
--- a/crates/policy/src/lots/claim_doubt.rs
+++ b/crates/policy/src/lots/claim_doubt.rs
@@ -5,7 +5,7 @@
 use crate::Timestamp;
 
 /// Silence of this length means that a daemon, or this one, was out of contact: single
-/// reports get lost, but not all of them for so long. A daemon that does nothing for so
+/// reports get lost, but not all of them for that long. A daemon that does nothing for that
 /// long was suspended.
 const MIN_OUTAGE_SILENCE: Duration = Duration::from_secs(3);
 
--- a/crates/policy/src/lots/copy_proof.rs
+++ b/crates/policy/src/lots/copy_proof.rs
@@ -34,7 +34,7 @@
 /// Results are only appended, by the daemon that holds the claim. So only the store, or
 /// that daemon while its claim certainly holds, can prove that a copy was complete at
 /// some time. Reports from the other daemons prove nothing: a daemon that is lost right
-/// after a write has told none of them, and its next incarnation knows nothing of that
+/// after a write has notified none of them, and its next incarnation knows nothing of that
 /// write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CopyState {
--- a/crates/policy/src/lots/mod.rs
+++ b/crates/policy/src/lots/mod.rs
@@ -9,7 +9,7 @@
 //!   [`crate::bulk`] decides how much of it.
 //! - [`CopyState`] decides when a reader may be answered from a copy of a lot's
 //!   results.
-//! - [`may_begin_items`] decides whether a daemon that lost contact may go on with a
+//! - [`may_begin_items`] decides whether a daemon that lost contact may continue a
 //!   lot.
 //! - [`StartRank`] orders items that wait while all slots are taken.
 //! - [`TokenLedger`] bounds the tokens of a customer's lots that wait on a route.
--- a/crates/policy/src/members/member_table.rs
+++ b/crates/policy/src/members/member_table.rs
@@ -102,27 +102,27 @@
     ///
     /// The daemon needn't be listed: the list is delayed, and a daemon that sends
     /// messages is running.
-    pub fn heartbeat(&mut self, beat: &Heartbeat, now: Timestamp) -> MemberEvent {
-        let position = self.position(&beat.name);
+    pub fn heartbeat(&mut self, heartbeat: &Heartbeat, now: Timestamp) -> MemberEvent {
+        let position = self.position(&heartbeat.name);
         let daemon = match position {
             Ok(at) => self.by_name[at],
             Err(at) => {
-                let daemon = self.insert(&beat.name, now);
+                let daemon = self.insert(&heartbeat.name, now);
                 self.by_name.insert(at, daemon);
                 daemon
             }
         };
         let was_alive = position.is_ok() && self.is_alive(daemon, now);
         let entry = &mut self.entries[daemon.index()];
-        let before = entry.incarnation.replace(beat.incarnation);
-        let restarted = before.is_some_and(|it| it != beat.incarnation);
+        let before = entry.incarnation.replace(heartbeat.incarnation);
+        let restarted = before.is_some_and(|it| it != heartbeat.incarnation);
         if restarted {
             entry.reported_leaving = false;
         }
-        let leaves = beat.leaving && !entry.reported_leaving;
-        entry.reported_leaving |= beat.leaving;
-        entry.zone = beat.zone;
-        entry.address.clone_from(&beat.address);
+        let leaves = heartbeat.leaving && !entry.reported_leaving;
+        entry.reported_leaving |= heartbeat.leaving;
+        entry.zone = heartbeat.zone;
+        entry.address.clone_from(&heartbeat.address);
         entry.last_received_at = Some(now);
         entry.is_unreachable = false;
         if leaves {
--- a/crates/policy/src/placement/placement_table.rs
+++ b/crates/policy/src/placement/placement_table.rs
@@ -294,7 +294,7 @@
     }
 
     /// Counts a request that is sent to a server. Returns whether it should find a free
-    /// slot there: only then does its duration tell how long the server holds a slot
+    /// slot there: only then does its duration show how long the server holds a slot
     /// for a request.
     pub fn begin(&mut self, id: ServerId, kind: WorkKind, now: Timestamp) -> bool {
         let load = &mut self.servers[id.index()].load;
--- a/crates/policy/src/usage/usage_book.rs
+++ b/crates/policy/src/usage/usage_book.rs
@@ -441,7 +441,7 @@
     }
 
     /// Sets the daemons that are expected to report, and removes all others: daemons
-    /// lost for good must not hold back a share for ever.
+    /// lost permanently must not hold back a share indefinitely.
     pub fn set_members(&mut self, members: &[PeerId], now: Timestamp) {
         self.peers.retain(|it| members.contains(&it.id));
         for &id in members {
--- a/crates/policy/tests/members.rs
+++ b/crates/policy/tests/members.rs
@@ -222,9 +222,9 @@
 #[test]
 fn heartbeats_are_few() {
     let mut table = table(0, (1..51).chain(101..410), at(0.0));
-    let beats: usize = (1..=600)
+    let heartbeats: usize = (1..=600)
         .map(|tenth| table.due_heartbeats(at(f64::from(tenth) / 10.0)).len())
         .sum();
-    assert!(beats <= 2800, "{beats} in a minute");
+    assert!(heartbeats <= 2800, "{heartbeats} in a minute");
     assert!(table.find(&name(409)).is_some());
 }
--- a/crates/policy/tests/rates_ledger.rs
+++ b/crates/policy/tests/rates_ledger.rs
@@ -299,9 +299,9 @@
         for step in 1..=5 {
             ledger.tick(now + Duration::from_secs(step));
         }
-        for (peer, (heard, fresh)) in peers.iter().enumerate() {
-            let [heard, fresh] = [heard, fresh].map(|age| later - Duration::from_secs(*age));
-            ledger.note_peer(DaemonId(7 + peer as u32), heard, fresh);
+        for (peer, (received, fresh)) in peers.iter().enumerate() {
+            let [received, fresh] = [received, fresh].map(|age| later - Duration::from_secs(*age));
+            ledger.note_peer(DaemonId(7 + peer as u32), received, fresh);
         }
         ledger
     };
--- a/crates/serving/src/fleet/known_member.rs
+++ b/crates/serving/src/fleet/known_member.rs
@@ -87,7 +87,7 @@
     /// Returns whether the known incarnation is confirmed as the current one, by its own
     /// reports `within` the given time or by the store's list. Otherwise an incarnation
     /// that counts as former may be the current one, since only the order in which
-    /// datagrams arrived told them apart.
+    /// datagrams arrived distinguished them.
     pub(super) fn is_confirmed(&self, within: Duration, now: Timestamp) -> bool {
         self.incarnation_reported_within(within, now)
             || self.listed_incarnation == Some(self.record.incarnation)
--- a/crates/serving/src/fleet/member_list.rs
+++ b/crates/serving/src/fleet/member_list.rs
@@ -342,7 +342,7 @@
 
     /// Returns whether an incarnation of a daemon has certainly ended: a later one reported
     /// after it, and still reports. It isn't enough that another incarnation is listed or
-    /// was heard, since this one may be later still. Its claim would then be taken from it
+    /// has reported, since this one may be later still. Its claim would then be taken from it
     /// while it runs, and two daemons would each report that they know all results of a
     /// lot.
     pub fn is_former_incarnation(&self, daemon: &str, incarnation: u64, now: Timestamp) -> bool {
--- a/crates/serving/src/fleet/peer_message.rs
+++ b/crates/serving/src/fleet/peer_message.rs
@@ -20,7 +20,7 @@
     pub zone: String,
     /// The address at which other daemons reach it.
     pub address: SocketAddr,
-    /// A random number, new at each start, that tells the runs of the daemon apart.
+    /// A random number, new at each start, that distinguishes the runs of the daemon.
     pub incarnation: u64,
     /// Whether it runs items of lots.
     pub runs_lots: bool,
--- a/crates/serving/src/fleet/peer_views.rs
+++ b/crates/serving/src/fleet/peer_views.rs
@@ -41,7 +41,7 @@
 /// Checks for daemons that are ahead, and takes over their views, until `stop` is cancelled.
 ///
 /// The store may reject single VMs for a long time while it serves the others. Such a VM
-/// would go on with settings in which withdrawn keys still work, and with servers that
+/// would continue with settings in which withdrawn keys still work, and with servers that
 /// have left. The view revisions in its peers' reports show that it is behind.
 pub async fn follow_peers<D: Dialect>(node: Rc<Node<D>>, stop: CancellationToken) {
     let client = HttpClient::new(ANSWER_TIMEOUT);
--- a/crates/serving/src/lots/accept.rs
+++ b/crates/serving/src/lots/accept.rs
@@ -117,7 +117,7 @@
 
 /// Writes a lot within `timeout` and announces it to the daemons that run lots. The write
 /// continues in its own task if the caller disconnects: otherwise the lot could be stored
-/// and no daemon told to run it.
+/// and no daemon asked to run it.
 async fn write_lot<D: Dialect>(
     node: &Rc<Node<D>>,
     submission: Submission,
--- a/crates/serving/src/lots/notices.rs
+++ b/crates/serving/src/lots/notices.rs
@@ -10,7 +10,7 @@
 /// those sent within this time.
 const ACCEPTED_REPEAT_DURATION: Duration = Duration::from_secs(3);
 /// How long the end of a lot is repeated. A daemon that was cut off for less than its lease
-/// lasts still has its claim and learns of the end in no other way: it would go on starting
+/// lasts still has its claim and learns of the end in no other way: it would keep starting
 /// items until the store rejects their results.
 const ENDED_REPEAT_DURATION: Duration = Duration::from_secs(12);
 /// How long the progress of a lot is reported after its last change. A reader that comes
--- a/crates/serving/tests/lot_notices.rs
+++ b/crates/serving/tests/lot_notices.rs
@@ -60,7 +60,7 @@
 }
 
 /// A VM is paused for longer than its lease, or the store rejects its requests. Another
-/// daemon takes over its lot and writes results. When the first daemon is heard again, its
+/// daemon takes over its lot and writes results. When the first daemon reports again, its
 /// outdated report must not be taken as complete.
 #[test]
 fn a_daemon_whose_claim_may_be_gone_confirms_no_results() {
--- a/crates/serving/tests/member_list.rs
+++ b/crates/serving/tests/member_list.rs
@@ -88,7 +88,7 @@
     assert!(!members.is_held("lot-x", start) && !members.is_reported_finished("lot-x"));
 }
 
-/// A daemon that runs a lot is restarted and heard again before its peers noticed. The
+/// A daemon that runs a lot is restarted and reports again before its peers noticed. The
 /// reports of its former incarnation say nothing about what the store holds by now, so a
 /// reader must not be told on their basis that a result doesn't exist.
 #[test]
@@ -111,7 +111,7 @@
 }
 
 /// Two daemons report a lot: one that left it to others, and one that is unsure of its
-/// claim. Neither may be queried in place of the store, though both are heard.
+/// claim. Neither may be queried in place of the store, though both report.
 #[test]
 fn only_a_daemon_that_knows_all_results_is_asked_for_them() {
     let now = Timestamp::from_micros(1_000_000);
@@ -193,8 +193,9 @@
     );
 }
 
-/// As above, but this daemon never heard the former incarnation: it started after that was
-/// lost, heard the next incarnation, and reads the member list only then.
+/// As above, but this daemon never received a report of the former incarnation: it
+/// started after that was lost, received reports of the next incarnation, and reads the
+/// member list only then.
 #[test]
 fn an_outdated_list_does_not_restore_an_incarnation_that_was_never_heard() {
     let start = Timestamp::from_micros(1_000_000);
@@ -234,9 +235,9 @@
     );
 }
 
-/// Which of two incarnations is the later one is judged by the order in which they are
-/// heard. If that is ever wrong, the incarnation that keeps sending must be accepted again,
-/// or a running daemon would be ignored for ever.
+/// Which of two incarnations is the later one is judged by the order in which their
+/// reports arrive. If that is ever wrong, the incarnation that keeps sending must be
+/// accepted again, or a running daemon would be ignored for ever.
 #[test]
 fn an_incarnation_that_keeps_sending_is_accepted_again() {
     let start = Timestamp::from_micros(1_000_000);
@@ -254,7 +255,7 @@
 
 /// All daemons are restarted in turn. One of them reads a member list that names an
 /// incarnation which is already lost, and that daemon's next incarnation claims a lot
-/// without having been heard here. A mere listing proves nothing: the claim is no leftover,
+/// without any report received here. A mere listing proves nothing: the claim is no leftover,
 /// and the lot must stay with the daemon that runs it.
 #[test]
 fn a_claim_is_no_leftover_because_another_incarnation_was_listed_or_heard() {
@@ -272,9 +273,9 @@
     );
 }
 
-/// One daemon lists all open lots for its peers, which finds lots that no daemon was told
-/// to run. If the store rejects its requests while peers still hear it and rely on it, such
-/// a lot would wait until the store accepts them again.
+/// One daemon lists all open lots for its peers, which finds lots that no daemon was asked
+/// to run. If the store rejects its requests while peers still receive its reports and rely
+/// on it, such a lot would wait until the store accepts them again.
 #[test]
 fn a_daemon_that_does_not_reach_the_store_lists_no_lots_for_others() {
     let now = Timestamp::from_micros(1_000_000);
@@ -288,8 +289,8 @@
     assert!(members.is_lister("lots-3", now));
 }
 
-/// A daemon was cut off or paused, and hears its peers again. Its claims may be gone and
-/// its lots ended, so it has to notice the gap. Single lost messages are no such sign.
+/// A daemon was cut off or paused, and receives its peers' reports again. Its claims may be gone
+/// and its lots ended, so it has to notice the gap. Single lost messages are no such sign.
 #[test]
 fn a_daemon_notices_that_others_were_out_of_touch() {
     let start = Timestamp::from_micros(1_000_000);
--- a/crates/store/src/fenced_lease.rs
+++ b/crates/store/src/fenced_lease.rs
@@ -107,7 +107,7 @@
 
     /// Renews the lease. `now` is a time before the call.
     ///
-    /// After [`StoreError::LeaseLapsed`] the lease is lost for good. After any other
+    /// After [`StoreError::LeaseLapsed`] the lease is permanently lost. After any other
     /// error it continues unchanged, and the renewal can be attempted again.
     pub async fn renew<S: PlatformStore>(
         &mut self,
