--- a/crates/peers/examples/peer_cost.rs
+++ b/crates/peers/examples/peer_cost.rs
@@ -52,7 +52,7 @@
         heartbeat()
     }
 
-    fn handle_heartbeat(&self, _beat: &PeerHeartbeat) {}
+    fn handle_heartbeat(&self, _heartbeat: &PeerHeartbeat) {}
 
     fn rates(&self, _from: &PeerHeartbeat, request: &RateRequest) -> RateAnswer {
         match request {
--- a/crates/policy/tests/rates_ledger.rs
+++ b/crates/policy/tests/rates_ledger.rs
@@ -65,7 +65,7 @@
 
 /// Returns the borrower's first token request, which names the slot that the customer
 /// uses, and the home holder to which it is sent.
-fn first_ask(ledgers: &mut [ShareLedger], now: Timestamp) -> (TokenRequest, usize) {
+fn first_request(ledgers: &mut [ShareLedger], now: Timestamp) -> (TokenRequest, usize) {
     let borrower = ledgers.len() - 1;
     let decision = ledgers[borrower].admit(rate(0.0, 0).customer, now);
     let Decision::RequestToken { to, request, .. } = decision else {
@@ -119,7 +119,7 @@
     // A holder grants its whole burst and refills within milliseconds. As long as the
     // receivers may still spend the tokens, the refill would add a second burst.
     let (mut ledgers, now) = fleet(1, rate(10_000.0, 7));
-    let (first, home) = first_ask(&mut ledgers, now);
+    let (first, home) = first_request(&mut ledgers, now);
     assert_eq!(drain(&mut ledgers[home], first.slot, now), 7);
     assert_eq!(drain(&mut ledgers[home], first.slot, now + 299 * MS), 0);
     // The capacity is free after the margin for clock differences; the refill starts
@@ -133,7 +133,7 @@
     // A daemon gets tokens in advance and its customer becomes idle. If they weren't
     // returned, the next burst at another daemon would find no tokens.
     let (mut ledgers, now) = fleet(1, rate(1.0, 64));
-    let (first, home) = first_ask(&mut ledgers, now);
+    let (first, home) = first_request(&mut ledgers, now);
     let answer = ledgers[home].handle_tokens(&request(first.slot, 10, true), now);
     let TokenAnswer::Granted { grant, count, .. } = answer else {
         panic!("nothing granted");
@@ -190,7 +190,7 @@
     // reissued it. If it replaced the newer loan, the lender would take the slice back
     // with the older number while the borrower still spends from it.
     let (mut ledgers, now) = fleet(2, rate(10.0, 40));
-    let (first, home) = first_ask(&mut ledgers, now);
+    let (first, home) = first_request(&mut ledgers, now);
     let lender = 1 - home;
     let want = |loan| SliceRequest {
         customer: first.customer,
@@ -234,7 +234,7 @@
     // rate up to that time, this would add to what the lender refills since its slice
     // was returned.
     let (mut ledgers, now) = fleet(2, rate(100.0, 1_000));
-    let (first, home) = first_ask(&mut ledgers, now);
+    let (first, home) = first_request(&mut ledgers, now);
     for ledger in &mut ledgers[..2] {
         drain(ledger, first.slot, now);
     }
@@ -255,7 +255,7 @@
     // Operators lower a rate. Tokens and slices that a daemon has from others result
     // from the old rate; it must not spend them once it knows the new rate.
     let (mut ledgers, now) = fleet(2, rate(100.0, 1_000));
-    let (first, home) = first_ask(&mut ledgers, now);
+    let (first, home) = first_request(&mut ledgers, now);
     for _ in 0..600 {
         ledgers[home].handle_tokens(&request(first.slot, 1, true), now);
         deliver(&mut ledgers, home, now);
@@ -349,7 +349,7 @@
     // The first daemon of a fleet starts. No other daemon can have lent from its slots,
     // so a wait would only refuse the first callers.
     let (mut ledgers, now) = fleet(1, rate(1_000.0, 7));
-    let (first, _) = first_ask(&mut ledgers, now);
+    let (first, _) = first_request(&mut ledgers, now);
     let borrower = &mut ledgers[1];
     borrower.set_holders(0, &[Some(DaemonId(1)); SLOTS], u64::MAX, now);
     assert_eq!(drain(borrower, first.slot, now), 7);
@@ -360,7 +360,7 @@
     // An operator creates a customer, and its first caller sends a burst. Then the
     // customer is removed and created again, which must not restore the burst.
     let (mut ledgers, now) = fleet(1, rate(0.5, 7));
-    let (first, home) = first_ask(&mut ledgers, now);
+    let (first, home) = first_request(&mut ledgers, now);
     let holder = &mut ledgers[home];
     let other = CustomerRate {
         customer: CustomerKey::of_name("market"),
@@ -388,7 +388,7 @@
     // A zone is added while the other daemons learn of it one after another. Its share
     // must not count beside that of a daemon that still divides by fewer zones.
     let (mut ledgers, now) = fleet(1, rate(1_000.0, 7));
-    let (first, home) = first_ask(&mut ledgers, now);
+    let (first, home) = first_request(&mut ledgers, now);
     let holder = &mut ledgers[home];
     holder.set_zones(2);
     holder.set_rates(&[rate(1_000.0, 7)], now);
@@ -409,7 +409,7 @@
     // A slot changes its holder. The former holder may just have lent from it, so the
     // new holder waits until such a loan has expired, and starts without tokens.
     let (mut ledgers, now) = fleet(1, rate(1_000.0, 7));
-    let (first, _) = first_ask(&mut ledgers, now);
+    let (first, _) = first_request(&mut ledgers, now);
     let settle = LedgerTiming::default().takeover_delay();
     let borrower = &mut ledgers[1];
     borrower.set_holders(0, &[Some(DaemonId(1)); SLOTS], 0, now);
--- a/crates/serving/src/lots/read.rs
+++ b/crates/serving/src/lots/read.rs
@@ -95,7 +95,7 @@
     let cache = node.lot_cache.borrow();
     let known = cache.get(lot).ok_or_else(store_unavailable)?;
     let state = known.state();
-    let confirmation = node.runner_vouch(lot);
+    let confirmation = node.runner_confirmation(lot);
     // An answer that took long to arrive may be out of date. If the copy can't be shown to
     // be complete, the reader gets an error instead of an empty page.
     if !state.serves(reader) && !state.proves_no_results(reader, confirmation, node.clock.now()) {
@@ -122,7 +122,7 @@
 }
 
 fn needs_refresh<D: Dialect>(node: &Node<D>, lot: &str, reader: ReaderPosition) -> bool {
-    let confirmation = node.runner_vouch(lot);
+    let confirmation = node.runner_confirmation(lot);
     let now = node.clock.now();
     copy_state(node, lot).is_none_or(|it| it.needs_refresh(reader, confirmation, now))
 }
@@ -137,7 +137,7 @@
     reader: ReaderPosition,
 ) -> Result<(), Refusal> {
     let is_behind = || copy_state(node, lot).is_some_and(|it| it.is_behind(reader));
-    let confirmation = node.runner_vouch(lot);
+    let confirmation = node.runner_confirmation(lot);
     let runner_has_it = confirmation.is_some_and(|it| it.results >= reader.after);
     let tries_runner = runner_has_it || !is_behind();
     if tries_runner
@@ -151,7 +151,7 @@
 }
 
 fn lacks_reported_results<D: Dialect>(node: &Node<D>, lot: &str) -> bool {
-    let confirmation = node.runner_vouch(lot);
+    let confirmation = node.runner_confirmation(lot);
     copy_state(node, lot).is_some_and(|it| it.lacks_reported_results(confirmation))
 }
 
--- a/crates/serving/src/node/lot_news.rs
+++ b/crates/serving/src/node/lot_news.rs
@@ -81,7 +81,7 @@
     }
 
     /// Returns the latest report on a lot by the daemon that knows all of its results.
-    pub fn runner_vouch(&self, lot: &str) -> Option<RunnerConfirmation> {
+    pub fn runner_confirmation(&self, lot: &str) -> Option<RunnerConfirmation> {
         self.members.borrow().runner_confirmation(lot)
     }
 
