--- a/crates/serving/tests/member_list.rs
+++ b/crates/serving/tests/member_list.rs
@@ -355,12 +355,12 @@
     (0..30).filter(matches).collect()
 }
 
-/// Returns the numbers of the first zone's daemons that query the store while `stand_ins`
+/// Returns the numbers of the first zone's daemons that query the store while `substitutes`
 /// further ones are requested.
-fn watchers(stand_ins: usize, reaches_store: impl Fn(usize) -> bool) -> Vec<usize> {
+fn watchers(substitutes: usize, reaches_store: impl Fn(usize) -> bool) -> Vec<usize> {
     let start = Timestamp::from_micros(1_000_000);
     matching_daemons(reaches_store, |members, own| {
-        members.is_watcher(own, stand_ins, start)
+        members.is_watcher(own, substitutes, start)
     })
 }
 
