--- a/crates/serving/src/metrics.rs
+++ b/crates/serving/src/metrics.rs
@@ -53,12 +53,9 @@
             registry: Registry::new(),
             first_byte: histogram(
                 "comfreyramp_first_byte_seconds",
-                "Time until the first byte of the answer's body.",
-            )?,
-            whole: histogram(
-                "comfreyramp_whole_seconds",
-                "Time until the end of the answer.",
+                "Until the first byte of the answer's body.",
             )?,
+            whole: histogram("comfreyramp_whole_seconds", "Until the end of the answer.")?,
             refusals: counter(
                 "comfreyramp_refusals_total",
                 "Requests refused, by cause.",
@@ -66,33 +63,33 @@
             )?,
             attempts: counter(
                 "comfreyramp_attempts_total",
-                "Requests sent to servers, by outcome.",
+                "Requests sent to servers, by how it went.",
                 &["outcome"],
             )?,
             store_calls: counter(
                 "comfreyramp_store_calls_total",
-                "Calls to the store, by kind and result.",
+                "Calls to the store, by how they ended.",
                 &["call", "end"],
             )?,
             lots: counter(
                 "comfreyramp_lot_events_total",
-                "Events of lots and their items.",
+                "What happened to lots and their items.",
                 &["event"],
             )?,
             in_flight: gauge(
                 "comfreyramp_in_flight",
-                "Requests in flight on servers.",
+                "Requests that are on servers.",
                 &["kind"],
             )?,
             view_revision: gauge(
                 "comfreyramp_view_revision",
-                "The store's revision that a view reflects.",
+                "The store's revision that a view shows.",
                 &["view"],
             )?,
             view_age: GaugeVec::new(
                 Opts::new(
                     "comfreyramp_view_age_seconds",
-                    "Time since a view was last known to be current.",
+                    "Since a view was last known to be current.",
                 ),
                 &["view"],
             )?,
--- a/crates/settings/src/object_reader.rs
+++ b/crates/settings/src/object_reader.rs
@@ -133,7 +133,7 @@
     /// Reports a key at a place where a name is expected.
     pub(crate) fn reject_key_at(place: &str, text: &str, findings: &mut FindingList) {
         if text.starts_with(KEY_PREFIX) {
-            let fix = "revoke the key if it is one, and choose a name that starts differently";
+            let fix = "withdraw the key if it is one, and choose a name that starts differently";
             findings.add(place, "looks like a key", fix);
         }
     }
