--- a/crates/serving/src/node/mod.rs
+++ b/crates/serving/src/node/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! This module has the state itself, the settings in force and the periodic work. Its
 //! submodules maintain what is known of servers (`directory`), of peers (`peers`), of lots
-//! (`lot_reports`) and of the store (`store_health`), and admit requests (`admission`).
+//! (`lot_news`) and of the store (`store_health`), and admit requests (`admission`).
 
 mod admission;
 mod directory;
